--- a/finchcart/control.py
+++ b/finchcart/decisions/controller.py
@@ -1,6 +1,6 @@
 """All decisions of a node: which RPCs it admits, runs, rejects and fails.
 
-How it is called (types and port: finchcart/interface.py; why: docs/design.md). A host makes one
+How it is called (types and port: finchcart/decisions/interface.py; why: docs/design.md). A host makes one
 `Control(port, settings, seed)` for each node and calls `start(now)`. `admit(now, ...)` takes an RPC that was
 read and returns its handle; what happens to it later is a call on the handle: `run_ended`, `caller_gone`,
 `awaiting_call`, `call_ended`. On the control: `on_timer` (with gauges), `drain`, `worker_pool_restarted`. The
@@ -17,11 +17,11 @@
 from math import log2
 from random import Random
 
-from finchcart.histogram import Histogram
-from finchcart.interface import Gauges, Outcome, Port
-from finchcart.node_record import NodeRecord
-from finchcart.node_settings import MethodSettings, NodeSettings, order_by_criticality
-from finchcart.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.histogram import Histogram
+from finchcart.decisions.interface import Gauges, Outcome, Port
+from finchcart.decisions.node_record import NodeRecord
+from finchcart.decisions.node_settings import MethodSettings, NodeSettings, order_by_criticality
+from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
 QUEUED, RUNNING, AWAITING_CALL, CALLING, SHARING, PAUSED, COMPLETED = RpcState
@@ -223,7 +223,7 @@
 
 
 class Control(NodeRecord):
-    """The decisions of one node. `settings`: see finchcart/interface.py; `seed`: of all left to chance."""
+    """The decisions of one node. `settings`: see interface.py; `seed`: of all left to chance."""
 
     def __init__(self, port: Port, settings: Mapping[str, object], seed: int) -> None:
         super().__init__(NodeSettings.pick(settings, DEFAULTS))
--- a/finchcart/interface.py
+++ b/finchcart/decisions/interface.py
@@ -1,7 +1,7 @@
 """The types shared by the decision module and the programs that host it.
 
 A host (the simulator adapter, or the node) implements `Port`, makes one `Control` for each node (see
-finchcart/control.py) and reports to it what happens. Times are whole microseconds on one clock; an RPC is
+controller.py) and reports to it what happens. Times are whole microseconds on one clock; an RPC is
 named by a small index that the host assigns. Nothing in this file decides anything.
 
 Settings are one flat mapping (finchcart/settings.py reads it from a configuration). The decision module looks
--- a/finchcart/node_record.py
+++ b/finchcart/decisions/node_record.py
@@ -1,15 +1,15 @@
 """The record of a node: its RPCs, what they use, and what was measured.
 
-Carries out the changes of state that finchcart/control.py decides, and keeps the counts true, so that nothing
+Carries out the changes of state that controller.py decides, and keeps the counts true, so that nothing
 is added up over all RPCs at each arrival. Decides nothing itself.
 """
 
 from bisect import insort
 from heapq import heappop, heappush
 
-from finchcart.interface import Gauges
-from finchcart.node_settings import NodeSettings
-from finchcart.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.interface import Gauges
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
 _, RUNNING, AWAITING_CALL, CALLING, _, PAUSED, COMPLETED = RpcState
--- a/finchcart/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -1,7 +1,7 @@
-"""Settings of a node and of its methods, as named fields. Names and units: finchcart/interface.py.
+"""Settings of a node and of its methods, as named fields. Names and units: finchcart/decisions/interface.py.
 
 What stands in for a setting that is not told is chosen here only where it means "none" or "no limit"; what
-would be a decision is given by finchcart/control.py.
+would be a decision is given by finchcart/decisions/controller.py.
 """
 
 from collections.abc import Mapping, Sequence
--- a/finchcart/rpc_record.py
+++ b/finchcart/decisions/rpc_record.py
@@ -1,4 +1,4 @@
-"""The record of one RPC and its states. Decides nothing: what becomes of it is up to finchcart/control.py."""
+"""The record of one RPC and its states. Decides nothing: what becomes of it is up to controller.py."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from finchcart.control import Control, Method
-    from finchcart.interface import FleetQuota
+    from finchcart.decisions.controller import Control, Method
+    from finchcart.decisions.interface import FleetQuota
 
 
 class RpcState(Enum):
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from finchcart.control import Control
+from finchcart.decisions.controller import Control
 from finchcart.node.idempotency import IdempotencyCache, KeyEntry
 from finchcart.node.unknown_runs import UnknownRuns
 from finchcart.node.worker_pool import WorkerPool
--- a/finchcart/net/limits.py
+++ b/finchcart/net/limits.py
@@ -1,7 +1,7 @@
 """All sizes, counts and times of the real node, in one type.
 
 Owns the figures by which the node bounds itself; filled once at start from the configuration and handed down.
-It must never hold a figure that decides about RPCs: those live in finchcart/control.py alone.
+It must never hold a figure that decides about RPCs: those live in finchcart/decisions/controller.py alone.
 """
 
 from collections.abc import Mapping
--- a/finchcart/net/line_protocol.py
+++ b/finchcart/net/line_protocol.py
@@ -12,8 +12,8 @@
 from math import isfinite
 from typing import Any, NamedTuple
 
+from finchcart.decisions.interface import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.interface import Outcome
 from finchcart.net.framing import Codec
 
 MAX_BRACKETS = 100  # in a line of the worker pool
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -2,7 +2,7 @@
 
 Owns the order of what happens: `reduce(now, what)` takes one input and returns the effects that it asks for.
 It must never do I/O, take a lock, read a clock, know a frontend's protocol or decide about an RPC: decisions
-come from finchcart/control.py through the port.
+come from finchcart/decisions/controller.py through the port.
 
 An RPC's life: rpc_lifecycle.py. What the decision module can do: port.py. The fleet: fleet.py. Inputs and
 effects: inputs.py and effects.py.
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from finchcart.control import Control
-from finchcart.interface import Gauges
+from finchcart.decisions.controller import Control
+from finchcart.decisions.interface import Gauges
 from finchcart.net.limits import Limits
 from finchcart.node import inputs
 from finchcart.node.effect_buffer import EffectBuffer
@@ -57,7 +57,7 @@
     """The state of one node. Times are whole microseconds.
 
     Arguments:
-        settings: of the decision module, see finchcart/interface.py; `gauges` names the worker pool's
+        settings: of the decision module, see decisions/interface.py; `gauges` names the worker pool's
         readings. limits: sizes and times of the node. seed: of the decision module. name: by which the
         registry knows the node. addresses: of "pool", "store" (None: there is none) and "registry".
         make_frontends: from the core to its frontends by name. shadow: None, or the `settings` to watch and
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -11,7 +11,7 @@
 
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.subjects import Restriction, StoreHealth, SubjectKind, make_subject, source_subject
-from finchcart.interface import FleetQuota, Outcome
+from finchcart.decisions.interface import FleetQuota, Outcome
 
 if TYPE_CHECKING:
     from finchcart.consensus.observations import Evidence
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -1,4 +1,4 @@
-"""What the decision module can do in a node: the implementation of `finchcart.interface.Port`.
+"""What the decision module can do in a node: the implementation of `finchcart.decisions.interface.Port`.
 
 Owns no state. Each verb is carried out at once, in the order in which it is called; it must never decide.
 """
@@ -23,7 +23,7 @@
 
 
 class CorePort:
-    """The port of one node, see `finchcart.interface.Port`. Times are whole microseconds."""
+    """The port of one node, see `finchcart.decisions.interface.Port`. Times are whole microseconds."""
 
     def __init__(
         self,
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
+    from finchcart.decisions.rpc_record import RpcRecord
     from finchcart.node.frontend import Frontend
     from finchcart.node.idempotency import KeyEntry
     from finchcart.node.limiters import RpcConcurrencyLimiter
-    from finchcart.rpc_record import RpcRecord
 
 
 class FinalOutcome(Enum):
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from finchcart.decisions.interface import FleetQuota, Outcome
 from finchcart.errors import InvalidRpcError
-from finchcart.interface import FleetQuota, Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.fleet import FleetView
 from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
@@ -19,7 +19,7 @@
 from finchcart.node.worker_pool import WorkerPool
 
 if TYPE_CHECKING:
-    from finchcart.control import Control
+    from finchcart.decisions.controller import Control
     from finchcart.node.key_leases import KeyLeaseGate
 
 KEY_LEASE_MARGIN_US = 200_000  # before an RPC is due its key lease is waited for no longer
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -16,9 +16,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
 
-from finchcart.control import Control
-from finchcart.interface import Gauges, Outcome, Port
-from finchcart.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.controller import Control
+from finchcart.decisions.interface import Gauges, Outcome, Port
+from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
 # What is counted, in the words of the log line.
 ADMITTED_WOULD_REJECT = "taken, would be pushed back"
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from finchcart.interface import Outcome
+from finchcart.decisions.interface import Outcome
 from finchcart.net import line_protocol
 from finchcart.net.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from finchcart.interface import Outcome
+from finchcart.decisions.interface import Outcome
 from finchcart.net import line_protocol
 from finchcart.net.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
--- a/finchcart/wire.py
+++ b/finchcart/wire.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from finchcart import settings
+from finchcart.decisions.interface import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.interface import Outcome
 
 OUTCOMES = {
     200: Outcome.OK,
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -12,8 +12,8 @@
 from typing import TextIO
 
 from finchcart import wire
-from finchcart.control import Control, Rpc
-from finchcart.interface import Gauges
+from finchcart.decisions.controller import Control, Rpc
+from finchcart.decisions.interface import Gauges
 from finchcart.wire import WireError
 
 UNKNOWN_INDEX = -1  # of the first RPC of a key, where that one is released
@@ -24,7 +24,7 @@
 
 
 class Node:
-    """One instance with its identifiers; the `Port` of its decision module (see finchcart/interface.py)."""
+    """One instance with its identifiers; the `Port` of its decision module (see decisions/interface.py)."""
 
     def __init__(self, who: int, output: list[str], settings: Fields, seed: int) -> None:
         self.who = who  # the instance, in the protocol
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from finchcart.control import Control, Rpc
-from finchcart.interface import Gauges, Outcome
-from finchcart.rpc_record import RpcState
+from finchcart.decisions.controller import Control, Rpc
+from finchcart.decisions.interface import Gauges, Outcome
+from finchcart.decisions.rpc_record import RpcState
 
 KINDS = ("idempotent", "keyed", "non_idempotent")
 MS = 1000
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -3,8 +3,8 @@
 Pinned words are those of the adapter's wire, and a few more for what the wire does not carry.
 """
 
-from finchcart.control import Control
-from finchcart.interface import FleetQuota, Gauges
+from finchcart.decisions.controller import Control
+from finchcart.decisions.interface import FleetQuota, Gauges
 from finchcart.settings import from_pairs
 from finchcart.wire import OUTCOMES
 from tests.pins.adapter import as_text
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -6,8 +6,8 @@
 import pytest
 
 from finchcart import settings
+from finchcart.decisions.interface import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.interface import Outcome
 from finchcart.net import line_protocol
 from finchcart.net.buffers import Buffers
 from finchcart.net.limits import Limits
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -28,11 +28,12 @@
     StoreHealth,
     SubjectKind,
 )
+from finchcart.decisions.interface import Outcome
+from finchcart.decisions.rpc_record import RpcState
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.consensus_fault_run import SeededRun
 from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
 from finchcart.fault_injection.invariants import InvariantError
-from finchcart.interface import Outcome
 from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
@@ -44,7 +45,6 @@
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.observer import NodeObserver
 from finchcart.quota.limits import Limit
-from finchcart.rpc_record import RpcState
 from finchcart.thrift.messages import HeartbeatCall
 from tests.core_harness import CoreHarness
 from tests.harness import MS, Node, draw_settings
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from finchcart.interface import Gauges, Outcome
-from finchcart.rpc_record import RpcState
+from finchcart.decisions.interface import Gauges, Outcome
+from finchcart.decisions.rpc_record import RpcState
 from tests.harness import MS, Node, draw_settings
 
 PLAIN = {
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from finchcart.interface import Outcome
+from finchcart.decisions.interface import Outcome
 from finchcart.net.limits import Limits
 from finchcart.node.inputs import (
     AddressesChanged,
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -9,9 +9,9 @@
 import pytest
 
 from finchcart import settings
-from finchcart.control import Control
+from finchcart.decisions.controller import Control
+from finchcart.decisions.interface import Outcome
 from finchcart.errors import ConfigError
-from finchcart.interface import Outcome
 from finchcart.node import shadow
 from finchcart.node.inputs import LoadMeasured
 from finchcart.node_config import read_config, reread_config
