--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -1,16 +1,18 @@
 """All decisions of a node: which RPCs it admits, runs, rejects and fails.
 
 How it is called (types and port: finchcart/decisions/interface.py; why: docs/design.md). A host makes one
-`Control(port, settings, seed)` for each node and calls `start(now)`. `admit(now, ...)` takes an RPC that was
-read and returns its handle; what happens to it later is a call on the handle: `run_ended`, `caller_gone`,
-`awaiting_call`, `call_ended`. On the control: `on_timer` (with gauges), `drain`, `worker_pool_restarted`. The
-module answers through the port, inside these calls. Times are whole microseconds; the only clock is `now`.
+`NodeController(port, settings, seed)` for each node and calls `start(now)`. `admit(now, ...)` takes an RPC
+that was read and returns its handle; what happens to it later is a call on the handle: `run_ended`,
+`caller_gone`, `awaiting_call`, `call_ended`. On the controller: `on_timer` (with gauges), `drain`,
+`worker_pool_restarted`. The module answers through the port, inside these calls. Times are
+whole microseconds; the only clock is `now`.
 
 States: an RPC is QUEUED, then RUNNING, then COMPLETED. A run that needs the dependency is AWAITING_CALL, then
 CALLING, and RUNNING again; one that yields its core is PAUSED and queued again. A duplicate never runs, it is
 SHARING. Fields and what they mean: rpc_record.py (an RPC), node_record.py (the node), node_settings.py.
 
-Reading order: constants, Method, Rpc (one RPC's way), Control (intake, queue, calls, control loop, drain).
+Reading order: constants, Method, RpcHandle (one RPC's way), NodeController (intake, queue,
+calls, control loop, drain).
 """
 
 from collections.abc import Mapping
@@ -142,7 +144,7 @@
             (self.large_run if is_large else self.small_run).add(run_time)
 
 
-class Rpc(RpcRecord):
+class RpcHandle(RpcRecord):
     """The handle of one RPC: the host reports here what happens to it."""
 
     __slots__ = ()
@@ -222,7 +224,7 @@
             self.control.fail(now, self)
 
 
-class Control(NodeRecord):
+class NodeController(NodeRecord):
     """The decisions of one node. `settings`: see interface.py; `seed`: of all left to chance."""
 
     def __init__(self, port: Port, settings: Mapping[str, object], seed: int) -> None:
@@ -258,10 +260,10 @@
 
     def admit(
         self, now: int, index: int, method: str, memory_kb: float, *, caller: object = None, **told: object
-    ) -> Rpc:
+    ) -> RpcHandle:
         """An RPC has been read: queues it, rejects it, or shares a result. `told`: see `RpcRecord`."""
         self.note_caller(now, caller, MAX_IDLE_TIMEOUT, RETURNING_SAMPLES)
-        rpc = Rpc(self, now, index, self.methods_by_name[method], memory_kb, **told)
+        rpc = RpcHandle(self, now, index, self.methods_by_name[method], memory_kb, **told)
         self._forecast(now, rpc)
         self.active[index] = rpc
         self.memory_used_kb += memory_kb
@@ -282,7 +284,7 @@
             self.start_queued(now)
         return rpc
 
-    def _forecast(self, now: int, rpc: Rpc) -> None:
+    def _forecast(self, now: int, rpc: RpcHandle) -> None:
         method = rpc.method
         lost = min(MAX_RETRY_TIME_LOST, RETRY_TIME_LOST * self.retry_ratio) if rpc.is_retry else 0
         rpc.objective_at = min(rpc.due_at, rpc.reached_at + int(method.latency_objective * (1 - lost)))
@@ -292,7 +294,7 @@
         self.read_delay += (now - rpc.reached_at - self.read_delay) / READ_DELAY_SAMPLES
         self.retry_ratio += (rpc.is_retry - self.retry_ratio) / RETRY_SAMPLES
 
-    def _share_result(self, now: int, rpc: Rpc, first: Rpc | None) -> None:
+    def _share_result(self, now: int, rpc: RpcHandle, first: RpcHandle | None) -> None:
         """A duplicate never runs, lest it take effect twice: it shares the result of the first of its key."""
         no_memory = self.memory_used_kb > FAIL_DUPLICATES_ABOVE_MEMORY * self.settings.memory_kb
         if no_memory or (first and first.state is COMPLETED and first.failed) or self._is_due(now, rpc):
@@ -301,7 +303,7 @@
             rpc.state = SHARING
             self.port.answer_duplicate(rpc.index)
 
-    def _must_reject(self, now: int, rpc: Rpc, expected_wait: float) -> bool:
+    def _must_reject(self, now: int, rpc: RpcHandle, expected_wait: float) -> bool:
         method = rpc.method
         if self._cannot_serve(now, rpc) or self._lacks_dependency(method):
             return True
@@ -320,7 +322,7 @@
             return self._is_too_late(now + expected_wait, rpc)
         return now + expected_wait + rpc.expected_cost * self.slowness > rpc.objective_at
 
-    def _cannot_serve(self, now: int, rpc: Rpc) -> bool:
+    def _cannot_serve(self, now: int, rpc: RpcHandle) -> bool:
         after_grace = self.grace_end is not None and rpc.reached_at > self.grace_end
         needed_kb = self.memory_used_kb + self.settings.key_entry_kb * rpc.method.keyed
         no_memory = needed_kb > REJECT_ABOVE_MEMORY * self.settings.memory_kb
@@ -333,13 +335,13 @@
             return False
         return capacity <= sum(other.method.needs_call for other in self.active.values()) - 1
 
-    def _relative_rank(self, rpc: Rpc) -> float:
+    def _relative_rank(self, rpc: RpcHandle) -> float:
         """Rank among its like (0 to 1): by user where told, the same on all nodes; else by chance."""
         if rpc.shed_rank is None:
             return self.random()
         return rpc.shed_rank * self.rank_count - rpc.method.criticality_rank
 
-    def _has_free_core(self, now: int, rpc: Rpc) -> bool:
+    def _has_free_core(self, now: int, rpc: RpcHandle) -> bool:
         if self.runs_on_cores >= self.cores or self.queue:
             return False
         part = IDLE_NODE_FIT if self.runs_on_cores * 2 < self.cores else FREE_CORE_FIT
@@ -362,7 +364,7 @@
         running = [rpc for rpc in self.active.values() if rpc.state is RUNNING]
         return sum(rpc.expected_cost for rpc in running if not self._yields(rpc.method, criticality))
 
-    def reject(self, now: int, rpc: Rpc, expected_wait: float = 0) -> None:
+    def reject(self, now: int, rpc: RpcHandle, expected_wait: float = 0) -> None:
         """It never ran: says so at once, and when to come back."""
         # Only what fits nowhere is told not to try elsewhere, lest a full fleet read the same RPCs for ever.
         if self.settings.marks_retries:
@@ -377,7 +379,7 @@
         self.port.reject(rpc.index, retry_after, do_not_retry)
         self.finish(now, rpc)
 
-    def fail(self, now: int, rpc: Rpc) -> None:
+    def fail(self, now: int, rpc: RpcHandle) -> None:
         """Answers; a run goes on to its end, or is stopped where that is allowed."""
         if rpc.is_owed:
             self.port.fail(rpc.index)
@@ -406,7 +408,7 @@
             else:
                 break
 
-    def _may_start(self, rpc: Rpc) -> bool:
+    def _may_start(self, rpc: RpcHandle) -> bool:
         needed_kb = self.memory_used_kb + rpc.extra_run_kb * (not rpc.has_run)
         if needed_kb > START_BELOW_MEMORY * self.settings.memory_kb:
             return False
@@ -430,24 +432,24 @@
         self.port.stop(least.index)
         return True
 
-    def requeue_paused(self, now: int, rpc: Rpc, spent: int) -> None:
+    def requeue_paused(self, now: int, rpc: RpcHandle, spent: int) -> None:
         """A paused run keeps its memory and what was done, and is queued until it goes on."""
         cost_left = max(rpc.expected_cost / MIN_COST_LEFT, rpc.expected_cost - spent / self.slowness)
         self.work_completed += rpc.expected_cost - cost_left
         self.pause_run(rpc, spent, cost_left)
         self.start_queued(now)
 
-    def _is_too_late(self, now: float, rpc: Rpc) -> bool:
+    def _is_too_late(self, now: float, rpc: RpcHandle) -> bool:
         """Whether a queued RPC can't meet its objective any more."""
         return now + rpc.expected_cost * self.slowness * OPTIMISM > rpc.objective_at
 
-    def _drop_queued(self, now: int, rpc: Rpc) -> None:
+    def _drop_queued(self, now: int, rpc: RpcHandle) -> None:
         """Out of the queue for good. What is paused has run, and is never rejected."""
         self.dequeue(rpc)
         answer = self.fail if rpc.has_run else self.reject
         answer(now, rpc)
 
-    def finish(self, now: int, rpc: Rpc) -> None:
+    def finish(self, now: int, rpc: RpcHandle) -> None:
         """Completes an RPC and frees what it held; the key of what never ran is of no use."""
         if rpc.state is CALLING:
             self.end_call(now, rpc, Outcome.TIMEOUT)
@@ -460,11 +462,11 @@
         if not rpc.key_expires_at:
             self._release(rpc)
 
-    def _release(self, rpc: Rpc) -> None:
+    def _release(self, rpc: RpcHandle) -> None:
         del self.completed[rpc.index]
         self.port.release(rpc.index)
 
-    def _store_key(self, now: int, rpc: Rpc) -> None:
+    def _store_key(self, now: int, rpc: RpcHandle) -> None:
         if rpc.method.keyed:
             expires_at = rpc.reached_at + rpc.method.key_window + KEY_EXTRA_TIME
             self.port.store_key(rpc.index, expires_at - now)
@@ -504,7 +506,7 @@
         part = AMPLE_CALL_PART if is_quick and self.call_credit > ample_credit else CAUTIOUS_CALL_PART
         return max(1, int(part * share))
 
-    def _make_call(self, now: int, rpc: Rpc, limit: int) -> None:
+    def _make_call(self, now: int, rpc: RpcHandle, limit: int) -> None:
         time_left = rpc.objective_at - now
         run_time = rpc.expected_cost * self.slowness
         is_full = self.calls_in_flight + len(self.abandoned_calls) >= limit
@@ -523,7 +525,7 @@
         self.begin_call(now, rpc)
         self.port.call(rpc.index, max(self.settings.tick, int(min(timeout, longest))))
 
-    def end_call(self, now: int, rpc: Rpc, outcome: Outcome) -> None:
+    def end_call(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
         """A call ended; one that was abandoned goes on downstream for a while."""
         rpc.state = AWAITING_CALL
         self.calls_in_flight -= 1
@@ -534,7 +536,7 @@
         elif outcome is Outcome.UNREACHABLE:
             self.unreachable_at = now
 
-    def degrade(self, now: int, rpc: Rpc) -> None:
+    def degrade(self, now: int, rpc: RpcHandle) -> None:
         """Leaves out the call that a run awaits."""
         self.port.degrade(rpc.index)
         self.resume_run(now, rpc)
@@ -563,7 +565,7 @@
         margin = 2 * self.settings.tick + MAINTENANCE_INTERVAL + ANSWER_MARGIN
         self.answer_margin = margin + min(2 * lateness, MAX_LATENESS_MARGIN)
 
-    def _is_due(self, now: int, rpc: Rpc) -> bool:
+    def _is_due(self, now: int, rpc: RpcHandle) -> bool:
         """Whether its answer is owed before the next timer: by its deadline, or by the kill."""
         due_at = rpc.due_at if self.kill_at is None else min(rpc.due_at, self.kill_at - KILL_MARGIN)
         return now >= due_at - self.answer_margin
@@ -580,11 +582,11 @@
             elif must_end or now > rpc.objective_at and self._is_worthless(rpc):
                 self.fail(now, rpc)
 
-    def _outlasts_grace(self, now: int, rpc: Rpc) -> bool:
+    def _outlasts_grace(self, now: int, rpc: RpcHandle) -> bool:
         began = max(self.grace_end, rpc.started_at)
         return now > began + RUN_AFTER_GRACE * rpc.method.total_time.quantile(USUAL_RUN)
 
-    def _is_worthless(self, rpc: Rpc) -> bool:
+    def _is_worthless(self, rpc: RpcHandle) -> bool:
         return (rpc.state is RUNNING or rpc.state is AWAITING_CALL) and rpc.method.worthless_when_late
 
     def _update_slowness(self, now: int) -> None:
--- a/finchcart/decisions/interface.py
+++ b/finchcart/decisions/interface.py
@@ -1,6 +1,6 @@
 """The types shared by the decision module and the programs that host it.
 
-A host (the simulator adapter, or the node) implements `Port`, makes one `Control` for each node (see
+A host (the simulator adapter, or the node) implements `Port`, makes one `NodeController` for each node (see
 controller.py) and reports to it what happens. Times are whole microseconds on one clock; an RPC is
 named by a small index that the host assigns. Nothing in this file decides anything.
 
@@ -127,7 +127,7 @@
         """Close connections that are idle for `timeout` microseconds."""
 
     def set_timer(self, delay: int, name: str) -> None:
-        """Ask for `Control.on_timer(now, name, gauges)` after `delay` microseconds."""
+        """Ask for `NodeController.on_timer(now, name, gauges)` after `delay` microseconds."""
 
     def log(self, text: str) -> None:
         """One line for the operators."""
--- a/finchcart/decisions/rpc_record.py
+++ b/finchcart/decisions/rpc_record.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from finchcart.decisions.controller import Control, Method
+    from finchcart.decisions.controller import Method, NodeController
     from finchcart.decisions.interface import FleetQuota
 
 
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        control: Control,
+        control: NodeController,
         now: int,
         index: int,
         method: Method,
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from finchcart.decisions.controller import Control
+from finchcart.decisions.controller import NodeController
 from finchcart.node.idempotency import IdempotencyCache, KeyEntry
 from finchcart.node.unknown_runs import UnknownRuns
 from finchcart.node.worker_pool import WorkerPool
@@ -53,14 +53,14 @@
 
 def serve_past_the_grace() -> None:
     """Rule 3: the grace never ends."""
-    Control._end_grace = lambda self, now: None
-    drain = Control.drain
+    NodeController._end_grace = lambda self, now: None
+    drain = NodeController.drain
 
-    def drain_without_grace(self: Control, now: int, kill_at: int) -> None:
+    def drain_without_grace(self: NodeController, now: int, kill_at: int) -> None:
         drain(self, now, kill_at)
         self.grace_end = kill_at
 
-    Control.drain = drain_without_grace
+    NodeController.drain = drain_without_grace
 
 
 def forget_runs() -> None:
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from finchcart.decisions.controller import Control
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Gauges
 from finchcart.net.limits import Limits
 from finchcart.node import inputs
@@ -23,7 +23,7 @@
 from finchcart.node.methods import read_methods
 from finchcart.node.port import CorePort
 from finchcart.node.registration import Registration
-from finchcart.node.rpc import Rpc, RpcAttributes
+from finchcart.node.rpc import NodeRpc, RpcAttributes
 from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
 from finchcart.node.store import StoreClient
 from finchcart.node.wall_clock import Arrival, WallClock
@@ -33,7 +33,7 @@
     from finchcart.node.key_leases import KeyLeaseGate
     from finchcart.node.limiter_set import LimiterSet
     from finchcart.node.observer import NodeObserver
-    from finchcart.node.shadow import ShadowControl
+    from finchcart.node.shadow import ShadowController
 
 Address = tuple[str, int]
 
@@ -84,7 +84,7 @@
         self.shadow = shadow
         self.turn = turn = EffectBuffer(limits.log_interval)
         self.methods = read_methods(settings, limits.late_read_grace)
-        self.control: Control | ShadowControl | None = None  # from the worker pool's start on
+        self.control: NodeController | ShadowController | None = None  # from the worker pool's start on
         self.limiters = limiters
         self.key_leases = make_key_leases(turn) if make_key_leases else None
         self.fleet = FleetView(turn, self.methods, limiters, observer)
@@ -292,11 +292,11 @@
         """The Unix time in microseconds, see `FrontendHost`."""
         return self.wall_clock.to_unix(self.turn.now)
 
-    def accept(self, rpc: Rpc, attributes: RpcAttributes) -> None:
+    def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
         """Takes over an RPC that was read to the end, see `FrontendHost`."""
         self.lifecycle.accept(rpc, attributes)
 
-    def abandon(self, rpc: Rpc) -> None:
+    def abandon(self, rpc: NodeRpc) -> None:
         """The caller of an accepted RPC has gone."""
         self.lifecycle.abandon(rpc)
 
@@ -317,13 +317,13 @@
         if self.registration.drain_notice_at is not None:
             self._drain_control()  # the notice came before the worker pool
 
-    def _make_control(self, settings: dict[str, Any]) -> "Control | ShadowControl":
+    def _make_control(self, settings: dict[str, Any]) -> "NodeController | ShadowController":
         if not self.shadow:
-            return Control(self.port, settings, self.seed)
-        from finchcart.node.shadow import ShadowControl  # not imported where nothing is watched
+            return NodeController(self.port, settings, self.seed)
+        from finchcart.node.shadow import ShadowController  # not imported where nothing is watched
 
         watched = {**settings, **self.shadow["settings"], "fresh_start": settings["fresh_start"]}
-        return ShadowControl(self.port, settings, watched, self.seed, self.shadow["period"], self.port.log)
+        return ShadowController(self.port, settings, watched, self.seed, self.shadow["period"], self.port.log)
 
     def worker_pool_restarted(self, cold: bool) -> None:
         """It has lost its runs: each is answered, none is run again."""
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -11,7 +11,7 @@
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import PublishEvidence, PublishUsage
 from finchcart.node.methods import MethodInfo
-from finchcart.node.rpc import Rpc, RpcAttributes
+from finchcart.node.rpc import NodeRpc, RpcAttributes
 
 if TYPE_CHECKING:  # neither is imported where no fleet is asked for
     from finchcart.node.limiter_set import LimiterSet, RpcLimiter
@@ -139,7 +139,7 @@
             )
         return gauges
 
-    def publish_usage(self, rpcs: Iterable[Rpc], calls: "CallsInFlight") -> None:
+    def publish_usage(self, rpcs: Iterable[NodeRpc], calls: "CallsInFlight") -> None:
         """Publishes what is used and wanted of the limits of which something changed."""
         if not self.limiters:
             return
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -3,7 +3,7 @@
 Owns the types between the core and its frontends; it must never hold state. A frontend owns connections and a
 protocol; the core owns RPCs. What a frontend does, always within a turn:
 
-1. It makes an `Rpc` with whatever `reference` finds its caller again, and hands it over by
+1. It makes an `NodeRpc` with whatever `reference` finds its caller again, and hands it over by
    `core.accept(rpc, attributes)` once it has read it to the end. From then on the core owes it exactly one
    `frontend.send_final_answer(rpc, ...)`, which may come inside `accept`, so `reference` has to be in the
    frontend's tables before. An `InvalidRpcError` of `accept` says what is wrong with the RPC: the core kept
@@ -23,7 +23,7 @@
 
 from finchcart.node.effect_buffer import ConnectionOwner, EffectBuffer
 from finchcart.node.methods import MethodInfo
-from finchcart.node.rpc import FinalOutcome, Rpc, RpcAttributes
+from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.node.wall_clock import Arrival
 
 
@@ -44,14 +44,14 @@
     def unix_now(self) -> int:
         """The Unix time in microseconds, for texts."""
 
-    def accept(self, rpc: Rpc, attributes: RpcAttributes) -> None:
+    def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
         """Takes over an RPC that was read to the end.
 
         Raises:
             InvalidRpcError: with what is wrong with it; nothing of it is kept then.
         """
 
-    def abandon(self, rpc: Rpc) -> None:
+    def abandon(self, rpc: NodeRpc) -> None:
         """The caller of an accepted RPC has gone."""
 
     def record_invalid_traffic(self, connection: int) -> None:
@@ -75,7 +75,7 @@
         """
 
     def send_final_answer(
-        self, rpc: Rpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
+        self, rpc: NodeRpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
     ) -> None:
         """The one final answer of an RPC that was accepted and not abandoned.
 
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -10,7 +10,7 @@
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer
 from finchcart.node.inputs import DuplicateReady
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 
 DIGEST_BYTES = 16
 
@@ -75,7 +75,7 @@
             return entry, True
         return KeyEntry(key, index, digest), False
 
-    def store(self, rpc: Rpc, ttl_us: int) -> None:
+    def store(self, rpc: NodeRpc, ttl_us: int) -> None:
         """Keeps the RPC's key for `ttl_us`."""
         if rpc.key_entry.index != rpc.index:
             rpc.key_entry = KeyEntry(rpc.key_entry.key, rpc.index, rpc.key_entry.digest)
@@ -103,7 +103,7 @@
         entry.result = NoResult.FAILED
         self._notify_waiting(entry)
 
-    def join_in_flight(self, rpc: Rpc) -> None:
+    def join_in_flight(self, rpc: NodeRpc) -> None:
         """Has a duplicate wait for what the first RPC of its key comes to: `DuplicateReady` follows."""
         if rpc.key_entry.result is NoResult.PENDING:
             rpc.key_entry.waiting.append(rpc.index)
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -24,7 +24,7 @@
     RequestKeyLeases,
 )
 from finchcart.node.inputs import KeyLeaseOutcome, KeyLeasesRequested
-from finchcart.node.rpc import Rpc, RpcAttributes
+from finchcart.node.rpc import NodeRpc, RpcAttributes
 
 MAX_WAITING = 2_000  # that wait for an answer; more are rejected
 COUNTED_AS = {
@@ -36,13 +36,13 @@
     KeyLeaseOutcome.HELD_ELSEWHERE: "failed, or not to be known",
 }
 
-OnResolved = Callable[[Rpc, RpcAttributes, KeyLeaseOutcome, bytes], None]
+OnResolved = Callable[[NodeRpc, RpcAttributes, KeyLeaseOutcome, bytes], None]
 
 
 class WaitingRpc(NamedTuple):
     """One RPC that waits, and what is called once its key lease is resolved."""
 
-    rpc: Rpc
+    rpc: NodeRpc
     attributes: RpcAttributes
     on_resolved: OnResolved
 
@@ -71,7 +71,7 @@
         self._unsent: list[KeyLeaseRequest] = []  # of this turn
         self._end: int | None = None  # all is answered by then: the process is killed
 
-    def request(self, rpc: Rpc, attributes: RpcAttributes, due: int, on_resolved: OnResolved) -> None:
+    def request(self, rpc: NodeRpc, attributes: RpcAttributes, due: int, on_resolved: OnResolved) -> None:
         """Asks for the key lease of an RPC that is not known here.
 
         Arguments:
@@ -104,7 +104,7 @@
         for key, waiting in self.waiting.items():
             self.turn.schedule(when, self._time_out, key, waiting.rpc)
 
-    def abandon(self, rpc: Rpc) -> bool:
+    def abandon(self, rpc: NodeRpc) -> bool:
         """Its caller has gone. True where it waited for its key lease: then nothing more is to come of it."""
         key = next((key for key, waiting in self.waiting.items() if waiting.rpc is rpc), None)
         if key is not None:
@@ -163,7 +163,7 @@
             self.turn.emit(KeyLeaseCommand(AbandonKeyLeaseRequest(key)))
             self._release(key)
 
-    def _time_out(self, key: bytes, rpc: Rpc) -> None:
+    def _time_out(self, key: bytes, rpc: NodeRpc) -> None:
         """No answer in time. The RPC never ran here, but a duplicate may have, elsewhere."""
         waiting = self.waiting.get(key)
         if waiting and waiting.rpc is rpc:
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -12,7 +12,7 @@
 from math import ceil
 from typing import NamedTuple, Protocol
 
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 from finchcart.quota.limits import Limit
 
 MS = 1_000
@@ -202,7 +202,7 @@
         """One more is wanted, whatever comes of it."""
         self._requests += 1
 
-    def try_acquire(self, rpc: Rpc | None = None) -> bool:
+    def try_acquire(self, rpc: NodeRpc | None = None) -> bool:
         """Whether one more was acquired."""
         if self.removed:
             return True
@@ -264,7 +264,7 @@
         """One more is wanted, whatever comes of it."""
         self._requests += 1
 
-    def try_acquire(self, rpc: Rpc) -> bool:
+    def try_acquire(self, rpc: NodeRpc) -> bool:
         """Counts an admitted RPC until it is completed: the decision module knew the capacity before."""
         self.count += 1
         rpc.counted_by = (*(rpc.counted_by or ()), self)
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -11,7 +11,7 @@
 from finchcart.node.inputs import CallNotMade, RunNotStarted
 from finchcart.node.methods import IDEMPOTENT
 from finchcart.node.registration import Registration
-from finchcart.node.rpc import FinalOutcome, Rpc
+from finchcart.node.rpc import FinalOutcome, NodeRpc
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
@@ -89,7 +89,7 @@
         else:
             self.store.call(rpc, timeout, rpc.awaited_call.body)
 
-    def _call_within_limits(self, rpc: Rpc, timeout_us: int) -> None:
+    def _call_within_limits(self, rpc: NodeRpc, timeout_us: int) -> None:
         permit = self.limiters.acquire_call(self.store)
         if permit is None:
             # Deferred, as the decision module is in the midst of its calls.
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -43,7 +43,7 @@
     body: bytes
 
 
-class Rpc:
+class NodeRpc:
     """One RPC, as the core and its frontend hold it.
 
     `name` is unique among the open ones and the worker pool's name for the run; `reference` is the frontend's
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -14,12 +14,12 @@
 from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
 from finchcart.node.inputs import KeyLeaseOutcome
 from finchcart.node.methods import MethodInfo
-from finchcart.node.rpc import AwaitedCall, FinalOutcome, Rpc, RpcAttributes
+from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
 
 if TYPE_CHECKING:
-    from finchcart.decisions.controller import Control
+    from finchcart.decisions.controller import NodeController
     from finchcart.node.key_leases import KeyLeaseGate
 
 KEY_LEASE_MARGIN_US = 200_000  # before an RPC is due its key lease is waited for no longer
@@ -46,11 +46,11 @@
         self.idempotency = idempotency
         self.fleet = fleet
         self.key_leases = key_leases
-        self.rpcs: dict[int, Rpc] = {}
+        self.rpcs: dict[int, NodeRpc] = {}
         self.index_by_name: dict[str, int] = {}
         self.pool: WorkerPool | None = None
         self.store: StoreClient | None = None
-        self.control: Control | None = None  # from the worker pool's start on
+        self.control: NodeController | None = None  # from the worker pool's start on
         self._next_index = 0
 
     def connect(self, pool: WorkerPool, store: StoreClient) -> None:
@@ -60,7 +60,7 @@
 
     # ---- Admission
 
-    def accept(self, rpc: Rpc, attributes: RpcAttributes) -> None:
+    def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
         """Takes over an RPC that was read to the end, see `FrontendHost.accept`."""
         key = attributes.idempotency_key
         rpc.arrival_uncertainty_us = attributes.arrival_uncertainty_us
@@ -87,14 +87,14 @@
         else:
             self._admit(rpc, attributes)
 
-    def _open(self, rpc: Rpc) -> None:
+    def _open(self, rpc: NodeRpc) -> None:
         rpc.index = self._next_index
         self._next_index += 1
         self.rpcs[rpc.index] = rpc
         self.index_by_name[rpc.name] = rpc.index
 
     def key_lease_resolved(
-        self, rpc: Rpc, attributes: RpcAttributes, outcome: KeyLeaseOutcome, result: bytes
+        self, rpc: NodeRpc, attributes: RpcAttributes, outcome: KeyLeaseOutcome, result: bytes
     ) -> None:
         """A request for a key lease is answered: the RPC goes to the decision module, or ended elsewhere."""
         if outcome is KeyLeaseOutcome.GRANTED:
@@ -113,7 +113,7 @@
 
     def _admit(
         self,
-        rpc: Rpc,
+        rpc: NodeRpc,
         attributes: RpcAttributes,
         duplicate_of: int | None = None,
         quota: FleetQuota | None = None,
@@ -146,7 +146,7 @@
 
     def answer(
         self,
-        rpc: Rpc,
+        rpc: NodeRpc,
         outcome: FinalOutcome,
         result: bytes = b"",
         retry_after_us: int = 0,
@@ -159,7 +159,7 @@
             self.release_limits(rpc)
             rpc.frontend.send_final_answer(rpc, outcome, result, retry_after_us, do_not_retry)
 
-    def abandon(self, rpc: Rpc) -> None:
+    def abandon(self, rpc: NodeRpc) -> None:
         """The caller has gone: nothing is owed, and the frontend is not notified."""
         rpc.answer_owed = False
         self.turn.statistics.count("RPCs abandoned")
@@ -170,7 +170,7 @@
         elif self.key_leases and self.key_leases.abandon(rpc):
             self.release(rpc.index)
 
-    def release_limits(self, rpc: Rpc) -> None:
+    def release_limits(self, rpc: NodeRpc) -> None:
         """It is counted by no limiter any more, where nothing of it runs."""
         if rpc.counted_by and not rpc.is_running:
             for limiter in rpc.counted_by:
@@ -183,12 +183,12 @@
 
     # ---- Runs: see RunListener
 
-    def find_running(self, name: str) -> Rpc | None:
+    def find_running(self, name: str) -> NodeRpc | None:
         """The RPC of that name whose run is not completed, or None."""
         rpc = self.rpcs.get(self.index_by_name.get(name))
         return rpc if rpc and rpc.started and not rpc.completed else None
 
-    def run_ended(self, rpc: Rpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
+    def run_ended(self, rpc: NodeRpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
         """A run, or the wait of a duplicate, is over: answers first, then tells the decision module."""
         succeeded = outcome is Outcome.OK
         rpc.completed = True
@@ -228,31 +228,31 @@
         outcome = Outcome.OK if isinstance(result, bytes) else Outcome.ERROR
         self.run_ended(rpc, outcome, self.turn.now - rpc.joined_at, result)
 
-    def running_rpcs(self) -> list[Rpc]:
+    def running_rpcs(self) -> list[NodeRpc]:
         """The RPCs that were started and are not completed."""
         return [rpc for rpc in self.rpcs.values() if rpc.is_running]
 
-    def longest_run_us(self, rpc: Rpc) -> int:
+    def longest_run_us(self, rpc: NodeRpc) -> int:
         """How long a run that was lost sight of may go on: nobody waits for it longer than its deadline."""
         return self.methods[rpc.method].deadline_us
 
-    def answer_before_end(self, rpc: Rpc, outcome: Outcome, result: bytes) -> None:
+    def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
         """The run is over and may have been started once more: its answer does not wait for that."""
         self.answer(rpc, FinalOutcome.OK if outcome is Outcome.OK else FinalOutcome.FAILED, result)
 
-    def run_lost(self, rpc: Rpc) -> None:
+    def run_lost(self, rpc: NodeRpc) -> None:
         """The worker pool has lost a run: it is answered."""
         self.run_ended(rpc, Outcome.STOPPED, 0, b"")
 
     # ---- Calls
 
-    def awaiting_call(self, rpc: Rpc, cursor: int, body: bytes) -> None:
+    def awaiting_call(self, rpc: NodeRpc, cursor: int, body: bytes) -> None:
         """A run awaits a call: the decision module has it made, or left out."""
         rpc.awaited_call = AwaitedCall(cursor, body)
         self.fleet.call_awaited()
         rpc.handle.awaiting_call(self.turn.now)
 
-    def call_ended(self, rpc: Rpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
+    def call_ended(self, rpc: NodeRpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
         """A call is over; its run goes on with the reply."""
         if outcome is Outcome.OK and rpc.awaited_call:
             cursor = rpc.awaited_call.cursor
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -1,9 +1,9 @@
 """Watch mode: what other settings would have decided, beside what is decided.
 
-Owns a second `Control` with the watched settings and random numbers of its own, on a port that only records,
-and the counts of where it decided otherwise. `ShadowControl` is called like a `Control` and hands everything
-to the active one first; nothing of the shadow reaches a wire. It must never change what the active one does:
-a fault in the shadow is logged and ends the watching alone.
+Owns a second `NodeController` with the watched settings and random numbers of its own, on a port that only
+records, and the counts of where it decided otherwise. `ShadowController` is called like a
+`NodeController` and hands everything to the active one first; nothing of the shadow reaches a wire. It must
+never change what the active one does: a fault in the shadow is logged and ends the watching alone.
 
 What the counts can't show: the course that was not taken is not played. The shadow is notified how the active
 one's runs end, so the work it would have saved or added, what callers would have done after another answer
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
 
-from finchcart.decisions.controller import Control
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Gauges, Outcome, Port
 from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
@@ -94,7 +94,7 @@
 
     __slots__ = ("active", "owner", "shadow")
 
-    def __init__(self, owner: "ShadowControl", active: RpcRecord) -> None:
+    def __init__(self, owner: "ShadowController", active: RpcRecord) -> None:
         self.owner = owner
         self.active = active
         self.shadow: RpcRecord | None = None
@@ -116,8 +116,8 @@
         self.owner.tell_both(self.active, self.shadow, "call_ended", now, outcome, spent_us)
 
 
-class ShadowControl:
-    """Called like a `Control`. `period_us`: between log lines; `log(text)`: one line.
+class ShadowController:
+    """Called like a `NodeController`. `period_us`: between log lines; `log(text)`: one line.
 
     Bounds: handles by what the active instance has open, and the shadow's own memory of idempotency keys.
     """
@@ -133,7 +133,7 @@
     ) -> None:
         self.port = RecordingPort(port)
         self.shadow_port = RecordingPort()
-        self.active = Control(self.port, settings, seed)
+        self.active = NodeController(self.port, settings, seed)
         self.period_us = period_us
         self.log = log
         self.logged_at = 0
@@ -141,7 +141,9 @@
         self.rpcs_seen = 0
         self.handles: dict[int, ShadowedHandle] = {}  # by index, of what the active instance has open
         # None: the watching is over.
-        self.shadow: Control | None = self._guarded(Control, self.shadow_port, watched_settings, seed)
+        self.shadow: NodeController | None = self._guarded(
+            NodeController, self.shadow_port, watched_settings, seed
+        )
 
     def _guarded(self, act: Callable[..., T], *arguments: object, **keywords: object) -> T | None:
         """Guards the active instance against faults of the shadow: they end the watching alone."""
@@ -157,8 +159,8 @@
 
     def tell_both(
         self,
-        active: Control | RpcRecord,
-        shadow: Control | RpcRecord | None,
+        active: NodeController | RpcRecord,
+        shadow: NodeController | RpcRecord | None,
         method: str,
         now: int,
         *arguments: object,
@@ -169,7 +171,7 @@
             self._guarded(getattr(shadow, method), now, *arguments)
         self._settle(now)
 
-    # ---- As Control has it
+    # ---- As NodeController has it
 
     @property
     def own_level(self) -> float:
@@ -177,20 +179,20 @@
         return self.active.own_level
 
     def start(self, now: int) -> None:
-        """See `Control`."""
+        """See `NodeController`."""
         self.logged_at = now
         self.tell_both(self.active, self.shadow, "start", now)
 
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
-        """See `Control`."""
+        """See `NodeController`."""
         self.tell_both(self.active, self.shadow, "worker_pool_restarted", now, cold)
 
     def drain(self, now: int, kill_at: int) -> None:
-        """See `Control`."""
+        """See `NodeController`."""
         self.tell_both(self.active, self.shadow, "drain", now, kill_at)
 
     def on_timer(self, now: int, name: str, gauges: Gauges) -> None:
-        """See `Control`; also counts what is published otherwise, and logs the counts once a period."""
+        """See `NodeController`; also counts what is published otherwise, and logs the counts each period."""
         self.tell_both(self.active, self.shadow, "on_timer", now, name, gauges)
         self.counts[FEEDBACK] += self.port.feedback != self.shadow_port.feedback
         self.counts[HEALTH] += self.port.healthy != self.shadow_port.healthy
@@ -202,7 +204,7 @@
             self.rpcs_seen = 0
 
     def admit(self, now: int, index: int, *arguments: object, **keywords: object) -> ShadowedHandle:
-        """See `Control`."""
+        """See `NodeController`."""
         handle = ShadowedHandle(self, self.active.admit(now, index, *arguments, **keywords))
         if self.shadow:
             handle.shadow = self._guarded(self.shadow.admit, now, index, *arguments, **keywords)
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -13,11 +13,11 @@
 from finchcart.net.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Read, Send, SendBefore
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 
 PARTY = "store"  # in log lines
 
-CallEnded = Callable[[Rpc, Outcome, bytes, int], None]
+CallEnded = Callable[[NodeRpc, Outcome, bytes, int], None]
 
 
 class StoreConnection:
@@ -27,7 +27,7 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.rpc: Rpc | None = None  # the RPC whose call it carries
+        self.rpc: NodeRpc | None = None  # the RPC whose call it carries
         self.is_leased = False  # that call is beyond the floor of the fleet's limit
         self.names_used: set[str] = set()  # of all RPCs that it carried calls for
         self.retired = False  # it takes no further call
@@ -78,7 +78,7 @@
         return carried + sum(call.is_leased is leased for call in self._abandoned)
 
     def call(
-        self, rpc: Rpc, timeout_us: int, body: bytes, leased: bool = False, write_by: int | None = None
+        self, rpc: NodeRpc, timeout_us: int, body: bytes, leased: bool = False, write_by: int | None = None
     ) -> None:
         """Makes the call of an RPC.
 
@@ -104,14 +104,14 @@
             turn.emit(SendBefore(connection.number, data, write_by))
         turn.schedule(turn.now + timeout_us, self.time_out, rpc, rpc.calls_made)
 
-    def drop(self, rpc: Rpc) -> None:
+    def drop(self, rpc: NodeRpc) -> None:
         """Abandons a call, and its connection with it: a late reply may still come there."""
         connection = self.connections.get(rpc.call_connection)
         rpc.call_connection = None
         if connection:
             self._close(connection)
 
-    def time_out(self, rpc: Rpc, call_number: int) -> None:
+    def time_out(self, rpc: NodeRpc, call_number: int) -> None:
         """The time limit of the RPC's call of this number is over."""
         if rpc.call_connection is not None and rpc.calls_made == call_number:
             self.drop(rpc)
@@ -169,7 +169,7 @@
 
     # ---- Connections
 
-    def _connection_for(self, rpc: Rpc) -> StoreConnection:
+    def _connection_for(self, rpc: NodeRpc) -> StoreConnection:
         # Guards against a copy of a reply that passes for this call's: not where one may come.
         for connection in reversed(self.idle):
             if rpc.name not in connection.names_used:
--- a/finchcart/node/unknown_runs.py
+++ b/finchcart/node/unknown_runs.py
@@ -10,7 +10,7 @@
 
 from finchcart.decisions.interface import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 
 
 class RunEnd(NamedTuple):
@@ -24,7 +24,7 @@
 class UnknownRun(NamedTuple):
     """A run that may be in progress."""
 
-    rpc: Rpc
+    rpc: NodeRpc
     first_end: RunEnd | None  # None: nothing is known of it
     number: int
 
@@ -36,7 +36,7 @@
     decision module allows at once; each leaves by a notice or after its time.
     """
 
-    def __init__(self, turn: EffectBuffer, on_expired: Callable[[Rpc, RunEnd | None], None]) -> None:
+    def __init__(self, turn: EffectBuffer, on_expired: Callable[[NodeRpc, RunEnd | None], None]) -> None:
         self._turn = turn
         self._on_expired = on_expired
         self._runs: dict[int, UnknownRun] = {}
@@ -45,7 +45,7 @@
     def __contains__(self, index: int) -> bool:
         return index in self._runs
 
-    def add(self, rpc: Rpc, limit_us: int, first_end: RunEnd | None = None) -> None:
+    def add(self, rpc: NodeRpc, limit_us: int, first_end: RunEnd | None = None) -> None:
         """Count the RPC's run for `limit_us` from now on, unless it is counted here already."""
         if rpc.index in self._runs:
             return
@@ -54,12 +54,12 @@
         self._turn.statistics.count("runs lost sight of")
         self._turn.schedule_after(limit_us, self._expire, rpc.index, self._added)
 
-    def first_end(self, rpc: Rpc) -> RunEnd | None:
+    def first_end(self, rpc: NodeRpc) -> RunEnd | None:
         """How the RPC's first run ended, where a second one may be in progress."""
         run = self._runs.get(rpc.index)
         return run.first_end if run else None
 
-    def discard(self, rpc: Rpc) -> None:
+    def discard(self, rpc: NodeRpc) -> None:
         """The RPC's run was heard of, or is over."""
         self._runs.pop(rpc.index, None)
 
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -15,7 +15,7 @@
 from finchcart.net.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Log, Read, Send
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 from finchcart.node.unknown_runs import RunEnd, UnknownRuns
 
 PARTY = "worker pool"  # in log lines
@@ -26,22 +26,22 @@
 class RunListener(Protocol):
     """What is notified of runs."""
 
-    def running_rpcs(self) -> list[Rpc]:
+    def running_rpcs(self) -> list[NodeRpc]:
         """The RPCs that were started and are not completed."""
 
-    def longest_run_us(self, rpc: Rpc) -> int:
+    def longest_run_us(self, rpc: NodeRpc) -> int:
         """How long a run that was lost sight of may go on, by the settings."""
 
-    def answer_before_end(self, rpc: Rpc, outcome: Outcome, result: bytes) -> None:
+    def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
         """The run is over and may have been started once more: `run_ended` follows for both."""
 
-    def find_running(self, name: str) -> Rpc | None:
+    def find_running(self, name: str) -> NodeRpc | None:
         """The RPC of that name whose run is not completed, or None."""
 
-    def run_ended(self, rpc: Rpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
+    def run_ended(self, rpc: NodeRpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
         """The run is over."""
 
-    def awaiting_call(self, rpc: Rpc, cursor: int, body: bytes) -> None:
+    def awaiting_call(self, rpc: NodeRpc, cursor: int, body: bytes) -> None:
         """The run awaits a call."""
 
 
@@ -70,7 +70,7 @@
 class UnconfirmedCommand(NamedTuple):
     """A command that the worker pool may not have read."""
 
-    rpc: Rpc
+    rpc: NodeRpc
     ticket: int  # of the last poll before it
     data: bytes
     safe_data: bytes | None  # what may be written where `data` may have been read; None: nothing may
@@ -129,12 +129,12 @@
 
     # ---- Commands
 
-    def run(self, rpc: Rpc, idempotent: bool) -> None:
+    def run(self, rpc: NodeRpc, idempotent: bool) -> None:
         """Starts the run of an RPC."""
         data = line_protocol.start_run(rpc.name, rpc.method, rpc.body)
         self.send_command(rpc, data, data if idempotent else None, is_start=True)
 
-    def reply(self, rpc: Rpc, cursor: int, body: bytes, can_degrade: bool) -> None:
+    def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
         """Hands a run the reply that it awaits.
 
         A reply that may have been lost can't be written again, but its call can be left out.
@@ -142,13 +142,18 @@
         data = line_protocol.answer_call(rpc.name, body)
         self.send_command(rpc, data, line_protocol.skip_call(rpc.name, cursor) if can_degrade else None)
 
-    def degrade(self, rpc: Rpc, cursor: int) -> None:
+    def degrade(self, rpc: NodeRpc, cursor: int) -> None:
         """Has a run go on without the call that it awaits."""
         data = line_protocol.skip_call(rpc.name, cursor)
         self.send_command(rpc, data, data)
 
     def send_command(
-        self, rpc: Rpc, data: bytes, safe_data: bytes | None, is_start: bool = False, is_copy: bool = False
+        self,
+        rpc: NodeRpc,
+        data: bytes,
+        safe_data: bytes | None,
+        is_start: bool = False,
+        is_copy: bool = False,
     ) -> None:
         """Writes a command, or keeps it until it can be written; see `UnconfirmedCommand`."""
         bound = self.state is LinkState.BOUND
@@ -158,7 +163,7 @@
         if bound:
             self._send(data)
 
-    def confirm(self, rpc: Rpc) -> None:
+    def confirm(self, rpc: NodeRpc) -> None:
         """The worker pool has read the RPC's last command, or need not any more."""
         self.unconfirmed.pop(rpc.index, None)
         self.unknown_runs.discard(rpc)
@@ -408,7 +413,7 @@
         self.send_command(rpc, command.safe_data, command.safe_data, command.is_start, is_copy=True)
         return "written again"
 
-    def _lose_sight(self, rpc: Rpc) -> None:
+    def _lose_sight(self, rpc: NodeRpc) -> None:
         self.unknown_runs.add(rpc, self.runs.longest_run_us(rpc))
 
     def _pass_over_notice(self) -> None:
@@ -417,7 +422,7 @@
         for rpc in self.runs.running_rpcs():
             self._lose_sight(rpc)
 
-    def _unknown_run_expired(self, rpc: Rpc, first_end: RunEnd | None) -> None:
+    def _unknown_run_expired(self, rpc: NodeRpc, first_end: RunEnd | None) -> None:
         """Nothing was heard of the run for as long as the settings let it go on: it counts as over."""
         text = f"run of {rpc.name} counts as over: no notice for {self.runs.longest_run_us(rpc)} us"
         self.turn.log_fault(PARTY, "unknown run over", text)
--- a/finchcart/thrift/connection_table.py
+++ b/finchcart/thrift/connection_table.py
@@ -7,7 +7,7 @@
 from finchcart.net.limits import Limits
 from finchcart.node.effects import Close, Drop, Read, Send
 from finchcart.node.frontend import FrontendHost
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 
 
 class Connection:
@@ -32,7 +32,7 @@
 
     def __init__(self, number: int, now: int) -> None:
         self.number = number
-        self.open_rpcs: dict[int, Rpc] = {}  # by sequence number
+        self.open_rpcs: dict[int, NodeRpc] = {}  # by sequence number
         self.calls = 0  # messages that asked for an answer
         self.last_message_at = now
         self.write_blocked = False  # the dispatcher does not read what is sent
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -11,7 +11,7 @@
 from finchcart.net.limits import Limits
 from finchcart.node.effects import Read
 from finchcart.node.frontend import FrontendHost
-from finchcart.node.rpc import FinalOutcome, Rpc
+from finchcart.node.rpc import FinalOutcome, NodeRpc
 from finchcart.thrift import codec
 from finchcart.thrift.connection_closer import ConnectionCloser
 from finchcart.thrift.connection_limiter import ConnectionLimiter
@@ -197,7 +197,7 @@
             # Past what the protocol allows, or before the worker pool is there: it never ran.
             self.table.send(connection, codec.rejected_reply(sequence, self._feedback_fields()))
             return
-        rpc = Rpc(self, (connection, sequence), read.name, read.method, body)
+        rpc = NodeRpc(self, (connection, sequence), read.name, read.method, body)
         connection.open_rpcs[sequence] = rpc
         connection.idle_since = None
         core.accept(rpc, read.attributes)
@@ -205,7 +205,7 @@
     # ---- Answers
 
     def send_final_answer(
-        self, rpc: Rpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
+        self, rpc: NodeRpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
     ) -> None:
         """The one final answer of an RPC, see `Frontend`."""
         connection, sequence = rpc.reference
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -12,7 +12,7 @@
 from typing import TextIO
 
 from finchcart import wire
-from finchcart.decisions.controller import Control, Rpc
+from finchcart.decisions.controller import NodeController, RpcHandle
 from finchcart.decisions.interface import Gauges
 from finchcart.wire import WireError
 
@@ -30,10 +30,10 @@
         self.who = who  # the instance, in the protocol
         self.output = output  # lines of the present batch
         self.identifiers: dict[int, str] = {}  # index -> the protocol's identifier
-        self.rpcs: dict[str, tuple[int, Rpc | None]] = {}  # identifier -> (index, handle)
+        self.rpcs: dict[str, tuple[int, RpcHandle | None]] = {}  # identifier -> (index, handle)
         self.next_index = 0
         self.failed = False  # the decision module raised an exception: it is not called any more
-        self.control = Control(self, settings, seed)
+        self.control = NodeController(self, settings, seed)
 
     def send(self, message: str, **fields: object) -> None:
         """Write one line of the answer to this batch."""
@@ -144,7 +144,7 @@
             self.rpcs[identifier] = index, rpc
 
 
-def _report(rpc: Rpc, now: int, message: str, fields: Fields) -> None:
+def _report(rpc: RpcHandle, now: int, message: str, fields: Fields) -> None:
     """Report an event of one RPC on its handle."""
     if message == "WOUND_UP":
         rpc.run_ended(now, fields["how"], fields.get("spent", 0))
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from finchcart.decisions.controller import Control, Rpc
+from finchcart.decisions.controller import NodeController, RpcHandle
 from finchcart.decisions.interface import Gauges, Outcome
 from finchcart.decisions.rpc_record import RpcState
 
@@ -89,7 +89,7 @@
     call_timeout: int = 0
     call_never_ran: bool = False  # its last call has proved that
     stalled_until: int = 0  # delays of a process that stands still aren't its fault
-    handle: Rpc | None = None
+    handle: RpcHandle | None = None
 
     @property
     def is_owed(self) -> bool:
@@ -121,7 +121,7 @@
         self.mean_calls = 0.0  # over the window of the dependency's limit
         self.drained_at = None
         self.kill_at = None
-        self.control = Control(self, settings, seed)
+        self.control = NodeController(self, settings, seed)
         self.control.start(now)
 
     def rpc(self, index):
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -3,7 +3,7 @@
 Pinned words are those of the adapter's wire, and a few more for what the wire does not carry.
 """
 
-from finchcart.decisions.controller import Control
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import FleetQuota, Gauges
 from finchcart.settings import from_pairs
 from finchcart.wire import OUTCOMES
@@ -79,7 +79,7 @@
         if message == "CREATE":
             self.identifiers, self.rpcs = {}, {}
             settings = from_pairs({name: as_text(value) for name, value in fields.items()})
-            self.control = Control(self, settings, fields["randomSeed"])
+            self.control = NodeController(self, settings, fields["randomSeed"])
             self.control.start(now)
         elif message == "KNOCK":
             self.arrive(now, fields)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -7,7 +7,7 @@
 
 from finchcart.errors import InvalidRpcError
 from finchcart.node.effects import Drop, Read, Send
-from finchcart.node.rpc import FinalOutcome, Rpc, RpcAttributes
+from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.thrift.messages import RevokeNotice, SubmitCall
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
@@ -32,7 +32,7 @@
                 self.core.abandon(rpc)
             return
         seq, told, body = message
-        rpc = self.rpcs[link, seq] = Rpc(self, (link, seq), told["i"], told["c"], body)
+        rpc = self.rpcs[link, seq] = NodeRpc(self, (link, seq), told["i"], told["c"], body)
         if not self.core.ready:
             self.send_final_answer(rpc, FinalOutcome.REJECTED, b"", 0, False)
             return
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -19,7 +19,7 @@
     TimersDue,
 )
 from finchcart.node.registration import Registration
-from finchcart.node.rpc import Rpc
+from finchcart.node.rpc import NodeRpc
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
 from tests.harness import same_input
@@ -29,7 +29,7 @@
 
 
 def rpc_of(index, body=b"body"):
-    rpc = Rpc(None, None, f"n{index}", "m0", body)
+    rpc = NodeRpc(None, None, f"n{index}", "m0", body)
     rpc.index = index
     return rpc
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -9,7 +9,7 @@
 import pytest
 
 from finchcart import settings
-from finchcart.decisions.controller import Control
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Outcome
 from finchcart.errors import ConfigError
 from finchcart.node import shadow
@@ -39,7 +39,7 @@
 def test_whatever_is_watched_answers_are_the_same_and_the_same_settings_decide_alike(seed):
     told = draw_settings(random.Random(seed))
     plain, ends, counts = day(seed, told)
-    assert type(plain.core.control) is Control and not counts
+    assert type(plain.core.control) is NodeController and not counts
     other = {"methods.0.latency_target": 1 * MS, "can_stop": True, "can_pause": True, "feedback": "credit"}
     for watched, differs in (({"tick": told["tick"]}, False), (other, True)):
         harness, watched_ends, counts = day(seed, told, watched)
