--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -13,17 +13,15 @@
 
 from loguru import logger
 
+from finchcart.limits import Limits
 from finchcart.net.clock import boot_clock, read_clocks
 from finchcart.net.connection_table import ConnectionTable
-from finchcart.net.limits import Limits
 from finchcart.node import effects
 from finchcart.node.core import Core
 from finchcart.node.effect_buffer import own_connections_first
 from finchcart.node.inputs import (
     AddressesChanged,
     CloseAttempted,
-    ConnectionEnded,
-    FramesReceived,
     Input,
     LoadMeasured,
     MessagesReceived,
@@ -32,6 +30,7 @@
     TimersDue,
     WallClockRead,
 )
+from finchcart.protocol.connection_events import ConnectionEnded, FramesReceived
 
 if TYPE_CHECKING:  # not imported where no fleet is configured
     from finchcart.fleet_participant import FleetParticipant
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -88,7 +88,7 @@
 
 def count_on_a_late_kill() -> None:
     """The earliest kill: the node counts on `stop_ms`."""
-    from finchcart.net import limits
+    from finchcart import limits
 
     limits.KILL_DELAY = 1000 * limits.SECOND
 
--- a/finchcart/net/buffers.py
+++ b/finchcart/net/buffers.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 
 
 class Buffers:
--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -6,22 +6,26 @@
 
 import socket
 from collections.abc import Callable, Sequence
-from queue import SimpleQueue
 
 from loguru import logger
 
 from finchcart.errors import ProtocolError
-from finchcart.net import line_protocol
+from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
 from finchcart.net.connections import Address, Connection
-from finchcart.net.framing import Codec
 from finchcart.net.late_threads import LateThreads
-from finchcart.net.limits import Limits
 from finchcart.net.listener import Listener
 from finchcart.net.registry_reports import RegistryReporter
 from finchcart.net.sockets import start_thread
 from finchcart.net.transient_errors import retry_at_start
-from finchcart.node.inputs import ConnectionClosed, ConnectionOpened, ConnectionRefused, Input
+from finchcart.protocol import line_protocol
+from finchcart.protocol.connection_events import (
+    ConnectionClosed,
+    ConnectionOpened,
+    ConnectionRefused,
+    EventSink,
+)
+from finchcart.protocol.framing import Codec
 
 STORE = "store"
 # By the kind of a connection that the node opens. Frontends bring their own.
@@ -37,7 +41,7 @@
 
     def __init__(
         self,
-        inputs: SimpleQueue[Input],
+        inputs: EventSink,
         buffers: Buffers,
         limits: Limits,
         listener: Listener,
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -17,23 +17,23 @@
 from queue import SimpleQueue
 from typing import NamedTuple
 
+from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
 from finchcart.net.clock import boot_clock
-from finchcart.net.framing import Codec
 from finchcart.net.late_threads import LateThread, LateThreads
-from finchcart.net.limits import Limits
 from finchcart.net.reader import FrameReader
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, shut_down, start_thread, timeval
 from finchcart.net.transient_errors import is_transient
 from finchcart.net.writer import PendingWrites
-from finchcart.node.inputs import (
+from finchcart.protocol.connection_events import (
     ConnectionClosed,
     ConnectionEnded,
     ConnectionRefused,
+    EventSink,
     FramesReceived,
-    Input,
     WriteBlocked,
 )
+from finchcart.protocol.framing import Codec
 
 Address = tuple[str, int]
 
@@ -65,7 +65,7 @@
         self,
         number: int,
         codec: Codec,
-        inputs: SimpleQueue[Input],
+        inputs: EventSink,
         buffers: Buffers,
         limits: Limits,
         sock: socket.socket | None = None,
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, shut_down
 from finchcart.net.transient_errors import OF_ONE_CONNECTION
 
--- a/finchcart/net/writer.py
+++ b/finchcart/net/writer.py
@@ -7,13 +7,12 @@
 import socket
 import threading
 from collections.abc import Callable
-from queue import SimpleQueue
 from time import sleep
 
 from finchcart.net.late_threads import LateThread, LateThreads
 from finchcart.net.sockets import shut_down, start_thread
 from finchcart.net.transient_errors import MOST_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
-from finchcart.node.inputs import Input, WriteResumed
+from finchcart.protocol.connection_events import EventSink, WriteResumed
 
 
 class PendingWrites:
@@ -26,7 +25,7 @@
     def __init__(
         self,
         number: int,
-        inputs: SimpleQueue[Input],
+        inputs: EventSink,
         lock: threading.Lock,
         on_drained: Callable[[], None],
         late_threads: LateThreads | None = None,
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -13,7 +13,7 @@
 
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Gauges
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node import inputs
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Effect, Log
@@ -28,6 +28,7 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.wall_clock import Arrival, WallClock
 from finchcart.node.worker_pool import WorkerPool
+from finchcart.protocol import connection_events
 
 if TYPE_CHECKING:  # none is imported where it is not asked for
     from finchcart.node.key_leases import KeyLeaseGate
@@ -133,12 +134,12 @@
         """What handles each type of input; called with the input's fields."""
         return {
             inputs.MessagesReceived: self._on_messages,
-            inputs.ConnectionOpened: self._on_connection_opened,
-            inputs.ConnectionClosed: self._on_connection_closed,
-            inputs.ConnectionRefused: self._tell_owner("connection_refused"),
-            inputs.ConnectionEnded: self._tell_owner("connection_ended"),
-            inputs.WriteBlocked: self._tell_owner("write_blocked"),
-            inputs.WriteResumed: self._tell_owner("write_resumed"),
+            connection_events.ConnectionOpened: self._on_connection_opened,
+            connection_events.ConnectionClosed: self._on_connection_closed,
+            connection_events.ConnectionRefused: self._tell_owner("connection_refused"),
+            connection_events.ConnectionEnded: self._tell_owner("connection_ended"),
+            connection_events.WriteBlocked: self._tell_owner("write_blocked"),
+            connection_events.WriteResumed: self._tell_owner("write_resumed"),
             inputs.CloseDue: self._tell_owner("close_due"),
             inputs.CloseAttempted: self._tell_owner("close_attempted"),
             inputs.DuplicateReady: self.lifecycle.duplicate_ready,
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -9,29 +9,21 @@
 from enum import Enum
 from typing import NamedTuple
 
+from finchcart.protocol.connection_events import (
+    ConnectionClosed,
+    ConnectionEnded,
+    ConnectionOpened,
+    ConnectionRefused,
+    FramesReceived,
+    WriteBlocked,
+    WriteResumed,
+)
+
 
 class Start(NamedTuple):
     """The process is up: the first input."""
 
 
-class ConnectionOpened(NamedTuple):
-    """A peer connected to the listener of a frontend."""
-
-    connection: int
-    frontend: str
-    host: str | None = None  # where it comes from
-
-
-class FramesReceived(NamedTuple):
-    """A batch of frames, not decoded yet: becomes `MessagesReceived` before the core sees it."""
-
-    connection: int
-    frames: Sequence[bytes]
-    received_at: int
-    empty_at: int  # the connection was read empty then: what came is not older
-    was_waiting: bool  # for the first of the bytes, so that they were read as they came
-
-
 class MessagesReceived(NamedTuple):
     """A batch of decoded messages."""
 
@@ -41,38 +33,6 @@
     not_before: int = 0  # the messages reached the machine at this moment at the earliest
 
 
-class WriteBlocked(NamedTuple):
-    """The peer does not read what is sent."""
-
-    connection: int
-
-
-class WriteResumed(NamedTuple):
-    """All that was pending is written."""
-
-    connection: int
-
-
-class ConnectionRefused(NamedTuple):
-    """A connection of the node's own was never established."""
-
-    connection: int
-    reason: str
-
-
-class ConnectionEnded(NamedTuple):
-    """Nothing more will be read; `reason` is empty where the peer closed."""
-
-    connection: int
-    reason: str
-
-
-class ConnectionClosed(NamedTuple):
-    """The socket is closed and its number is not used any more."""
-
-    connection: int
-
-
 class CloseDue(NamedTuple):
     """A frontend's deferred attempt to close a connection, after what was received before it."""
 
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -7,10 +7,10 @@
 from enum import Enum
 from typing import Protocol
 
-from finchcart.net import line_protocol
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import End, SendReport, StopListening
+from finchcart.protocol import line_protocol
 
 
 class NodePhase(Enum):
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 from finchcart.decisions.interface import Outcome
-from finchcart.net import line_protocol
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Read, Send, SendBefore
 from finchcart.node.rpc import NodeRpc
+from finchcart.protocol import line_protocol
 
 PARTY = "store"  # in log lines
 
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -11,12 +11,12 @@
 from typing import NamedTuple, Protocol
 
 from finchcart.decisions.interface import Outcome
-from finchcart.net import line_protocol
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Log, Read, Send
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.unknown_runs import RunEnd, UnknownRuns
+from finchcart.protocol import line_protocol
 
 PARTY = "worker pool"  # in log lines
 MAX_TICKET_DIGITS = 18
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -13,7 +13,7 @@
 
 from finchcart import settings
 from finchcart.errors import ConfigError
-from finchcart.net.limits import MS, Limits
+from finchcart.limits import MS, Limits
 from finchcart.node.inputs import AddressesChanged
 from finchcart.node.methods import DEFAULT_DEADLINE_US, read_methods
 
--- a/finchcart/net/line_protocol.py
+++ b/finchcart/protocol/line_protocol.py
@@ -14,7 +14,7 @@
 
 from finchcart.decisions.interface import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.net.framing import Codec
+from finchcart.protocol.framing import Codec
 
 MAX_BRACKETS = 100  # in a line of the worker pool
 MAX_LENGTH_DIGITS = 9  # of a reply's length
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -1,14 +1,14 @@
 """The dispatchers' protocol: framed Thrift in the strict binary protocol, read and written.
 
-Owns the bytes on dispatchers' connections. A codec as net/framing.py has it: no I/O, nothing kept between
-calls, and nothing raised but `ProtocolError` on what it reads, whatever the bytes. What is read: messages.py.
+Owns the bytes on dispatchers' connections. A codec as protocol/framing.py has it: no I/O, nothing kept
+between calls, and nothing raised but `ProtocolError` on what it reads, whatever the bytes. What is read: messages.py.
 """
 
 import struct
 from collections.abc import Mapping
 
 from finchcart.errors import ProtocolError
-from finchcart.net.framing import Codec
+from finchcart.protocol.framing import Codec
 from finchcart.thrift.messages import (
     DispatcherMessage,
     HeartbeatCall,
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -4,7 +4,7 @@
 RPC cross a close unanswered.
 """
 
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effects import CloseIfIdle, Defer
 from finchcart.node.frontend import FrontendHost
 from finchcart.node.inputs import CloseDue
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -4,7 +4,7 @@
 nor one on which one may be about to come.
 """
 
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effects import Drop
 from finchcart.node.frontend import FrontendHost
 from finchcart.thrift import codec
--- a/finchcart/thrift/connection_table.py
+++ b/finchcart/thrift/connection_table.py
@@ -4,7 +4,7 @@
 dispatcher has gone or the kill is due.
 """
 
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effects import Close, Drop, Read, Send
 from finchcart.node.frontend import FrontendHost
 from finchcart.node.rpc import NodeRpc
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple, Protocol
 
 from finchcart.errors import InvalidRpcError
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.methods import KEYED, MethodInfo
 from finchcart.node.rpc import RpcAttributes
 from finchcart.node.wall_clock import Arrival
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from finchcart.errors import InvalidRpcError
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effects import Read
 from finchcart.node.frontend import FrontendHost
 from finchcart.node.rpc import FinalOutcome, NodeRpc
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -7,23 +7,20 @@
 from dataclasses import dataclass
 
 from finchcart.decisions.interface import Outcome
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node import effects
 from finchcart.node.core import Core
 from finchcart.node.fleet_inputs import key_lease_client_input
-from finchcart.node.inputs import (
-    CloseAttempted,
+from finchcart.node.inputs import CloseAttempted, MessagesReceived, Start, TimersDue
+from finchcart.node.rpc import FinalOutcome
+from finchcart.protocol.connection_events import (
     ConnectionClosed,
     ConnectionEnded,
     ConnectionOpened,
     ConnectionRefused,
-    MessagesReceived,
-    Start,
-    TimersDue,
     WriteBlocked,
     WriteResumed,
 )
-from finchcart.node.rpc import FinalOutcome
 from finchcart.thrift import codec as thrift
 from finchcart.thrift.codec import STRING, STRUCT
 from finchcart.thrift.frontend import ThriftFrontend
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -12,12 +12,12 @@
 from finchcart.consensus import subjects
 from finchcart.decisions.interface import Outcome
 from finchcart.key_leases import messages as key_leases
+from finchcart.limits import Limits
 from finchcart.membership import codec
 from finchcart.membership import messages as membership
-from finchcart.net import line_protocol
-from finchcart.net.limits import Limits
 from finchcart.node.methods import MethodInfo
 from finchcart.node.wall_clock import WallClock
+from finchcart.protocol import line_protocol
 from finchcart.quota import messages as quota
 from finchcart.thrift import codec as thrift
 from finchcart.thrift import fields as thrift_fields
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -8,9 +8,9 @@
 from finchcart import settings
 from finchcart.decisions.interface import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.net import line_protocol
+from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
-from finchcart.net.limits import Limits
+from finchcart.protocol import line_protocol
 from finchcart.thrift import codec as thrift
 
 LIMITS = Limits(memory=192 * 2**20, descriptors=1024, stop_timeout=3_000_000)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,12 +8,12 @@
 
 import pytest
 
+from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
 from finchcart.net.connection_table import ConnectionTable
 from finchcart.net.connections import Connection
-from finchcart.net.limits import Limits
 from finchcart.net.listener import Listener
-from finchcart.node.inputs import (
+from finchcart.protocol.connection_events import (
     ConnectionClosed,
     ConnectionRefused,
     FramesReceived,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,17 +6,11 @@
 import pytest
 
 from finchcart.decisions.interface import Outcome
-from finchcart.net.limits import Limits
-from finchcart.node.inputs import (
-    AddressesChanged,
-    AllocationGranted,
-    ConnectionEnded,
-    Drain,
-    WriteBlocked,
-    WriteResumed,
-)
+from finchcart.limits import Limits
+from finchcart.node.inputs import AddressesChanged, AllocationGranted, Drain
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.limiters import RateLimiter, RpcConcurrencyLimiter
+from finchcart.protocol.connection_events import ConnectionEnded, WriteBlocked, WriteResumed
 from finchcart.quota.limits import Limit
 from finchcart.thrift import codec as thrift
 from finchcart.thrift.messages import HeartbeatCall, SubmitCall, UnservedCall
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -5,13 +5,12 @@
 import pytest
 
 from finchcart.decisions.interface import Outcome
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
 from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
 from finchcart.node.inputs import (
     CloseAttempted,
-    ConnectionEnded,
     Drain,
     DuplicateReady,
     MessagesReceived,
@@ -22,6 +21,7 @@
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
+from finchcart.protocol.connection_events import ConnectionEnded
 from tests.harness import same_input
 
 MS = 1000
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -771,7 +771,7 @@
 import os, signal, sys, time
 from queue import SimpleQueue
 from finchcart.net.buffers import Buffers
-from finchcart.net.limits import Limits
+from finchcart.limits import Limits
 from finchcart.net.clock import boot_clock
 from finchcart.net.connection_table import CODECS
 from finchcart.net.connections import Connection
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,8 +17,8 @@
 
 from finchcart.fault_injection.call_sweep import CallFault, CallSweep, all_faults
 from finchcart.fault_injection.process_shim import Call
+from finchcart.limits import Limits
 from finchcart.log_sink import LogSink
-from finchcart.net.limits import Limits
 from finchcart.net.listener import Listener
 from tests.test_connections import HEALTH_CHECK, open_pair
 
