--- a/Makefile
+++ b/Makefile
@@ -26,10 +26,12 @@
 	$(VENV)/ruff format --check .
 	$(VENV)/ruff check .
 	$(VENV)/python tools/unfinished.py
+	$(VENV)/python tools/type_checks.py
 	$(VENV)/python tools/links.py
 
-unfinished: build  # list the modules that break rules of the linter anew, in pyproject.toml
+unfinished: build  # list the modules that break rules of linter or type checker anew, in pyproject.toml
 	$(VENV)/python tools/unfinished.py --write
+	$(VENV)/python tools/type_checks.py --write
 
 run: build  # one node; `make world` in another terminal gives it something to talk to
 	ROUTER_CONFIG=$(CONFIG) $(VENV)/python -m finchcart
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -1,7 +1,8 @@
 """The dispatchers' protocol: framed Thrift in the strict binary protocol, read and written.
 
 Owns the bytes on dispatchers' connections. A codec as protocol/framing.py has it: no I/O, nothing kept
-between calls, and nothing raised but `ProtocolError` on what it reads, whatever the bytes. What is read: messages.py.
+between calls, and nothing raised but `ProtocolError` on what it reads, whatever the bytes. What is read:
+messages.py.
 """
 
 import struct
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tools import links, unfinished
+from tools import import_circles, links, type_checks, unfinished
 
 PROJECT = """
 [tool.ruff.lint]
@@ -72,3 +72,81 @@
         "page.md: gone.md: no such file",
         "page.md: other.md#no-heading: no such heading",
     ]
+
+
+MODULES = {
+    "__init__": '"""The program."""\n',
+    "a/__init__": "",
+    "a/one": "from finchcart.a.two import name\n",
+    "a/two": "def later():\n    from finchcart.b import three\n",
+    "b/__init__": "",
+    "b/three": "import finchcart.c\n",
+    "c": "",
+}
+
+
+def planted_circles(tmp_path, **planted):
+    """The report on a tree that has no circle, but for the modules that are planted."""
+    for name, text in {**MODULES, **planted}.items():
+        path = tmp_path / "finchcart" / f"{name}.py"
+        path.parent.mkdir(parents=True, exist_ok=True)
+        path.write_text(text)
+    return import_circles.report(tmp_path)
+
+
+def test_a_tree_without_circles_passes(tmp_path):
+    assert planted_circles(tmp_path) == []
+
+
+@pytest.mark.parametrize(
+    "back",
+    [
+        "from finchcart.a import one\n",
+        "def later():\n    import finchcart.a.one\n",
+        "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from finchcart.a.one import name\n",
+    ],
+)
+def test_a_planted_circle_is_found_wherever_the_import_stands(tmp_path, back):
+    assert planted_circles(tmp_path, **{"b/three": back}) == [
+        "modules: finchcart.a.one <-> finchcart.a.two <-> finchcart.b.three",
+        "packages: finchcart.a <-> finchcart.b",
+    ]
+
+
+def test_packages_that_import_each_other_are_found_without_a_circle_of_modules(tmp_path):
+    assert planted_circles(tmp_path, **{"a/four": "", "c": "import finchcart.a.four\n"}) == [
+        "packages: finchcart.a <-> finchcart.b <-> finchcart.c"
+    ]
+
+
+TYPED_PROJECT = """
+[tool.mypy]
+files = ["bad.py", "good.py"]
+[[tool.mypy.overrides]]
+ignore_errors = true
+module = [
+    # begin: modules that do not pass yet
+{entries}    # end: modules that do not pass yet
+]
+"""
+
+
+@pytest.mark.parametrize(
+    ("listed", "starts"),
+    [
+        ([], ["bad.py:1: error: "]),
+        (["bad"], []),
+        (["bad", "good"], ["pyproject.toml: good is listed and passes mypy"]),
+    ],
+)
+def test_the_list_of_the_type_checker_is_exact(tmp_path, listed, starts):
+    (tmp_path / "bad.py").write_text('number: int = "text"\n')
+    (tmp_path / "good.py").write_text("number: int = 1\n")
+    entries = "".join(f'    "{module}",\n' for module in listed)
+    text = TYPED_PROJECT.format(entries=entries)
+    errors = type_checks.errors_by_module(tmp_path, text)
+    lines = type_checks.complaints(type_checks.listed_modules(text), errors)
+    assert len(lines) == len(starts)
+    for line, start in zip(lines, starts, strict=True):
+        assert line.startswith(start)
+    assert type_checks.format_entries(errors) == '    "bad",\n'
