--- a/finchcart/cli/commands.py
+++ b/finchcart/cli/commands.py
@@ -79,7 +79,7 @@
 
 def _query(query: Callable[[tuple[str, int]], dict[str, Any]], where: str, as_json: bool) -> dict[str, Any]:
     """Return what the process at HOST:PORT answers; with `as_json` it is printed, and that is all."""
-    from finchcart.membership.codec import DatagramError, parse_address
+    from finchcart.fleet.codec import DatagramError, parse_address
 
     try:
         view = query(parse_address(where))
@@ -152,7 +152,7 @@
     from finchcart.cli.settings_file import load_settings
     from finchcart.consensus import subjects
     from finchcart.errors import SettingsError
-    from finchcart.membership.codec import DatagramError, parse_address
+    from finchcart.fleet.codec import DatagramError, parse_address
 
     try:
         subject = subjects.parse_subject(kind, name)
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -25,11 +25,11 @@
 from finchcart.consensus import messages as consensus_messages
 from finchcart.consensus.store import ConsensusStore
 from finchcart.errors import SettingsError
+from finchcart.fleet.codec import parse_address
 from finchcart.fleet_participant import FleetParticipant, Reduce
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.membership import messages as membership_messages
-from finchcart.membership.codec import parse_address
 from finchcart.membership.effects import InputKind
 from finchcart.membership.member import Member
 from finchcart.net.clock import boot_clock
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -15,9 +15,9 @@
 from finchcart.cli.settings_file import load_settings
 from finchcart.cli.settings_schema import Settings, key_lease_config, quota_config
 from finchcart.errors import SettingsError
+from finchcart.fleet.codec import parse_address
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.replica import KeyLeaseReplica
-from finchcart.membership.codec import parse_address
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
 from finchcart.node_process import EXIT_NOT_STARTED
 from finchcart.quota import messages as quota_messages
--- a/finchcart/cli/queries.py
+++ b/finchcart/cli/queries.py
@@ -15,8 +15,8 @@
 from msgspec import Struct
 
 from finchcart.consensus import messages as consensus
+from finchcart.fleet.codec import DatagramError
 from finchcart.membership import messages as membership
-from finchcart.membership.codec import DatagramError
 from finchcart.quota import messages as quota
 
 Address = tuple[str, int]
--- a/finchcart/cli/settings_rules.py
+++ b/finchcart/cli/settings_rules.py
@@ -18,8 +18,8 @@
     quota_config,
 )
 from finchcart.consensus import config as consensus
+from finchcart.fleet.codec import DatagramError, parse_address
 from finchcart.key_leases import config as key_leases
-from finchcart.membership.codec import DatagramError, parse_address
 from finchcart.membership.config import SECOND
 from finchcart.quota import limits as quota
 
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -7,8 +7,9 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 from math import ceil
-from typing import Any, NamedTuple
+from typing import Any
 
+from finchcart.fleet.field_problem import FieldProblem
 from finchcart.membership.config import MS, SECOND, MembershipConfig
 
 # Key of a setting (without its unit) -> the field, where they differ.
@@ -156,13 +157,6 @@
         return ceil(per_second * member_count * within / SECOND)
 
 
-class FieldProblem(NamedTuple):
-    """What is wrong with a field of the configuration, or seldom meant."""
-
-    field: str  # its key in the settings file
-    reason: str
-
-
 def config_errors(config: ConsensusConfig) -> Iterator[FieldProblem]:
     """What cannot be used."""
     if config.store_quorum <= 0:
--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from finchcart.membership.codec import MessageCodec, Unsigned53, Unsigned64
+from finchcart.fleet.codec import MessageCodec, Unsigned53, Unsigned64
 
 CHANNEL = b"V"
 MAX_REPORTS = 32  # in one gossip entry
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -43,7 +43,7 @@
     kind_of,
     node_subject,
 )
-from finchcart.membership.codec import DatagramError, encode_value, name_hash
+from finchcart.fleet.codec import DatagramError, encode_value, name_hash
 from finchcart.membership.effects import (
     DecisionsChanged,
     Effect,
--- a/finchcart/consensus/subjects.py
+++ b/finchcart/consensus/subjects.py
@@ -8,8 +8,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from finchcart.membership.codec import name_hash
-from finchcart.membership.plain_enums import PlainIntEnum
+from finchcart.fleet.codec import name_hash
+from finchcart.fleet.plain_enums import PlainIntEnum
 
 IDENTIFIER_BITS = 56
 IDENTIFIER_MASK = (1 << IDENTIFIER_BITS) - 1
--- a/finchcart/fault_injection/quota_state_space.py
+++ b/finchcart/fault_injection/quota_state_space.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from finchcart.fault_injection.invariants import InvariantError
-from finchcart.membership import codec
+from finchcart.fleet import codec
 from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.planner import Planner
--- a/finchcart/membership/codec.py
+++ b/finchcart/fleet/codec.py
@@ -29,9 +29,10 @@
 Unsigned53 = Annotated[int, Meta(ge=0, lt=2**53)]  # exact in every language's double
 NodeName = Annotated[str, Meta(min_length=1, max_length=64)]
 Address = Annotated[str, Meta(min_length=3, max_length=64)]
+HostPort = tuple[str, int]
 
 M = TypeVar("M")
-S = TypeVar("S")
+T = TypeVar("T")
 
 
 class DatagramError(ProtocolError):
@@ -50,7 +51,7 @@
 
 
 def encode_value(value: object) -> bytes:
-    """The bytes of one message or field as they stand in a datagram."""
+    """Return the bytes of one message or field as they stand in a datagram."""
     return _encoder.encode(value)
 
 
@@ -66,22 +67,24 @@
     def __init__(self, channel: bytes, messages: UnionType, questions: tuple[type, ...] = ()) -> None:
         self.channel = channel
         self._questions = questions
-        self._decoder = msgspec.msgpack.Decoder(Envelope[messages])
+        self._decoder = msgspec.msgpack.Decoder(
+            Envelope[messages]  # type: ignore[valid-type]  # the union is known at run time alone
+        )
 
     def encode(self, fleet: str, message: M) -> bytes:
-        """A datagram of any length: the caller limits it, see `encode_bounded` and `take_fitting`."""
+        """Return a datagram of any length: the caller limits it, see `encode_bounded` and `take_fitting`."""
         data = _encoder.encode((PROTOCOL_VERSION, fleet, message))
         return self.channel + xxh64_digest(data) + data
 
     def encode_bounded(self, fleet: str, message: M) -> bytes:
-        """A datagram of `MAX_DATAGRAM_BYTES` at most; raises `DatagramError` where it would be longer."""
+        """Return a datagram of `MAX_DATAGRAM_BYTES` at most; raise `DatagramError` for a longer one."""
         data = self.encode(fleet, message)
         if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramError("too long to send")
         return data
 
     def decode(self, fleet: str | None, data: bytes) -> M:
-        """The message in a datagram.
+        """Return the message in a datagram.
 
         Arguments:
             fleet: the name of the fleet that the sender has to be of; None for any.
@@ -113,13 +116,13 @@
 
 
 def name_hash(name: str) -> int:
-    """The 64-bit identifier of a name: of a member, a limit or a zone."""
+    """Return the 64-bit identifier of a name: of a member, a limit or a zone."""
     return xxh3_64_intdigest(name.encode())
 
 
 @lru_cache(8192)
-def parse_address(text: str) -> tuple[str, int]:
-    """(host, port) of an advertised IPv4 address `a.b.c.d:port`; raises `DatagramError`."""
+def parse_address(text: str) -> HostPort:
+    """Return (host, port) of an advertised IPv4 address `a.b.c.d:port`; raise `DatagramError`."""
     host, _, port = text.rpartition(":")
     octets = host.split(".")
     if len(octets) != 4 or not all(map(_is_octet, octets)) or not _is_port(port):
@@ -135,8 +138,8 @@
     return text.isdecimal() and len(text) < 6 and 0 < int(text) <= MAX_ADDRESS_PORT
 
 
-def take_fitting(items: Iterable[S], max_bytes: int) -> list[S]:
-    """The first of the items that together take no more than `max_bytes` when encoded."""
+def take_fitting(items: Iterable[T], max_bytes: int) -> list[T]:
+    """Return the first of the items that together take no more than `max_bytes` when encoded."""
     taken = []
     for item in items:
         max_bytes -= len(_encoder.encode(item))
--- a/finchcart/leases.py
+++ b/finchcart/fleet/leases.py
@@ -26,7 +26,8 @@
 
 from collections.abc import Iterator, Sequence
 from math import ceil
-from typing import NamedTuple
+
+from finchcart.fleet.field_problem import FieldProblem
 
 MS = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
@@ -34,15 +35,8 @@
 GROUP_SIZES = (1, 3, 5)  # of replicas: each tolerates the failure of one less than half
 
 
-class FieldProblem(NamedTuple):
-    """What is wrong with a field of a configuration."""
-
-    field: str  # its key in the settings file
-    reason: str
-
-
 def widened(duration: int, drift: float) -> int:
-    """How long to wait on the own clock until `duration` is over on any other clock that began before.
+    """Return how long to wait on the own clock until `duration` is over on any clock that began before.
 
     Arguments:
         duration: microseconds on the other clock.
@@ -55,12 +49,12 @@
 
 
 def quorum(replica_count: int) -> int:
-    """The least number of replicas that are a majority of `replica_count`."""
+    """Return the least number of replicas that are a majority of `replica_count`."""
     return replica_count // 2 + 1
 
 
 def group_size_problems(field: str, addresses: Sequence[str]) -> Iterator[FieldProblem]:
-    """What is wrong with the number of replicas that a configuration names.
+    """Yield what is wrong with the number of replicas that a configuration names.
 
     Arguments:
         field: the key of the settings file that names them.
@@ -71,6 +65,6 @@
 
 
 def duplicate_problems(field: str, addresses: Sequence[str]) -> Iterator[FieldProblem]:
-    """Whether a configuration names a replica twice; the arguments are those of `group_size_problems`."""
+    """Yield a problem where a configuration names a replica twice; see `group_size_problems`."""
     if len(set(addresses)) < len(addresses):
         yield FieldProblem(field, "one is named twice: its vote would count double")
--- a/finchcart/message_endpoint.py
+++ b/finchcart/fleet/message_endpoint.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from finchcart.errors import FinchcartError
-from finchcart.membership.codec import DatagramError, MessageCodec
+from finchcart.fleet.codec import DatagramError, MessageCodec
 from finchcart.membership.effects import HostPort, InputKind, LogLine, SendDatagram
 
 
@@ -69,10 +69,10 @@
         return effects
 
     def before_input(self) -> None:
-        """Called first in each turn, for what the time alone brings."""
+        """Do first in each turn what the time alone brings."""
 
     def after_input(self) -> None:
-        """Called last in each turn."""
+        """Do last in each turn what is left to do."""
 
     def on_tick(self) -> None:
         """Take the regular input of time."""
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -13,6 +13,8 @@
 from random import Random
 from typing import Literal, NamedTuple
 
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, parse_address, take_fitting
+from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.key_leases.messages import (
     CODEC,
@@ -26,9 +28,7 @@
     ReportOutcomes,
     Votes,
 )
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES, parse_address, take_fitting
 from finchcart.membership.effects import HostPort
-from finchcart.message_endpoint import MessageEndpoint, MessageRejectedError
 
 MAX_TRANSMISSIONS = 40  # of one outcome to replicas that do not acknowledge it
 MAX_BACKOFF = 8  # retransmission intervals between two transmissions of one outcome
--- a/finchcart/key_leases/config.py
+++ b/finchcart/key_leases/config.py
@@ -7,8 +7,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from finchcart import leases
-from finchcart.leases import MS, SECOND, FieldProblem
+from finchcart.fleet import leases
+from finchcart.fleet.field_problem import FieldProblem
+from finchcart.fleet.leases import MS, SECOND
 
 LEASE_BYTES = 500  # memory of one lease at a replica, measured, without its result
 
@@ -30,7 +31,7 @@
     batch: int = 16  # leases in one message
 
     def widened(self, duration: int) -> int:
-        """The duration of a lease as its granter counts it, see finchcart/leases.py."""
+        """The duration of a lease as its granter counts it, see finchcart/fleet/leases.py."""
         return leases.widened(duration, self.drift)
 
     @property
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 from xxhash import xxh3_64_intdigest, xxh3_128_digest
 
-from finchcart.membership.codec import MessageCodec, NodeName, Unsigned53, Unsigned64
+from finchcart.fleet.codec import MessageCodec, NodeName, Unsigned53, Unsigned64
 
 CHANNEL = b"C"
 KEY_BYTES = 16
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -2,7 +2,7 @@
 
 Owns the leases that it voted for, until they expire. It must never vote for two holders of one key while a
 lease of it lasts, nor answer before all leases that an earlier process of its place may have voted for are
-over: it has no disk (see finchcart/leases.py).
+over: it has no disk (see finchcart/fleet/leases.py).
 
 Bounds: `entries` leases and as many released attempts; both expire with the longest lease.
 """
@@ -10,6 +10,8 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, take_fitting
+from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.key_leases.messages import (
     CODEC,
@@ -24,9 +26,7 @@
     ReportOutcomes,
     Votes,
 )
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES, take_fitting
 from finchcart.membership.effects import HostPort
-from finchcart.message_endpoint import MessageEndpoint, MessageRejectedError
 
 EXPIRED_PER_TICK = 64  # of each table: bounds the work of one tick
 VOTES_OVERHEAD_BYTES = 120  # of a datagram, for all but the votes in it
--- a/finchcart/membership/anti_entropy.py
+++ b/finchcart/membership/anti_entropy.py
@@ -7,7 +7,7 @@
 
 from random import Random
 
-from finchcart.membership.codec import parse_address, take_fitting
+from finchcart.fleet.codec import parse_address, take_fitting
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.messages import (
     MAX_BUCKETS,
--- a/finchcart/membership/effects.py
+++ b/finchcart/membership/effects.py
@@ -7,7 +7,7 @@
 
 from typing import Any, Literal, NamedTuple
 
-from finchcart.membership.plain_enums import PlainStrEnum
+from finchcart.fleet.plain_enums import PlainStrEnum
 
 HostPort = tuple[str, int]
 
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from finchcart.membership.codec import encode_value
+from finchcart.fleet.codec import encode_value
 from finchcart.membership.messages import GossipEntry
 from finchcart.membership.records import MemberTable
 
--- a/finchcart/membership/heartbeats.py
+++ b/finchcart/membership/heartbeats.py
@@ -5,7 +5,7 @@
 
 from random import Random
 
-from finchcart.membership.codec import encode_value, parse_address, take_fitting
+from finchcart.fleet.codec import encode_value, parse_address, take_fitting
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.failure_detection import QUIET_LINK_PERIODS, FailureDetector
 from finchcart.membership.gossip import GossipEntryStore
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -18,8 +18,8 @@
 from random import Random
 from typing import Protocol
 
+from finchcart.fleet.codec import DatagramError, name_hash, parse_address
 from finchcart.membership.anti_entropy import AntiEntropy
-from finchcart.membership.codec import DatagramError, name_hash, parse_address
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.effects import Effect, HostPort, InputKind
 from finchcart.membership.failure_detection import FailureDetector
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -1,7 +1,7 @@
 """The messages between members: member records, heartbeats, gossip entries and anti-entropy.
 
-Owns their fields and limits. It must never act on a message; the codec is codec.py. The order of the fields
-and the tags are the wire format: they stay, whatever the fields are called here.
+Owns their fields and limits. It must never act on a message; the codec is fleet/codec.py. The order of the
+fields and the tags are the wire format: they stay, whatever the fields are called here.
 """
 
 from enum import IntEnum
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 from xxhash import xxh3_64_intdigest
 
-from finchcart.membership.codec import (
+from finchcart.fleet.codec import (
     MAX_DATAGRAM_BYTES,
     Address,
     MessageCodec,
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -3,7 +3,7 @@
 Owns the list of effects of the current input and the counters by reason. It must never decide what is sent.
 """
 
-from finchcart.membership.codec import DatagramError
+from finchcart.fleet.codec import DatagramError
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.effects import Effect, HostPort, LogLine, SendDatagram
 from finchcart.membership.messages import CODEC, Message
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from finchcart.membership.codec import DatagramError, name_hash, parse_address
+from finchcart.fleet.codec import DatagramError, name_hash, parse_address
+from finchcart.fleet.plain_enums import PlainStrEnum
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.effects import MemberChanged
 from finchcart.membership.messages import DeclaredStatus, MemberRecord, Version
 from finchcart.membership.outbox import Outbox
-from finchcart.membership.plain_enums import PlainStrEnum
 from finchcart.membership.update_queue import UpdateQueue
 
 
--- a/finchcart/membership/update_queue.py
+++ b/finchcart/membership/update_queue.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from finchcart.membership.codec import take_fitting
+from finchcart.fleet.codec import take_fitting
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.messages import MemberRecord
 
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -19,7 +19,7 @@
 
 from loguru import logger
 
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES
 from finchcart.membership.effects import EffectKind, InputKind, IsolationChanged
 from finchcart.net.clock import boot_clock
 
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -5,7 +5,7 @@
 microseconds.
 
 Why a strict limit is never over: the leader counts a lease from after it answered, widened, its holder from
-before it asked (see finchcart/leases.py). Of several leases that may be out at one holder the greatest
+before it asked (see finchcart/fleet/leases.py). Of several leases that may be out at one holder the greatest
 counts, until the holder says which it holds or they expire. A new leader waits for the longest lease; until
 then it only renews to a holder what that says it holds. So what holders may use together is never more than
 what is counted here.
@@ -16,7 +16,7 @@
 
 from typing import NamedTuple
 
-from finchcart.message_endpoint import MessageRejectedError
+from finchcart.fleet.message_endpoint import MessageRejectedError
 from finchcart.quota.fair_share import prioritized_shares
 from finchcart.quota.limits import MS, Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -7,8 +7,8 @@
 2012): a proposer prepares a ballot at the acceptors, and where a majority promises it and knows of no other
 owner's lease, proposes the lease to them; it owns the lease once a majority accepted. Why no two planners
 lead at the same time: an acceptor counts the lease from after its vote, widened, the owner from before it
-proposed (see finchcart/leases.py); two majorities share an acceptor; and an acceptor that starts is quiet
-until any lease that it may have voted for is over.
+proposed (see finchcart/fleet/leases.py); two majorities share an acceptor; and an acceptor that starts is
+quiet until any lease that it may have voted for is over.
 
 Bounds: a vote for each planner.
 """
@@ -16,10 +16,10 @@
 from random import Random
 from typing import NamedTuple
 
-from finchcart import leases
-from finchcart.membership.codec import name_hash, parse_address
+from finchcart.fleet import leases
+from finchcart.fleet.codec import name_hash, parse_address
+from finchcart.fleet.message_endpoint import MessageRejectedError
 from finchcart.membership.effects import HostPort
-from finchcart.message_endpoint import MessageRejectedError
 from finchcart.quota.limits import QuotaConfig
 from finchcart.quota.messages import (
     Accept,
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -3,8 +3,8 @@
 Owns the leases that this process holds. It must never count calls: usage and demand are reported to it, and
 what may be used is handed out as `LimitAllowance`.
 
-A lease counts from before it was requested (see finchcart/leases.py). One that is for less than what is in
-use binds new calls at once; until the old ones have ended, the holder reports as in use what they need.
+A lease counts from before it was requested (see finchcart/fleet/leases.py). One that is for less than what is
+in use binds new calls at once; until the old ones have ended, the holder reports as in use what they need.
 
 Bounds: one lease for each strict limit, `MAX_PENDING_REQUESTS` requests.
 """
@@ -13,9 +13,9 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from finchcart.membership.codec import parse_address
+from finchcart.fleet.codec import parse_address
+from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.membership.effects import HostPort, InputKind
-from finchcart.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.quota.effects import LimitAllowance, QuotaInput
 from finchcart.quota.held_lease import Allowance, HeldLease, LeaseId
 from finchcart.quota.limit_table import reconcile
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -9,8 +9,9 @@
 from math import ceil
 from typing import Literal
 
-from finchcart import leases
-from finchcart.leases import MS, SECOND, FieldProblem
+from finchcart.fleet import leases
+from finchcart.fleet.field_problem import FieldProblem
+from finchcart.fleet.leases import MS, SECOND
 
 TICK_US = 100 * MS  # between two looks at the clock, of holders and planners
 MIN_LEADER_LEASE_US = SECOND // 2  # a shorter lease can't be renewed in time
@@ -88,7 +89,7 @@
         return f"{self.life} {self.lease} {self.drift} {self.most}"
 
     def widened(self, duration: int) -> int:
-        """The duration of a lease as its granter counts it, see finchcart/leases.py."""
+        """The duration of a lease as its granter counts it, see finchcart/fleet/leases.py."""
         return leases.widened(duration, self.drift)
 
     @property
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -19,8 +19,8 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from finchcart.leases import MS, SECOND
-from finchcart.membership.codec import name_hash
+from finchcart.fleet.codec import name_hash
+from finchcart.fleet.leases import MS, SECOND
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import MemberState
 from finchcart.quota.effects import LimitAllowance, QuotaInput
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from finchcart.membership.codec import MessageCodec, NodeName, Unsigned53, Unsigned64
+from finchcart.fleet.codec import MessageCodec, NodeName, Unsigned53, Unsigned64
 
 CHANNEL = b"Q"
 MAX_LIMITS = 16  # in one message
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any, ClassVar
 
+from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.membership.effects import HostPort
-from finchcart.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.quota.allocator import Allocator
 from finchcart.quota.effects import QuotaInput
 from finchcart.quota.leader_election import LeaderElection
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -11,9 +11,9 @@
 from finchcart.consensus import messages as consensus
 from finchcart.consensus import subjects
 from finchcart.decisions.interface import Outcome
+from finchcart.fleet import codec
 from finchcart.key_leases import messages as key_leases
 from finchcart.limits import Limits
-from finchcart.membership import codec
 from finchcart.membership import messages as membership
 from finchcart.node.methods import MethodInfo
 from finchcart.node.wall_clock import WallClock
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -34,7 +34,7 @@
 from finchcart.fault_injection.consensus_fault_run import SeededRun
 from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
 from finchcart.fault_injection.invariants import InvariantError
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
 from finchcart.membership.member import Member
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,9 +16,9 @@
 from finchcart.fault_injection.plan import make_plan
 from finchcart.fault_injection.script import Script
 from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fleet.codec import encode_value, name_hash, parse_address, xxh64_digest
 from finchcart.membership import failure_detection, messages, view
 from finchcart.membership.anti_entropy import AntiEntropy
-from finchcart.membership.codec import encode_value, name_hash, parse_address, xxh64_digest
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.membership.failure_detection import FailureDetector
 from finchcart.membership.heartbeats import HeartbeatSender
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -17,7 +17,7 @@
 from finchcart.fault_injection.quota_fault_run import SeededRun
 from finchcart.fault_injection.quota_simulation import QuotaSimulation
 from finchcart.fault_injection.quota_state_space import explore
-from finchcart.membership.codec import parse_address
+from finchcart.fleet.codec import parse_address
 from finchcart.net.clock import boot_clock
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota import local_limits, messages
