--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -17,6 +17,7 @@
 
 from finchcart.fault_injection.key_lease_fault_run import play_seed
 from finchcart.fault_injection.key_lease_state_space import explore
+from finchcart.fleet.inputs import DatagramReceived
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import SECOND, KeyLeaseConfig
 from finchcart.key_leases.replica import KeyLeaseReplica
@@ -88,7 +89,7 @@
 
 def feed(replica: KeyLeaseReplica, message: object) -> None:
     """Hand a client's message to a replica."""
-    replica.reduce(0, ("got", CLIENT_ADDRESS, messages.CODEC.encode("f", message)))
+    replica.reduce(0, DatagramReceived(CLIENT_ADDRESS, messages.CODEC.encode("f", message)))
 
 
 def fill(replica: KeyLeaseReplica, count: int) -> None:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,6 +25,7 @@
 from finchcart.fault_injection.script import Load, Script, StepKind
 from finchcart.membership import failure_detection, view
 from finchcart.membership.config import SECOND, MembershipConfig
+from finchcart.membership.effects import MemberChanged
 
 MOST_STARTED_TOGETHER = 300  # members that start in one moment, knowing the seeds alone
 JOIN_US = 4 * SECOND
@@ -74,8 +75,8 @@
         self.all_took: list[float] = []  # to the last verdict; not a number where one is lacking
 
     def _watch(self, now: int, name: str, effect: tuple) -> None:
-        if effect[0] == "change":
-            self.changes.append((now, name, effect[1], effect[2]))
+        if isinstance(effect, MemberChanged):
+            self.changes.append((now, name, effect.name, effect.state))
 
     def join(self) -> float | None:
         """Start all; return the seconds in which all know all, None where they are told."""
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -23,14 +23,16 @@
     quota_config,
 )
 from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.errors import SettingsError
 from finchcart.fleet.codec import parse_address
+from finchcart.fleet.inputs import Leave
 from finchcart.fleet_participant import FleetParticipant, Reduce
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.membership import messages as membership_messages
-from finchcart.membership.effects import InputKind
+from finchcart.membership.inputs import MembershipConfigChanged, PiggybackInput
 from finchcart.membership.member import Member
 from finchcart.net.clock import boot_clock
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
@@ -44,7 +46,7 @@
 from finchcart.node.observer import NodeObserver
 from finchcart.node_process import run_node
 from finchcart.quota import messages as quota_messages
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
@@ -177,19 +179,19 @@
 
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Tell the holder of strict limits, or the members, what this node uses and wants of a limit."""
-        usage = (QuotaInput.USAGE, limit, in_use, demand, priority_demand)
+        usage = UsageReported(limit, in_use, demand, priority_demand)
         if any(strict.name == limit for strict in self._quota.strict):
-            self._datagrams.post(quota_messages.CHANNEL, *usage)
+            self._datagrams.post(quota_messages.CHANNEL, usage)
         else:
-            self._datagrams.post(membership_messages.CHANNEL, InputKind.PIGGYBACK, *usage)
+            self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
     def publish_evidence(self, evidence: object) -> None:
         """Hand on what the core observed."""
-        self._datagrams.post(consensus_messages.CHANNEL, InputKind.EVIDENCE, evidence)
+        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
         """Hand a command to the key lease client, at once."""
-        self._datagrams.post_now(key_lease_messages.CHANNEL, *key_lease_client_input(command))
+        self._datagrams.post_now(key_lease_messages.CHANNEL, key_lease_client_input(command))
 
     # ---- The process
 
@@ -207,7 +209,7 @@
     def on_signal(self, notice: Drain | ReloadConfig) -> None:
         """Pass a signal's notice on; called in its handler, which may not log."""
         if isinstance(notice, Drain):
-            self._datagrams.post(None, InputKind.LEAVE)
+            self._datagrams.post(None, Leave())
         elif isinstance(notice, ReloadConfig):
             self._datagrams.post_reload()
 
@@ -251,14 +253,14 @@
         settings = self._settings
         member_config = membership_config(settings.fleet)
         inputs: list[tuple[bytes, MachineInput]] = [
-            (membership_messages.CHANNEL, (InputKind.CONFIG, member_config))
+            (membership_messages.CHANNEL, MembershipConfigChanged(member_config))
         ]
         consensus = consensus_config(settings)
         if consensus:
-            inputs.append((consensus_messages.CHANNEL, (InputKind.CONFIG, consensus)))
+            inputs.append((consensus_messages.CHANNEL, ConsensusConfigChanged(consensus)))
         if self._quota:
             self._quota = limits_with_probes(settings)
-            config = (QuotaInput.CONFIG, self._quota)
+            config = QuotaConfigChanged(self._quota)
             inputs.append((quota_messages.CHANNEL, config))
-            inputs.append((membership_messages.CHANNEL, (InputKind.PIGGYBACK, *config)))
+            inputs.append((membership_messages.CHANNEL, PiggybackInput(config)))
         return inputs
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -21,7 +21,7 @@
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
 from finchcart.node_process import EXIT_NOT_STARTED
 from finchcart.quota import messages as quota_messages
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.planner import Planner
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -105,7 +105,7 @@
         logger.info("settings taken from {}", self._path)
         if not self._quota:
             return []
-        return [(quota_messages.CHANNEL, (QuotaInput.CONFIG, quota_config(settings)))]
+        return [(quota_messages.CHANNEL, QuotaConfigChanged(quota_config(settings)))]
 
     def _check_unchanged(self, settings: Settings) -> None:
         """Raise SettingsError where something is new that only a start can take."""
--- /dev/null
+++ b/finchcart/consensus/inputs.py
@@ -0,0 +1,21 @@
+"""The inputs of a consensus store, besides those of finchcart/fleet/inputs.py.
+
+Owns their types alone.
+"""
+
+from typing import NamedTuple
+
+from finchcart.consensus.config import ConsensusConfig
+from finchcart.consensus.observations import Evidence
+
+
+class EvidenceCollected(NamedTuple):
+    """What the core of this node saw since it was asked last."""
+
+    evidence: Evidence
+
+
+class ConsensusConfigChanged(NamedTuple):
+    """The settings were read again."""
+
+    config: ConsensusConfig
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -4,9 +4,8 @@
 comes with each tick of the member on whose heartbeats the reports are piggybacked; no I/O, clock or lock.
 `now` is the boot clock in whole microseconds. It must never act on a decision.
 
-Inputs: `("evidence", Evidence)` (see observations.py), `("got", address, datagram)`, `("tick",)`,
-`("leave",)`, `("end",)`, `("figures", ConsensusConfig)`. Effects: `("verdicts", map)` (all that stands,
-where it changed: see `_standing_for_core`), `("send", address, datagram)`, `("log", text, fields)`.
+Inputs: those of finchcart/fleet/inputs.py and inputs.py. Effects: those of finchcart/fleet/effects.py and
+`DecisionsChanged`.
 
 Bounds: reports one gossip entry a member, overrides `config.max_overrides`, decisions by what reports
 there are.
@@ -18,6 +17,8 @@
 from finchcart.consensus.collector import ReportCollector
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.decision import Decision, decide
+from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.messages import (
     CODEC,
     OperatorOverride,
@@ -43,15 +44,9 @@
     kind_of,
     node_subject,
 )
-from finchcart.fleet.codec import DatagramError, encode_value, name_hash
-from finchcart.membership.effects import (
-    DecisionsChanged,
-    Effect,
-    HostPort,
-    InputKind,
-    LogLine,
-    SendDatagram,
-)
+from finchcart.fleet.codec import DatagramError, HostPort, encode_value, name_hash
+from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.inputs import CommonInput, DatagramReceived, Shutdown
 from finchcart.membership.member import Member
 from finchcart.membership.messages import GossipTopic
 
@@ -59,6 +54,9 @@
 NO_LEVEL = Decision(0, 0, 0)
 
 
+ConsensusInput = CommonInput | EvidenceCollected | ConsensusConfigChanged
+
+
 class ConsensusStore:
     """What one node holds the fleet to have decided.
 
@@ -95,39 +93,35 @@
         ] = {}  # member id -> precedence of the entry read last
         self._decided_from: tuple | None = None
         self._decisions: dict[int, Decision] = {}
-        self._handed_out: dict[str, Any] | None = None
+        self._handed_out: DecisionsChanged | None = None
         self._logged: dict[int, int] = {}
-        self._handlers = {
-            InputKind.EVIDENCE: self._on_evidence,
-            InputKind.DATAGRAM: self._on_datagram,
-            InputKind.CONFIG: self._on_config,
-            InputKind.END: self._on_end,
-        }
 
     # ---- inputs
 
-    def reduce(self, now: int, event: tuple) -> list[Effect]:
-        """Takes one input; the effects that the driver carries out."""
+    def reduce(self, now: int, event: ConsensusInput) -> list[Effect]:
+        """Take one input; return the effects that the driver carries out."""
         self.effects = []
-        kind, *arguments = event
-        handler = self._handlers.get(kind)
-        if handler is not None:
-            handler(now, *arguments)
+        match event:
+            case EvidenceCollected(evidence):
+                self._on_evidence(now, evidence)
+            case DatagramReceived(address, data):
+                self._on_datagram(now, address, data)
+            case ConsensusConfigChanged(config):
+                self._on_config(config)
+            case Shutdown():
+                self.ended = True
         return self.effects
 
     def _on_evidence(self, now: int, evidence: Evidence) -> None:
         if now >= self._quiet_until:
             self.observer.observe(now, evidence)
 
-    def _on_config(self, now: int, config: ConsensusConfig) -> None:
+    def _on_config(self, config: ConsensusConfig) -> None:
         self.config = config
         for owner in (self.observer, self.collector, self.standing):
             owner.config = config
         self.overrides.max_overrides = config.max_overrides
 
-    def _on_end(self, now: int) -> None:
-        self.ended = True
-
     def count(self, reason: str) -> None:
         """Adds one to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
@@ -246,26 +240,25 @@
     def _hand_out(self) -> None:
         """Tells the core all that is in force, where it changed."""
         values = self.values_in_force()
-        handed_out = self._standing_for_core(values)
+        handed_out = self._decisions_for_core(values)
         if handed_out == self._handed_out:
             return
         self._handed_out = handed_out
-        self.effects.append(DecisionsChanged.of(handed_out))
+        self.effects.append(handed_out)
         self._log_changes(values)
 
-    def _standing_for_core(self, values: dict[int, int]) -> dict[str, Any]:
-        """`store`: its value; `sources`: subject -> restriction; `out`: whether this node is ejected and is
-        to report itself unhealthy; `level`: the least that it may announce."""
-        return {
-            "store": values.get(STORE_SUBJECT, GOOD),
-            "sources": {
-                subject: value
-                for subject, value in values.items()
-                if is_source(subject) and value in RESTRICTIONS
-            },
-            "out": values.get(self.own_subject) == EJECTED,
-            "level": round(self.minimum_level(), 3),
+    def _decisions_for_core(self, values: dict[int, int]) -> DecisionsChanged:
+        sources = {
+            subject: value
+            for subject, value in values.items()
+            if is_source(subject) and value in RESTRICTIONS
         }
+        return DecisionsChanged(
+            store=values.get(STORE_SUBJECT, GOOD),
+            sources=sources,
+            is_ejected=values.get(self.own_subject) == EJECTED,
+            minimum_level=round(self.minimum_level(), 3),
+        )
 
     def _log_changes(self, values: dict[int, int]) -> None:
         before = self._logged
@@ -284,7 +277,7 @@
         votes = f"{standing.votes} of {standing.voters}" if standing else ""
         text = f"verdict {kind} {name} {word}".replace("  ", " ")
         fields = {"kind": kind, "subject": name, "value": word, "votes": votes}
-        self.effects.append(LogLine.of(text, fields))
+        self.effects.append(LogLine(text, fields))
 
     def node_names(self) -> dict[int, str]:
         """subject of a node -> its name, of all members."""
@@ -304,7 +297,7 @@
         except DatagramError as error:
             self.count(str(error))
             return
-        self.effects.append(SendDatagram.of(address, answer))
+        self.effects.append(SendDatagram(address, answer))
 
     def _answer(self, now: int, message: StatusRequest | OverrideRequest | StatusResponse) -> dict[str, Any]:
         if isinstance(message, OverrideRequest):
--- a/finchcart/consensus/subjects.py
+++ b/finchcart/consensus/subjects.py
@@ -9,7 +9,6 @@
 from typing import NamedTuple
 
 from finchcart.fleet.codec import name_hash
-from finchcart.fleet.plain_enums import PlainIntEnum
 
 IDENTIFIER_BITS = 56
 IDENTIFIER_MASK = (1 << IDENTIFIER_BITS) - 1
@@ -30,7 +29,7 @@
 SOURCE_KINDS = frozenset({SubjectKind.DISPATCHER, SubjectKind.ADDRESS})
 
 
-class StoreHealth(PlainIntEnum):
+class StoreHealth(IntEnum):
     """Values of the store, from good to bad."""
 
     WORKING = 1
@@ -38,7 +37,7 @@
     DOWN = 3
 
 
-class Restriction(PlainIntEnum):
+class Restriction(IntEnum):
     """Values of a source or a node, from good to bad."""
 
     NONE = 1
--- a/finchcart/fault_injection/consensus_rounds.py
+++ b/finchcart/fault_injection/consensus_rounds.py
@@ -173,7 +173,7 @@
         """Let so many nodes lie; return the others, who must not be moved."""
 
         def is_moved(view: NodeView) -> bool:
-            return is_down(view) or view.consensus["level"] > 0
+            return is_down(view) or view.consensus.minimum_level > 0
 
         self.liars = set(self.chance.sample(names, count))
         honest = [name for name in names if name not in self.liars]
@@ -218,7 +218,7 @@
         least = level - self.consensus_config.level_step - LEVEL_ROUNDING
 
         def is_reached(view: NodeView) -> bool:
-            return view.consensus["level"] >= least
+            return view.consensus.minimum_level >= least
 
         bound = self.bound(self.loss) + 2 * self.config.period
         self._timed("in", self.wait_until(is_reached, names, bound, "one level"), bound)
@@ -314,7 +314,7 @@
         self.run(self.now + 3 * SECOND + bound, self.after_step)
         self.set_cut(one_side, other_side, cut=False)
         self.run(self.now + APART_US + bound, self.after_step)
-        held = {name: self.node_views[name].consensus["sources"].get(subject) for name in names}
+        held = {name: self.node_views[name].consensus.sources.get(subject) for name in names}
         if len(set(held.values())) != 1:
             self.fail(f"two words after the cut: {held}")
         self._override(other_side[0], number, subject, 0, 0)
@@ -327,7 +327,7 @@
 
     @staticmethod
     def _is_unset(subject: int, view: NodeView) -> bool:
-        return view.consensus["sources"].get(subject) is None
+        return view.consensus.sources.get(subject) is None
 
     def delayed_messages(self, names: list[str]) -> None:
         """Messages are up to 10 s late: no old observation passes for a new one (see `after_step`)."""
--- a/finchcart/fault_injection/consensus_simulation.py
+++ b/finchcart/fault_injection/consensus_simulation.py
@@ -13,14 +13,19 @@
 
 from finchcart.consensus import subjects
 from finchcart.consensus.config import ConsensusConfig
+from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.inputs import EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import StoreHealth
 from finchcart.fault_injection.consensus_view import NodeView, Predicate, is_down
 from finchcart.fault_injection.invariants import InvariantError
 from finchcart.fault_injection.membership_simulation import MemberFactory, MembershipSimulation
 from finchcart.membership.config import SECOND, MembershipConfig
+from finchcart.membership.inputs import PiggybackInput
 from finchcart.membership.member import Member
 from finchcart.node.limiters import PROBE_DEMAND_PERIOD_US
+from finchcart.quota.effects import LimitAllowance
+from finchcart.quota.inputs import UsageReported
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
 from finchcart.simulated_peers.store import StoreState
@@ -105,14 +110,15 @@
     def _watch(self, now: int, name: str, effect: tuple) -> None:
         self.trace.update(f"{now} {name} {effect}".encode())
         view = self.node_views[name]
-        if effect[0] == "verdicts":
+        if isinstance(effect, DecisionsChanged):
             before = view.consensus
-            view.consensus = effect[1]
-            if before["store"] != effect[1]["store"]:
-                view.store_changes.append((now, effect[1]["store"]))
-                view.recovered_at = now if before["store"] == StoreHealth.DOWN else None
-        elif effect[0] == "allow":
-            view.probes, view.probes_until = effect[3:5]
+            view.consensus = effect
+            if before.store != effect.store:
+                view.store_changes.append((now, effect.store))
+                view.recovered_at = now if before.store == StoreHealth.DOWN else None
+        elif isinstance(effect, LimitAllowance):
+            view.probes = effect.amount
+            view.probes_until = effect.until
 
     def _look(self, name: str) -> None:
         """Make a node's calls of one look, and hand what it saw to its consensus store."""
@@ -123,7 +129,7 @@
         calls = self._calls_of_look(self.node_views[name])
         ok = 0 if self.store_states[name] == StoreState.DOWN else calls
         self.wasted_calls += calls - ok
-        self.feed(name, ("rider", "evidence", self._evidence(name, calls, ok)))
+        self.feed(name, PiggybackInput(EvidenceCollected(self._evidence(name, calls, ok))))
         self._report_probes(name, calls)
 
     def _calls_of_look(self, view: NodeView) -> int:
@@ -168,7 +174,7 @@
         view = self.node_views[name]
         if calls or self.now - view.called_at < PROBE_DEMAND_PERIOD_US:
             view.called_at = self.now if calls else view.called_at
-            self.feed(name, ("rider", "use", "trial", 0, 1, 0))
+            self.feed(name, PiggybackInput(UsageReported("trial", 0, 1)))
 
     # ---- invariants
 
--- a/finchcart/fault_injection/consensus_view.py
+++ b/finchcart/fault_injection/consensus_view.py
@@ -3,16 +3,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from finchcart.consensus.effects import DecisionsChanged
 from finchcart.consensus.subjects import Restriction, StoreHealth
 
-NOTHING = {"store": StoreHealth.WORKING, "sources": {}, "out": False, "level": 0.0}
+NOTHING = DecisionsChanged(StoreHealth.WORKING, sources={}, is_ejected=False, minimum_level=0.0)
 
 
 @dataclass(eq=False)
 class NodeView:
     """What one node's core would do and see."""
 
-    consensus: dict = field(default_factory=lambda: dict(NOTHING))
+    consensus: DecisionsChanged = NOTHING
     store_changes: list[tuple[int, int]] = field(default_factory=list)  # (when, health of the store)
     probes: int = 0  # probe calls that the node may make
     probes_until: int = 0
@@ -25,27 +26,27 @@
 
 def is_down(view: NodeView) -> bool:
     """Whether the node holds the store to be down."""
-    return view.consensus["store"] == StoreHealth.DOWN
+    return view.consensus.store == StoreHealth.DOWN
 
 
 def is_working(view: NodeView) -> bool:
     """Whether the node holds the store to work."""
-    return view.consensus["store"] == StoreHealth.WORKING
+    return view.consensus.store == StoreHealth.WORKING
 
 
 def is_blocked(subject: int, view: NodeView) -> bool:
     """Whether the node holds the source to be blocked."""
-    return view.consensus["sources"].get(subject) == Restriction.BLOCKED
+    return view.consensus.sources.get(subject) == Restriction.BLOCKED
 
 
 def is_restricted(subject: int, view: NodeView) -> bool:
     """Whether the node holds anything of the source."""
-    return subject in view.consensus["sources"]
+    return subject in view.consensus.sources
 
 
 def holds_itself_out(view: NodeView) -> bool:
     """Whether the node holds itself to be ejected."""
-    return view.consensus["out"]
+    return view.consensus.is_ejected
 
 
 def holds_nothing(view: NodeView) -> bool:
--- a/finchcart/fault_injection/key_lease_fault_run.py
+++ b/finchcart/fault_injection/key_lease_fault_run.py
@@ -21,8 +21,10 @@
     KeyLeaseSimulation,
     is_replica,
 )
+from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig
+from finchcart.key_leases.inputs import AcquireKeyLeases, KeyLeaseRunCancelled, KeyToLease
 from finchcart.key_leases.messages import LeaseStatus
 
 LIFE_US = 6 * SECOND
@@ -124,12 +126,12 @@
         if datagram.target in self.stopped:
             self.buffered.setdefault(datagram.target, []).append(datagram)
         else:
-            self.feed(datagram.target, "got", self.address(datagram.origin), datagram.data)
+            self.feed(datagram.target, DatagramReceived(self.address(datagram.origin), datagram.data))
 
     # ---- clients and keys
 
     def _tick(self, name: str) -> None:
-        self.feed(name, "tick")
+        self.feed(name, Tick())
         self._schedule(TICK_US, self._tick, name)
 
     def _new_key(self) -> None:
@@ -145,7 +147,7 @@
         self._schedule(self.chance.randrange(10 * MS, 400 * MS), self._new_key)
 
     def _claim(self, name: str, key: Key) -> None:
-        self.feed(name, "claim", [(key, BODY_HASH, self.config.life)])
+        self.feed(name, AcquireKeyLeases([KeyToLease(key, BODY_HASH, self.config.life)]))
 
     def on_answer(self, name: str, key: Key, answer: int, result: bytes, by: int) -> None:
         """Note what a client answers for a key, and command a granted one after a while."""
@@ -163,7 +165,7 @@
             return
         if self.chance.random() < REJECTED_PART:
             del self.granted[name, key]
-            self.feed(name, "never", key)
+            self.feed(name, KeyLeaseRunCancelled(key))
             return
         self.command(name, key)
         if (name, key) in self.running:
@@ -222,7 +224,7 @@
         if name in self.stopped:
             self.stopped.discard(name)
             for datagram in self.buffered.pop(name, ()):
-                self.feed(name, "got", self.address(datagram.origin), datagram.data)
+                self.feed(name, DatagramReceived(self.address(datagram.origin), datagram.data))
 
     def _restart(self, name: str) -> None:
         self.start(name)
--- a/finchcart/fault_injection/key_lease_simulation.py
+++ b/finchcart/fault_injection/key_lease_simulation.py
@@ -10,8 +10,11 @@
 from typing import Any, NamedTuple
 
 from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fleet.effects import SendDatagram
+from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig
+from finchcart.key_leases.inputs import KeyLeaseRunCancelled, KeyLeaseRunEnded
 from finchcart.key_leases.messages import LeaseStatus
 from finchcart.key_leases.replica import KeyLeaseReplica
 
@@ -107,15 +110,15 @@
         _, _, net, number = address[0].split(".")
         return f"{'kh'[int(net)]}{int(number) - 1}"
 
-    def feed(self, name: str, *machine_input: object) -> None:
+    def feed(self, name: str, machine_input: tuple) -> None:
         """Hand an input to a process's state machine; a stopped one loses it."""
         if name in self.stopped:
             return
         for effect in self.machines[name].reduce(self.clock(name), machine_input):
-            if effect[0] == "send":
-                self.in_flight.append(Datagram(name, self.name_at(effect[1]), effect[2]))
+            if isinstance(effect, SendDatagram):
+                self.in_flight.append(Datagram(name, self.name_at(effect.address), effect.data))
             else:
-                self.on_answer(name, *effect[1:])
+                self.on_answer(name, *effect)
 
     def on_answer(self, name: str, key: Key, answer: int, result: bytes, by: int) -> None:
         """Note what a client answers for a key; a grant has to be commanded by `by` on its clock."""
@@ -131,7 +134,7 @@
         """Take the client's last look at the clock, and run the key if there is time."""
         by = self.granted.pop((name, key))
         if self.clock(name) >= by:
-            self.feed(name, "never", key)
+            self.feed(name, KeyLeaseRunCancelled(key))
             return
         run = Run(self.now, name, self.machines[name].session)
         runs = self.runs.setdefault(key, [])
@@ -148,18 +151,19 @@
     def end(self, name: str, key: Key, outcome: int = LeaseStatus.COMPLETED) -> None:
         """End a run."""
         self.running.pop((name, key)).outcome = outcome
-        self.feed(name, "ended", key, outcome, RESULT if outcome == LeaseStatus.COMPLETED else b"")
+        result = RESULT if outcome == LeaseStatus.COMPLETED else b""
+        self.feed(name, KeyLeaseRunEnded(key, outcome, result))
 
     def deliver(self, index: int, keep: bool = False) -> None:
         """Hand over one of the messages under way, and keep it there as well if asked to."""
         datagram = self.in_flight[index] if keep else self.in_flight.pop(index)
-        self.feed(datagram.target, "got", self.address(datagram.origin), datagram.data)
+        self.feed(datagram.target, DatagramReceived(self.address(datagram.origin), datagram.data))
 
     def pass_time(self, span: int) -> None:
         """Let so many microseconds pass and all processes tick."""
         self.now += span
         for name in self.machines:
-            self.feed(name, "tick")
+            self.feed(name, Tick())
 
 
 def is_replica(name: str) -> bool:
--- a/finchcart/fault_injection/key_lease_state_space.py
+++ b/finchcart/fault_injection/key_lease_state_space.py
@@ -15,6 +15,7 @@
 from finchcart.fault_injection.key_lease_simulation import TICK_US, KeyLeaseSimulation, is_replica
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import SECOND
+from finchcart.key_leases.inputs import AcquireKeyLeases, KeyToLease
 
 KEY = messages.key_digest("m", "t")
 BODY_HASH = 7
@@ -71,7 +72,7 @@
     elif word == "twice":
         simulation.deliver(*arguments, keep=True)
     elif word == "claim":
-        simulation.feed(*arguments, "claim", [(KEY, BODY_HASH, LIFE_US)])
+        simulation.feed(*arguments, AcquireKeyLeases([KeyToLease(KEY, BODY_HASH, LIFE_US)]))
     else:
         actions = {
             "deliver": simulation.deliver,
--- a/finchcart/fault_injection/membership_fault_run.py
+++ b/finchcart/fault_injection/membership_fault_run.py
@@ -27,10 +27,13 @@
     MemberFactory,
     MembershipSimulation,
 )
+from finchcart.fleet.inputs import DatagramReceived, Leave, Shutdown
 from finchcart.membership import messages
 from finchcart.membership.config import SECOND, MembershipConfig
+from finchcart.membership.effects import MemberChanged
 from finchcart.membership.member import Member
 from finchcart.membership.messages import DeclaredStatus
+from finchcart.membership.records import MemberState
 
 NAMES = [f"n{number:02d}" for number in range(12)]
 DUPLICATE = "twin"  # the process that is started under another's name
@@ -101,11 +104,10 @@
 
     def _watch(self, now: int, name: str, effect: tuple) -> None:
         self.trace.update(f"{now} {name} {effect}".encode())
-        if effect[0] != "change":
+        if not isinstance(effect, MemberChanged) or effect.state != MemberState.FAILED:
             return
-        subject, state = effect[1:3]
-        if state == "failed" and self._is_steady(name) and self._is_steady(subject):
-            self._fail(f"{name} holds {subject} to be failed, and both are well")
+        if self._is_steady(name) and self._is_steady(effect.name):
+            self._fail(f"{name} holds {effect.name} to be failed, and both are well")
 
     def _is_steady(self, name: str) -> bool:
         if name in (DUPLICATE, self.duplicated):
@@ -238,8 +240,8 @@
         else:
             self.down[name] = fleet.now
             if kind == FaultKind.TERMINATE:
-                fleet.feed(name, ("leave",))
-                fleet.feed(name, ("end",))
+                fleet.feed(name, Leave())
+                fleet.feed(name, Shutdown())
             fleet.kill(name)
             offset_ms = CLOCK_SET_BACK_MS if kind == FaultKind.CLOCK_SET_BACK else 0
             fleet.schedule(until, self._restart, name, offset_ms)
@@ -331,4 +333,4 @@
             messages.CODEC.encode("other", messages.MemberRecords([absurd])),
             messages.CODEC.encode(FLEET_NAME, messages.MemberRecords([bad_address])),
         ):
-            self.fleet.feed(target, ("got", ("10.9.9.9", 1), data))
+            self.fleet.feed(target, DatagramReceived(("10.9.9.9", 1), data))
--- a/finchcart/fault_injection/quota_simulation.py
+++ b/finchcart/fault_injection/quota_simulation.py
@@ -13,8 +13,11 @@
 from finchcart.fault_injection.quota_process import IdleMachine, QuotaProcess, SharingMode, StoreCall
 from finchcart.fault_injection.virtual_time import ProcessSimulation
 from finchcart.membership.config import MembershipConfig
+from finchcart.membership.inputs import PiggybackInput
 from finchcart.membership.member import Member
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
+from finchcart.quota.effects import LimitAllowance
+from finchcart.quota.inputs import UsageReported
 from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
@@ -180,9 +183,9 @@
     def handle_effect(self, process: QuotaProcess, effect: tuple) -> None:
         """Hand a new allowance to the limiter."""
         self.trace.update(f"{self.now} {process.name} {effect}".encode())
-        if effect[0] == "allow":
+        if isinstance(effect, LimitAllowance):
             process.limiter.now_us = self.clock(process)
-            process.limiter.set_allowance(*effect[2:])
+            process.limiter.set_allowance(effect.floor, effect.amount, effect.until)
             self._make_calls(process)
 
     # ---- calls, by the node's own limiter
@@ -247,8 +250,8 @@
             return
         if overstated and self.is_rate:
             usage = usage[0], overstated, 0
-        prefix = ("rider",) if self.mode == SharingMode.LOOSE else ()
-        self.feed(process.name, (*prefix, "use", self.limit.name, *usage))
+        report = UsageReported(self.limit.name, *usage)
+        self.feed(process.name, PiggybackInput(report) if self.mode == SharingMode.LOOSE else report)
 
     # ---- the truth
 
--- a/finchcart/fault_injection/quota_state_space.py
+++ b/finchcart/fault_injection/quota_state_space.py
@@ -14,6 +14,10 @@
 
 from finchcart.fault_injection.invariants import InvariantError
 from finchcart.fleet import codec
+from finchcart.fleet.effects import SendDatagram
+from finchcart.fleet.inputs import DatagramReceived, Tick
+from finchcart.quota.effects import LimitAllowance
+from finchcart.quota.inputs import UsageReported
 from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.planner import Planner
@@ -125,7 +129,7 @@
 
     def report_demand(self, name: str, demand: int) -> None:
         """Tell a holder its node's demand."""
-        self.machines[name].reduce(self.clock(name), ("use", "store", 0, demand))
+        self.machines[name].reduce(self.clock(name), UsageReported("store", 0, demand))
 
     def clock(self, name: str, count: int = 0) -> int:
         """Return what the process's own clock reads, after so many inputs of the step."""
@@ -144,9 +148,9 @@
         """Play one step; messages of the delayed link come later."""
         self.step += 1
         self.now += STEP_US
-        todo = [(name, ("tick",)) for name in self.machines]
+        todo = [(name, Tick()) for name in self.machines]
         for message in [message for message in self.delayed if message.step <= self.step]:
-            todo.append((message.target, ("got", self.address(message.origin), message.data)))
+            todo.append((message.target, DatagramReceived(self.address(message.origin), message.data)))
         self.delayed = [message for message in self.delayed if message.step > self.step]
         for count in range(MOST_INPUTS_A_STEP):
             if count >= len(todo):
@@ -154,7 +158,7 @@
             name, machine_input = todo[count]
             if name not in self.stopped:
                 todo += self._feed(name, machine_input, count, delay)
-            elif machine_input[0] == "got":
+            elif isinstance(machine_input, DatagramReceived):
                 self.stopped[name].append(machine_input)
 
     def _feed(
@@ -163,13 +167,13 @@
         """Hand an input to a process; return the inputs of others that come of it in this step."""
         following = []
         for effect in self.machines[name].reduce(self.clock(name, count), machine_input):
-            if effect[0] == "allow":
-                self.allowances[name] = effect[3], effect[4]
+            if isinstance(effect, LimitAllowance):
+                self.allowances[name] = effect.amount, effect.until
                 self.check()
-            elif effect[0] == "send":
-                target = self.name_at(effect[1])
-                if self._arrives_now(name, target, effect[2], delay):
-                    following.append((target, ("got", self.address(name), effect[2])))
+            elif isinstance(effect, SendDatagram):
+                target = self.name_at(effect.address)
+                if self._arrives_now(name, target, effect.data, delay):
+                    following.append((target, DatagramReceived(self.address(name), effect.data)))
         return following
 
     def _arrives_now(self, origin: str, target: str | None, data: bytes, delay: Delay | None) -> bool:
@@ -184,8 +188,8 @@
         """Let a stopped process go on: it gets what waited."""
         for waiting in self.stopped.pop(name):
             for effect in self.machines[name].reduce(self.clock(name), waiting):
-                if effect[0] == "allow":
-                    self.allowances[name] = effect[3], effect[4]
+                if isinstance(effect, LimitAllowance):
+                    self.allowances[name] = effect.amount, effect.until
 
     def check(self) -> None:
         """Check what holders may use together, now."""
--- a/finchcart/fault_injection/virtual_run.py
+++ b/finchcart/fault_injection/virtual_run.py
@@ -8,7 +8,10 @@
 from finchcart.fault_injection.plan import Plan, PlannedAction
 from finchcart.fault_injection.run_record import Facts, RunRecord
 from finchcart.fault_injection.script import StepKind
+from finchcart.fleet.effects import LogLine
+from finchcart.fleet.inputs import Leave, Shutdown
 from finchcart.membership.config import MS, SECOND, MembershipConfig
+from finchcart.membership.effects import IsolationChanged, MemberChanged
 from finchcart.membership.member import Member
 
 US_PER_S = 1e6
@@ -64,15 +67,14 @@
         return RunRecord(self.events, self.start, self._facts())
 
     def _watch(self, now: int, name: str, effect: tuple) -> None:
-        if effect[0] == "change":
-            subject, state = effect[1:3]
-            line = f"{now} {name}: {effect}"
-            self.events.append(Event(now, name, EventKind.STATE, subject, state, line))
-        elif effect[0] == "isolated":
-            line = f"{now} {name}: {effect}"
-            self.events.append(Event(now, name, EventKind.ISOLATED, "", effect[1], line))
-        elif "gap_ms" in effect[2]:
-            self.events.append(Event(now, name, EventKind.WOKE, "", str(effect[2]["gap_ms"])))
+        if isinstance(effect, MemberChanged):
+            line = f"{now} {name}: change {effect.name!r}, {str(effect.state)!r}, {effect.incarnation}"
+            self.events.append(Event(now, name, EventKind.STATE, effect.name, effect.state, line))
+        elif isinstance(effect, IsolationChanged):
+            line = f"{now} {name}: isolated {effect.is_isolated}, {effect.reason!r}"
+            self.events.append(Event(now, name, EventKind.ISOLATED, "", effect.is_isolated, line))
+        elif isinstance(effect, LogLine) and "gap_ms" in effect.fields:
+            self.events.append(Event(now, name, EventKind.WOKE, "", str(effect.fields["gap_ms"])))
 
     def _start(self, name: str) -> None:
         self.events.append(Event(self.fleet.now, name, EventKind.BEGAN))
@@ -96,14 +98,14 @@
             handlers[action.kind](name)
 
     def _drain(self, name: str) -> None:
-        self.fleet.feed(name, ("leave",))
+        self.fleet.feed(name, Leave())
         self.drain_ends[name] = self.fleet.now + DRAIN_US + self.random.randrange(DRAIN_MORE_US)
 
     def _end_next_drain(self) -> None:
         """Play on to the end of the next drain: the last messages, then nothing."""
         name = min(self.drain_ends, key=self.drain_ends.get)
         self.fleet.run(self.drain_ends.pop(name), self.after_step)
-        self.fleet.feed(name, ("end",))
+        self.fleet.feed(name, Shutdown())
         self.fleet.kill(name)
 
     def _facts(self) -> Facts:
--- a/finchcart/fault_injection/virtual_time.py
+++ b/finchcart/fault_injection/virtual_time.py
@@ -12,10 +12,11 @@
 from typing import Any, Generic, TypeVar
 
 from finchcart.fault_injection.simulated_network import Delivery, SimulatedNetwork
+from finchcart.fleet.effects import SendDatagram
+from finchcart.fleet.inputs import DatagramReceived, Tick
 
 START_US = 1_000_000  # the clock's reading when a simulation begins
 MAX_BUFFERED = 250  # datagrams that wait for a stopped process
-TICK = ("tick",)  # the input of a state machine whose timer is due
 
 
 class VirtualTime:
@@ -145,14 +146,14 @@
         process.buffered = []
         for machine_input in buffered:
             self.feed(name, machine_input)
-        self.feed(name, TICK)
+        self.feed(name, Tick())
 
     def tick(self, name: str, life: int) -> None:
         """Feed the tick that is due, if the process of that life still runs, and schedule the next."""
         process = self.processes[name]
         if process.life != life:
             return
-        self.feed(name, TICK)
+        self.feed(name, Tick())
         self.after_tick(process)
         self.schedule(self.now + self.tick_interval(process), self.tick, name, life)
 
@@ -162,19 +163,19 @@
         if process.machine is None:
             return
         if process.stopped:
-            if machine_input[0] == "got" and len(process.buffered) < MAX_BUFFERED:
+            if isinstance(machine_input, DatagramReceived) and len(process.buffered) < MAX_BUFFERED:
                 process.buffered.append(machine_input)
             return
         self.last_fed = name
         for effect in process.machine.reduce(self.clock(process), machine_input):
-            if effect[0] != "send":
+            if not isinstance(effect, SendDatagram):
                 self.handle_effect(process, effect)
                 continue
-            host, port = effect[1]
+            host, port = effect.address
             target = self.names_by_address.get(f"{host}:{port}")
             if target is not None:
-                self.transmit(name, target, effect[2])
+                self.transmit(name, target, effect.data)
 
     def receive(self, origin: str, target: str, data: bytes) -> None:
         """Hand a datagram to the process that it arrives at."""
-        self.feed(target, ("got", self.processes[origin].endpoint, data))
+        self.feed(target, DatagramReceived(self.processes[origin].endpoint, data))
--- a/finchcart/fleet/message_endpoint.py
+++ b/finchcart/fleet/message_endpoint.py
@@ -1,24 +1,28 @@
-"""What the state machines of quota and key leases have in common: inputs, datagrams in and out, counters.
+"""The base of the state machines that exchange messages of one codec: inputs, datagrams in and out, counters.
 
 Owns the counters by reason and the effects of one turn. It must never act on a message: that is the
 subclass's. No I/O, no clock, no lock: `now` is the boot clock in whole microseconds, handed in.
 """
 
-from typing import Any, ClassVar
+from typing import Any, ClassVar, Generic, TypeVar
 
 from msgspec import Struct
 
 from finchcart.errors import FinchcartError
-from finchcart.fleet.codec import DatagramError, MessageCodec
-from finchcart.membership.effects import HostPort, InputKind, LogLine, SendDatagram
+from finchcart.fleet.codec import DatagramError, HostPort, MessageCodec
+from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.inputs import CommonInput, DatagramReceived, Shutdown, Tick
+
+MessageT = TypeVar("MessageT", bound=Struct)
+OwnInputT = TypeVar("OwnInputT")
 
 
 class MessageRejectedError(FinchcartError):
     """A message that was read and is not acted on; its text is the reason used for the counters."""
 
 
-class MessageEndpoint:
-    """A state machine that exchanges the messages of one codec.
+class MessageEndpoint(Generic[MessageT, OwnInputT]):
+    """A state machine that exchanges the messages `MessageT` and takes inputs `OwnInputT` of its own.
 
     Bounded by the number of reasons there are for the counters.
 
@@ -39,16 +43,15 @@
         self.fleet = fleet
         self.now = now
         self.counts: dict[str, int] = {}
-        self.effects: list[tuple] = []
+        self.effects: list[Effect] = []
         self.ended = False
 
-    def reduce(self, now: int, event: tuple) -> list[tuple]:
+    def reduce(self, now: int, event: CommonInput | OwnInputT) -> list[Effect]:
         """Take one input.
 
         Arguments:
             now: microseconds on the boot clock; an earlier time than the last counts as the last.
-            event: `(InputKind.TICK,)`, `(InputKind.DATAGRAM, address, data)`, `(InputKind.END,)`, or one of
-                the subclass's own; others are ignored.
+            event: one of finchcart/fleet/inputs.py, or of the subclass's own; others are ignored.
 
         Returns:
             The effects, in the order in which they are to be carried out.
@@ -57,12 +60,12 @@
         self.now = max(now, self.now)
         self.before_input()
         match event:
-            case (InputKind.DATAGRAM, address, data):
+            case DatagramReceived(address, data):
                 self._on_datagram(address, data)
-            case (InputKind.TICK,):
+            case Tick():
                 self.on_tick()
-            case (InputKind.END,):
-                self.on_end()
+            case Shutdown():
+                self.on_shutdown()
             case _:
                 self.on_input(event)
         self.after_input()
@@ -77,14 +80,14 @@
     def on_tick(self) -> None:
         """Take the regular input of time."""
 
-    def on_end(self) -> None:
+    def on_shutdown(self) -> None:
         """Take the input that this process ends."""
         self.ended = True
 
-    def on_input(self, event: tuple) -> None:
-        """Take an input of the subclass's own."""
+    def on_input(self, event: CommonInput | OwnInputT) -> None:
+        """Take an input of the subclass's own, or `Leave`."""
 
-    def on_message(self, address: HostPort, message: Struct) -> None:
+    def on_message(self, address: HostPort, message: MessageT) -> None:
         """Act on a message that was read; may raise `MessageRejectedError`."""
         raise NotImplementedError
 
@@ -92,7 +95,7 @@
         """Count one event."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def send(self, address: HostPort, message: Struct) -> None:
+    def send(self, address: HostPort, message: MessageT) -> None:
         """Send a message, unless it would be too long for a datagram, which is counted."""
         try:
             data = self.codec.encode_bounded(self.fleet, message)
@@ -100,11 +103,11 @@
             self.count(str(error))
             return
         self.count("sent")
-        self.effects.append(SendDatagram.of(address, data))
+        self.effects.append(SendDatagram(address, data))
 
     def log(self, text: str, **fields: object) -> None:
         """Write one line for the operators, with structured fields."""
-        self.effects.append(LogLine.of(text, fields))
+        self.effects.append(LogLine(text, fields))
 
     def _on_datagram(self, address: HostPort, data: bytes) -> None:
         self.count("received")
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -9,13 +9,22 @@
 """
 
 from collections.abc import Iterable
-from enum import StrEnum
 from random import Random
-from typing import Literal, NamedTuple
+from typing import NamedTuple
 
-from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, parse_address, take_fitting
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, HostPort, parse_address, take_fitting
+from finchcart.fleet.inputs import CommonInput
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.key_leases.config import KeyLeaseConfig
+from finchcart.key_leases.effects import LeaseAnswer
+from finchcart.key_leases.inputs import (
+    AbandonKeyLease,
+    AcquireKeyLeases,
+    ClientInput,
+    KeyLeaseRunCancelled,
+    KeyLeaseRunEnded,
+    KeyToLease,
+)
 from finchcart.key_leases.messages import (
     CODEC,
     RUN_ENDED,
@@ -28,7 +37,6 @@
     ReportOutcomes,
     Votes,
 )
-from finchcart.membership.effects import HostPort
 
 MAX_TRANSMISSIONS = 40  # of one outcome to replicas that do not acknowledge it
 MAX_BACKOFF = 8  # retransmission intervals between two transmissions of one outcome
@@ -44,30 +52,6 @@
 }
 
 
-class ClientInput(StrEnum):
-    """The first field of an input that is this client's own."""
-
-    ACQUIRE = "claim"  # a list of (key, payload digest, lease duration in microseconds)
-    ENDED = "ended"  # key, `COMPLETED` or `FAILED`, result: of a run that was commanded
-    NEVER_RAN = "never"  # key: its run will not be commanded
-    ABANDON = "leave_it"  # key: nobody waits for the answer any more
-
-
-class LeaseAnswer(NamedTuple):
-    """The effect that answers an attempt.
-
-    `GRANTED`: command the run before `run_before` on the boot clock, or not at all. `COMPLETED`: `result` is
-    of a run elsewhere. `HELD`: it runs elsewhere and did not end in time. `UNAVAILABLE`: no quorum, or no
-    room: it never ran here. `FAILED` and `PAYLOAD_MISMATCH` as in `LeaseStatus`.
-    """
-
-    kind: Literal["claimed"]
-    key: bytes
-    status: LeaseStatus
-    result: bytes
-    run_before: int | None
-
-
 class Attempt:
     """One attempt to acquire the lease of a key. Times are microseconds on the boot clock."""
 
@@ -108,9 +92,8 @@
         self.transmissions = 0
 
 
-class KeyLeaseClient(MessageEndpoint):
-    """A holder's state machine; see `MessageEndpoint` and `ClientInput` for its inputs, `LeaseAnswer` for its
-    own effect.
+class KeyLeaseClient(MessageEndpoint[Message, ClientInput]):
+    """A holder's state machine; see `MessageEndpoint` and `ClientInput` for its inputs.
 
     Arguments:
         name: of this node.
@@ -134,16 +117,16 @@
         self.last_attempt = 0
         self.deliveries: dict[tuple[bytes, int], OutcomeDelivery] = {}  # by key and attempt
 
-    def on_input(self, event: tuple) -> None:
+    def on_input(self, event: CommonInput | ClientInput) -> None:
         """Take an input of the core's."""
         match event:
-            case (ClientInput.ACQUIRE, requests):
-                self.on_acquire(requests)
-            case (ClientInput.ENDED, key, status, result):
+            case AcquireKeyLeases(keys):
+                self.on_acquire(keys)
+            case KeyLeaseRunEnded(key, status, result):
                 self.on_ended(key, status, result)
-            case (ClientInput.NEVER_RAN, key):
+            case KeyLeaseRunCancelled(key):
                 self.on_never_ran(key)
-            case (ClientInput.ABANDON, key):
+            case AbandonKeyLease(key):
                 attempt = self.attempts.pop(key, None)
                 if attempt is not None:
                     self.release(key, attempt.number)
@@ -161,9 +144,9 @@
 
     # ---- attempts
 
-    def on_acquire(self, requests: Iterable[tuple[bytes, int, int]]) -> None:
-        """Begin to acquire leases; each is (key, payload digest, duration in microseconds)."""
-        for key, payload_digest, duration_us in requests:
+    def on_acquire(self, keys: Iterable[KeyToLease]) -> None:
+        """Begin to acquire leases."""
+        for key, payload_digest, duration_us in keys:
             if key in self.attempts or key in self.held:
                 self.count("claimed already")
             elif len(self.attempts) + len(self.held) >= self.config.entries:
@@ -192,7 +175,7 @@
     ) -> None:
         """Answer an attempt, see `LeaseAnswer`."""
         self.count(ANSWER_COUNTERS[status])
-        self.effects.append(LeaseAnswer("claimed", key, status, result, run_before))
+        self.effects.append(LeaseAnswer(key, status, result, run_before))
 
     def release(self, key: bytes, attempt: int) -> None:
         """Give an attempt back: it never ran and never will."""
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -8,9 +8,9 @@
 """
 
 from collections import OrderedDict
-from typing import NamedTuple
+from typing import NamedTuple, Never
 
-from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, take_fitting
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, HostPort, take_fitting
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.key_leases.messages import (
@@ -26,7 +26,6 @@
     ReportOutcomes,
     Votes,
 )
-from finchcart.membership.effects import HostPort
 
 EXPIRED_PER_TICK = 64  # of each table: bounds the work of one tick
 VOTES_OVERHEAD_BYTES = 120  # of a datagram, for all but the votes in it
@@ -57,7 +56,7 @@
     expires_at: int
 
 
-class KeyLeaseReplica(MessageEndpoint):
+class KeyLeaseReplica(MessageEndpoint[Message, Never]):
     """A replica's state machine; see `MessageEndpoint` for its inputs and effects.
 
     Arguments:
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -43,7 +43,7 @@
         """Changes the state, where it differs, and tells the driver."""
         if is_isolated != self.is_isolated:
             self.is_isolated = is_isolated
-            self.table.outbox.emit(IsolationChanged.of(is_isolated, reason))
+            self.table.outbox.emit(IsolationChanged(is_isolated, reason))
 
     def on_clock_gap(self, now: int) -> None:
         """This process was suspended: it is isolated until contact is proven anew."""
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -4,27 +4,28 @@
 failure_detection.py, isolation.py, name_contest.py, gossip.py, anti_entropy.py, heartbeats.py). `reduce(now,
 event)` takes one input and returns effects (effects.py); it must never do I/O, read a clock or take a lock.
 
-Inputs: `("tick",)` (once a tick), `("got", address, datagram)`, `("leave",)` (the notice to drain),
-`("end",)`, `("figures", MembershipConfig)`, `("rider", ...)` (handed on to the piggyback clients, see
-finchcart/consensus/store.py). A driver logs changes too. `now` is the boot clock in whole microseconds,
-which counts suspension: a gap between two inputs is a suspension of this process, and is an input by itself.
+Inputs: those of finchcart/fleet/inputs.py and inputs.py. A driver logs changes too. `now` is the boot clock
+in whole microseconds, which counts suspension: a gap between two inputs is a suspension of this process, and
+is an input by itself.
 
 Bounds: records `config.max_members`, tombstones and contests as many, links as many as records, updates
 `config.max_pending_updates`, sent datagrams `config.max_datagrams` a period, 32 send times a link, one gossip
 entry a topic and record. All age out with `config.forget_after`.
 """
 
-from collections.abc import Callable
+from collections.abc import Sequence
 from random import Random
-from typing import Protocol
+from typing import Any, Protocol
 
-from finchcart.fleet.codec import DatagramError, name_hash, parse_address
+from finchcart.fleet.codec import DatagramError, HostPort, name_hash, parse_address
+from finchcart.fleet.effects import Effect
+from finchcart.fleet.inputs import CommonInput, DatagramReceived, Leave, Shutdown, Tick
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.config import MembershipConfig
-from finchcart.membership.effects import Effect, HostPort, InputKind
 from finchcart.membership.failure_detection import FailureDetector
 from finchcart.membership.gossip import Counters, GossipEntryStore
 from finchcart.membership.heartbeats import HeartbeatSender
+from finchcart.membership.inputs import MembershipConfigChanged, PiggybackInput
 from finchcart.membership.isolation import IsolationMonitor
 from finchcart.membership.messages import (
     CODEC,
@@ -45,15 +46,17 @@
 from finchcart.membership.view import Graph
 from finchcart.membership.view_report import ViewReport
 
+MemberInput = CommonInput | MembershipConfigChanged | PiggybackInput
+
 
 class PiggybackClient(Protocol):
     """A state machine whose gossip entries are piggybacked on a member's heartbeats."""
 
-    def reduce(self, now: int, event: tuple) -> list:
-        """Takes one input; its effects."""
+    def reduce(self, now: int, event: Any) -> Sequence[Effect]:  # the driver knows whose input it is
+        """Take one input; return its effects."""
 
-    def turn(self, now: int, member: "Member") -> list:
-        """Called with each tick of the member; its effects."""
+    def turn(self, now: int, member: "Member") -> Sequence[Effect]:
+        """Act with each tick of the member; return its effects."""
 
 
 class Member:
@@ -108,17 +111,6 @@
         self.anti_entropy = AntiEntropy(self.table, config, random)
         self.heartbeats = HeartbeatSender(self.table, self.detector, self.gossip, config, other_seeds, random)
         self.report = ViewReport(self.table, self.detector, self.isolation)
-        self._handlers = self._input_handlers()
-
-    def _input_handlers(self) -> dict[str, Callable[..., None]]:
-        return {
-            InputKind.TICK: self._on_tick,
-            InputKind.DATAGRAM: self._on_datagram,
-            InputKind.LEAVE: self._on_leave,
-            InputKind.END: self._on_end,
-            InputKind.CONFIG: self._on_config,
-            InputKind.PIGGYBACK: self._on_piggyback,
-        }
 
     # ---- what others read
 
@@ -181,18 +173,27 @@
 
     # ---- inputs
 
-    def reduce(self, now: int, event: tuple) -> list[Effect]:
-        """Takes one input; the effects that the driver carries out."""
+    def reduce(self, now: int, event: MemberInput) -> list[Effect]:
+        """Take one input; return the effects that the driver carries out."""
         effects = self.outbox.begin_input()
         gap = now - self.last_input_at
         if gap > self.config.clock_gap:
             self._on_clock_gap(now, gap)
         now = max(now, self.last_input_at)
         self.last_input_at = now
-        kind, *arguments = event
-        handler = self._handlers.get(kind)
-        if handler is not None:
-            handler(now, *arguments)
+        match event:
+            case DatagramReceived(address, data):
+                self._on_datagram(now, address, data)
+            case Tick():
+                self._on_tick(now)
+            case PiggybackInput(event=piggybacked):
+                self._on_piggyback(now, piggybacked)
+            case MembershipConfigChanged(config):
+                self._on_config(config)
+            case Leave():
+                self._on_leave(now)
+            case Shutdown():
+                self._on_shutdown(now)
         return effects
 
     def _on_clock_gap(self, now: int, gap: int) -> None:
@@ -221,7 +222,7 @@
     def _on_leave(self, now: int) -> None:
         self._declare(now, DeclaredStatus.LEAVING, MemberState.LEAVING)
 
-    def _on_end(self, now: int) -> None:
+    def _on_shutdown(self, now: int) -> None:
         self._declare(now, DeclaredStatus.LEFT, MemberState.LEFT)
         self.heartbeats.send_farewell(now)
         self.ended = True
@@ -231,7 +232,7 @@
             self.table.update_own_record(status=status)
             self.table.set_state(now, self.known_members[self.own_id], state)
 
-    def _on_config(self, now: int, config: MembershipConfig) -> None:
+    def _on_config(self, config: MembershipConfig) -> None:
         self.config = config
         for owner in (
             self.outbox,
@@ -245,7 +246,7 @@
             owner.config = config
         self.table.is_graph_outdated = True
 
-    def _on_piggyback(self, now: int, *event: object) -> None:
+    def _on_piggyback(self, now: int, event: tuple[Any, ...]) -> None:
         for client in self.piggyback_clients:
             self.outbox.effects.extend(client.reduce(now, event))
 
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -3,9 +3,9 @@
 Owns the list of effects of the current input and the counters by reason. It must never decide what is sent.
 """
 
-from finchcart.fleet.codec import DatagramError
+from finchcart.fleet.codec import DatagramError, HostPort
+from finchcart.fleet.effects import Effect, LogLine, SendDatagram
 from finchcart.membership.config import MembershipConfig
-from finchcart.membership.effects import Effect, HostPort, LogLine, SendDatagram
 from finchcart.membership.messages import CODEC, Message
 
 
@@ -44,7 +44,7 @@
 
     def log(self, text: str, **fields: object) -> None:
         """One line for the operators."""
-        self.emit(LogLine.of(text, fields))
+        self.emit(LogLine(text, fields))
 
     def send(self, address: HostPort, message: Message) -> bool:
         """Sends a message; False where this period's datagrams are used up or the message is too long."""
@@ -59,5 +59,5 @@
             return False
         self.count("sent")
         self.count("bytes sent", len(data))
-        self.emit(SendDatagram.of(address, data))
+        self.emit(SendDatagram(address, data))
         return True
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -6,12 +6,11 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
 
 import msgspec
 
 from finchcart.fleet.codec import DatagramError, name_hash, parse_address
-from finchcart.fleet.plain_enums import PlainStrEnum
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.effects import MemberChanged
 from finchcart.membership.messages import DeclaredStatus, MemberRecord, Version
@@ -19,7 +18,7 @@
 from finchcart.membership.update_queue import UpdateQueue
 
 
-class MemberState(PlainStrEnum):
+class MemberState(StrEnum):
     """What a process holds a member to be."""
 
     ALIVE = "alive"
@@ -141,7 +140,7 @@
         known = self.members[member_id]
         if previous_session != record.session:
             self.outbox.count("successors")
-            self.outbox.emit(MemberChanged.of(record.name, known.state, record.incarnation))
+            self.outbox.emit(MemberChanged(record.name, known.state, record.incarnation))
         self._follow_declared_status(now, known)
         return Reception.NEWER
 
@@ -188,7 +187,7 @@
         known = KnownMember(record, now)
         self.members[member_id] = known
         self.digest ^= known.digest
-        self.outbox.emit(MemberChanged.of(record.name, MemberState.ALIVE, record.incarnation))
+        self.outbox.emit(MemberChanged(record.name, MemberState.ALIVE, record.incarnation))
         self.is_graph_outdated = True
         self._gossip(member_id)
 
@@ -220,7 +219,7 @@
         if state == MemberState.FAILED:
             known.failed_precedence = known.record.precedence
         self.is_changed = True
-        self.outbox.emit(MemberChanged.of(known.record.name, state, known.record.incarnation))
+        self.outbox.emit(MemberChanged(known.record.name, state, known.record.incarnation))
 
     def forget(self, member_id: int) -> None:
         """Takes a member out of the table and leaves its tombstone."""
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -15,12 +15,14 @@
 from contextlib import suppress
 from queue import Empty, SimpleQueue
 from socket import AF_INET, MSG_DONTWAIT, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from loguru import logger
 
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES
-from finchcart.membership.effects import EffectKind, InputKind, IsolationChanged
+from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.inputs import DatagramReceived, Shutdown, Tick
+from finchcart.membership.effects import IsolationChanged, MemberChanged
 from finchcart.net.clock import boot_clock
 
 DEFAULT_TICK_US = 100_000  # where no machine names its own
@@ -29,10 +31,13 @@
 END_REPETITIONS = 2  # times that the others are told of the end
 STOP_TIMEOUT_S = 1.0
 MICROSECONDS_PER_SECOND = 1e6
-RELOAD = ("reread",)  # in the mailbox: read the settings file again
 
 Address = tuple[str, int]
-MachineInput = tuple[Any, ...]  # begins with its kind
+MachineInput = tuple[Any, ...]  # a NamedTuple type for each input
+
+
+class ReloadSettings(NamedTuple):
+    """In the mailbox: read the settings file again."""
 
 
 class StateMachine(Protocol):
@@ -43,8 +48,8 @@
 
     ended: bool
 
-    def reduce(self, now: int, event: MachineInput) -> Sequence[tuple]:
-        """Process one input; return effects, each a tuple that begins with its kind."""
+    def reduce(self, now: int, event: Any) -> Sequence[Effect]:  # each machine has inputs of its own
+        """Process one input; return effects, told apart by type."""
 
     def count(self, reason: str) -> None:
         """Count an event of the channel's traffic."""
@@ -64,7 +69,7 @@
         self,
         listen: Address,
         make_machines: Callable[[int], Mapping[bytes, StateMachine]],
-        publish: Callable[[tuple], object],
+        publish: Callable[[Effect], object],
         reload: Callable[[], Sequence[tuple[bytes, MachineInput]]],
     ) -> None:
         self.sock = socket(AF_INET, SOCK_DGRAM)
@@ -85,14 +90,14 @@
         """Start the thread."""
         threading.Thread(target=self._run, name="fleet", daemon=True).start()
 
-    def post(self, channel: bytes | None, *event: object) -> None:
+    def post(self, channel: bytes | None, event: MachineInput) -> None:
         """Queue an input for one machine, or for all (None): it is handled with the next tick.
 
         May be called from a signal handler.
         """
         self._mailbox.put((channel, event))
 
-    def post_now(self, channel: bytes | None, *event: object) -> None:
+    def post_now(self, channel: bytes | None, event: MachineInput) -> None:
         """Queue an input that is handled at once: an empty datagram to itself ends the thread's wait."""
         self._mailbox.put((channel, event))
         with suppress(OSError):  # the next tick is soon
@@ -100,11 +105,11 @@
 
     def post_reload(self) -> None:
         """Have the settings read again; may be called from a signal handler."""
-        self._mailbox.put((None, RELOAD))
+        self._mailbox.put((None, ReloadSettings()))
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
         """End the machines, and wait until the others were told."""
-        self.post(None, InputKind.END)
+        self.post(None, Shutdown())
         self._has_ended.wait(timeout_s)
 
     # ---- The thread
@@ -116,7 +121,7 @@
         except Exception:
             # Guards against a node that falls with its view of the others: alone is an ordinary state.
             logger.exception("fleet: the state can't be trusted, this process is alone from here on")
-            self._publish(IsolationChanged.of(True, "fault"))
+            self._publish(IsolationChanged(True, "fault"))
         finally:
             self._has_ended.set()
 
@@ -134,7 +139,7 @@
             due = self._tick(due)
         for _ in range(END_REPETITIONS - 1):
             for machine in machines:
-                self._feed(machine, (InputKind.END,))
+                self._feed(machine, Shutdown())
 
     def _receive_pending(self) -> None:
         """Process all that came before the tick: who is late doubts itself before others.
@@ -151,7 +156,7 @@
         now = boot_clock()
         tick = DEFAULT_TICK_US
         for machine in self._machines.values():
-            self._execute(machine, machine.reduce(now, (InputKind.TICK,)))
+            self._execute(machine, machine.reduce(now, Tick()))
             tick = min(tick, getattr(machine, "tick", DEFAULT_TICK_US))
         return max(due + tick, now + tick // 2)
 
@@ -159,7 +164,7 @@
         with suppress(Empty):
             while True:
                 channel, event = self._mailbox.get_nowait()
-                if event == RELOAD:
+                if isinstance(event, ReloadSettings):
                     for concerned, config in self._reload():
                         self._deliver(concerned, config)
                 else:
@@ -182,7 +187,7 @@
             return True
         machine = self._machines.get(data[:1])
         if machine:
-            self._feed(machine, (InputKind.DATAGRAM, address, data))
+            self._feed(machine, DatagramReceived(address, data))
         else:
             next(iter(self._machines.values())).count("of an unknown channel")
         return True
@@ -190,30 +195,27 @@
     def _feed(self, machine: StateMachine, event: MachineInput) -> None:
         self._execute(machine, machine.reduce(boot_clock(), event))
 
-    def _execute(self, machine: StateMachine, effects: Sequence[tuple]) -> None:
+    def _execute(self, machine: StateMachine, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            kind, *fields = effect
-            if kind == EffectKind.SEND:
-                address, data = fields
-                try:
-                    self.sock.sendto(data, MSG_DONTWAIT, address)
-                except OSError:
-                    machine.count("could not be sent")
-            elif kind == EffectKind.LOG:
-                text, values = fields
-                logger.bind(**values).info("fleet: {}", text)
-            else:
-                self._publish(effect)
-                _log_change(kind, fields)
-
-
-def _log_change(kind: str, fields: Sequence[Any]) -> None:
+            match effect:
+                case SendDatagram(address, data):
+                    try:
+                        self.sock.sendto(data, MSG_DONTWAIT, address)
+                    except OSError:
+                        machine.count("could not be sent")
+                case LogLine(text, fields):
+                    logger.bind(**fields).info("fleet: {}", text)
+                case _:
+                    self._publish(effect)
+                    _log_change(effect)
+
+
+def _log_change(change: Effect) -> None:
     """Log a change of membership; other changes have lines of their own."""
-    if kind == EffectKind.MEMBER_CHANGED:
-        name, state, incarnation = fields
-        line = logger.bind(member=name, state=state, incarnation=incarnation)
-        line.info("members: {} is {}", name, state)
-    elif kind == EffectKind.ISOLATION_CHANGED:
-        is_isolated, reason = fields
-        line = logger.bind(isolated=is_isolated, why=reason)
-        line.info("members: {}: {}", "isolated" if is_isolated else "connected", reason)
+    match change:
+        case MemberChanged(name, state, incarnation):
+            line = logger.bind(member=name, state=state, incarnation=incarnation)
+            line.info("members: {} is {}", name, state)
+        case IsolationChanged(is_isolated, reason):
+            line = logger.bind(isolated=is_isolated, why=reason)
+            line.info("members: {}: {}", "isolated" if is_isolated else "connected", reason)
--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -5,7 +5,19 @@
 for, nor keep anything.
 """
 
+from finchcart.consensus.effects import DecisionsChanged
+from finchcart.fleet.effects import Effect
+from finchcart.key_leases.effects import LeaseAnswer
+from finchcart.key_leases.inputs import (
+    AbandonKeyLease,
+    AcquireKeyLeases,
+    ClientInput,
+    KeyLeaseRunCancelled,
+    KeyLeaseRunEnded,
+    KeyToLease,
+)
 from finchcart.key_leases.messages import LeaseStatus
+from finchcart.membership import effects as membership_effects
 from finchcart.node.effects import (
     AbandonKeyLeaseRequest,
     KeyLeaseAction,
@@ -22,6 +34,7 @@
     KeyLeaseOutcome,
     MemberChanged,
 )
+from finchcart.quota.effects import LimitAllowance
 
 OUTCOMES = {
     LeaseStatus.GRANTED: KeyLeaseOutcome.GRANTED,
@@ -33,40 +46,31 @@
 }
 
 
-def fleet_input(change: tuple) -> FleetInput:
-    """The input of the core for a change that a state machine of the fleet emitted, by its first word."""
-    kind, *fields = change
-    if kind == "allow":
-        return AllocationGranted(*fields)
-    if kind == "verdicts":
-        (consensus,) = fields
-        return ConsensusChanged(
-            dependency_state=consensus["store"],
-            ejected=consensus["out"],
-            min_shed_level=consensus["level"],
-            source_states=consensus["sources"],
-        )
-    if kind == "claimed":
-        key, answer, result, run_by = fields
-        return KeyLeaseAnswered(key, OUTCOMES[answer], result, run_by)
-    if kind == "isolated":
-        return IsolationChanged(fields[0])
-    return MemberChanged(*fields[:3])
+def fleet_input(change: Effect) -> FleetInput:
+    """Return the input of the core for a change that a state machine of the fleet emitted."""
+    match change:
+        case LimitAllowance():
+            return AllocationGranted(*change)
+        case DecisionsChanged(store, sources, is_ejected, minimum_level):
+            return ConsensusChanged(store, is_ejected, minimum_level, sources)
+        case LeaseAnswer(key, status, result, run_before):
+            return KeyLeaseAnswered(key, OUTCOMES[status], result, run_before)
+        case membership_effects.IsolationChanged(is_isolated):
+            return IsolationChanged(is_isolated)
+        case membership_effects.MemberChanged():
+            return MemberChanged(*change)
+    raise TypeError(f"change of the fleet: expected an effect of its packages, found {type(change).__name__}")
 
 
-def key_lease_client_input(command: KeyLeaseAction) -> tuple:
-    """The input of the key lease client for a command of the core."""
-    if isinstance(command, RequestKeyLeases):
-        return "claim", [tuple(request) for request in command.requests]
-    if isinstance(command, ReportRunEnded):
-        return (
-            "ended",
-            command.key,
-            LeaseStatus.COMPLETED if command.succeeded else LeaseStatus.FAILED,
-            command.result,
-        )
-    if isinstance(command, ReleaseKeyLease):
-        return "never", command.key
-    if isinstance(command, AbandonKeyLeaseRequest):
-        return "leave_it", command.key
+def key_lease_client_input(command: KeyLeaseAction) -> ClientInput:
+    """Return the input of the key lease client for a command of the core."""
+    match command:
+        case RequestKeyLeases(requests):
+            return AcquireKeyLeases([KeyToLease(*request) for request in requests])
+        case ReportRunEnded(key, succeeded, result):
+            return KeyLeaseRunEnded(key, LeaseStatus.COMPLETED if succeeded else LeaseStatus.FAILED, result)
+        case ReleaseKeyLease(key):
+            return KeyLeaseRunCancelled(key)
+        case AbandonKeyLeaseRequest(key):
+            return AbandonKeyLease(key)
     raise TypeError(f"key lease command: expected one of effects.py, found {type(command).__name__}")
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -17,9 +17,8 @@
 from typing import NamedTuple
 
 from finchcart.fleet import leases
-from finchcart.fleet.codec import name_hash, parse_address
+from finchcart.fleet.codec import HostPort, name_hash, parse_address
 from finchcart.fleet.message_endpoint import MessageRejectedError
-from finchcart.membership.effects import HostPort
 from finchcart.quota.limits import QuotaConfig
 from finchcart.quota.messages import (
     Accept,
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -13,11 +13,12 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from finchcart.fleet.codec import parse_address
+from finchcart.fleet.codec import HostPort, parse_address
+from finchcart.fleet.inputs import CommonInput, Leave
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
-from finchcart.membership.effects import HostPort, InputKind
-from finchcart.quota.effects import LimitAllowance, QuotaInput
+from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.held_lease import Allowance, HeldLease, LeaseId
+from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 from finchcart.quota.limit_table import reconcile
 from finchcart.quota.limits import MS, QuotaConfig
 from finchcart.quota.messages import (
@@ -47,8 +48,8 @@
     return []
 
 
-class LeaseHolder(MessageEndpoint):
-    """The holder's state machine; see `MessageEndpoint` and `QuotaInput` for its inputs.
+class LeaseHolder(MessageEndpoint[Message, UsageReported | QuotaConfigChanged]):
+    """The holder's state machine; see `MessageEndpoint` and inputs.py for its inputs.
 
     Arguments:
         name: of this node.
@@ -89,14 +90,14 @@
         if self.held and self.now >= self.next_request_at and not self.ended:
             self._request()
 
-    def on_input(self, event: tuple) -> None:
+    def on_input(self, event: CommonInput | UsageReported | QuotaConfigChanged) -> None:
         """Take an input of the node's."""
         match event:
-            case (QuotaInput.USAGE, limit, in_use, demand, *priority_demand):
-                self.on_usage(limit, in_use, demand, *priority_demand)
-            case (QuotaInput.CONFIG, quota):
+            case UsageReported():
+                self.on_usage(event)
+            case QuotaConfigChanged(quota):
                 self.on_config(quota)
-            case (InputKind.LEAVE,):
+            case Leave():
                 self.is_leaving = True
                 self.next_request_at = self.now
 
@@ -112,16 +113,16 @@
             case _:
                 raise MessageRejectedError("not for a holder")
 
-    def on_usage(self, limit: str, in_use: int, demand: int, priority_demand: int = 0) -> None:
+    def on_usage(self, usage: UsageReported) -> None:
         """Take usage and demand of a limit beyond its floor."""
-        held = self.held.get(limit)
+        held = self.held.get(usage.limit)
         if held is None:
             return
-        has_jumped = demand > held.amount and demand > held.demand
-        has_given_way = held.in_use > held.amount >= in_use
-        held.in_use = in_use
-        held.demand = demand
-        held.priority_demand = priority_demand
+        has_jumped = usage.demand > held.amount and usage.demand > held.demand
+        has_given_way = held.in_use > held.amount >= usage.in_use
+        held.in_use = usage.in_use
+        held.demand = usage.demand
+        held.priority_demand = usage.priority_demand
         if has_jumped or has_given_way:
             self._request_soon()
 
@@ -130,7 +131,7 @@
         self.effects += reconcile(self.held, quota.strict, HeldLease)
         self.quota = quota
 
-    def on_end(self) -> None:
+    def on_shutdown(self) -> None:
         """Give all leases back: no answer to an earlier request is taken any more."""
         self.is_leaving = True
         for held in self.held.values():
@@ -234,7 +235,7 @@
         allowance = Allowance(held.limit.floor, held.amount, held.expires_at)
         if allowance != held.handed_out:
             held.handed_out = allowance
-            self.effects.append(LimitAllowance.of(held.limit.name, *allowance))
+            self.effects.append(LimitAllowance(held.limit.name, *allowance))
         is_at_floor = not held.is_active(self.now)
         if is_at_floor != held.is_at_floor:
             held.is_at_floor = is_at_floor
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -23,8 +23,9 @@
 from finchcart.fleet.leases import MS, SECOND
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import MemberState
-from finchcart.quota.effects import LimitAllowance, QuotaInput
+from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.fair_share import max_min_shares
+from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 from finchcart.quota.limit_table import reconcile
 from finchcart.quota.limits import Limit, QuotaConfig
 
@@ -110,12 +111,12 @@
         self.connected: list[int] = []  # ids of members with recent two-way contact
         self.unconfirmed: list[int] = []  # ids of members that are alive, without recent two-way contact
 
-    def reduce(self, now: int, event: tuple) -> list[LimitAllowance]:
-        """Take an input, see `QuotaInput`; returns effects."""
+    def reduce(self, now: int, event: tuple[Any, ...]) -> list[LimitAllowance]:
+        """Take an input of inputs.py, ignore any other; return effects."""
         match event:
-            case (QuotaInput.USAGE, limit, in_use, demand, *_):
+            case UsageReported(limit, in_use, demand):
                 self.on_usage(limit, in_use, demand)
-            case (QuotaInput.CONFIG, quota):
+            case QuotaConfigChanged(quota):
                 return self.on_config(quota)
         return []
 
@@ -153,7 +154,7 @@
         allocation.handed_out_at = now
         floor = min(amount, allocation.limit.floor)
         until = now + ALLOWANCE_DURATION_US
-        yield LimitAllowance.of(allocation.limit.name, floor, amount - floor, until)
+        yield LimitAllowance(allocation.limit.name, floor, amount - floor, until)
 
     # ---- the view of the fleet
 
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -11,10 +11,11 @@
 from random import Random
 from typing import Any, ClassVar
 
+from finchcart.fleet.codec import HostPort
+from finchcart.fleet.inputs import CommonInput
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
-from finchcart.membership.effects import HostPort
 from finchcart.quota.allocator import Allocator
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.leader_election import LeaderElection
 from finchcart.quota.limits import MS, Limit, QuotaConfig
 from finchcart.quota.messages import (
@@ -35,8 +36,8 @@
 )
 
 
-class Planner(MessageEndpoint):
-    """A planner's state machine; see `MessageEndpoint` for its inputs, and `QuotaInput.CONFIG`.
+class Planner(MessageEndpoint[Message, QuotaConfigChanged]):
+    """A planner's state machine; see `MessageEndpoint` for its inputs, and `QuotaConfigChanged`.
 
     Arguments:
         address: its own, as the configuration names it.
@@ -72,10 +73,10 @@
         if was_leader:
             self.allocator.expire(self.now)
 
-    def on_input(self, event: tuple) -> None:
+    def on_input(self, event: CommonInput | QuotaConfigChanged) -> None:
         """Take a new configuration."""
         match event:
-            case (QuotaInput.CONFIG, quota):
+            case QuotaConfigChanged(quota):
                 self.quota = quota
                 self.election.set_config(quota)
                 self.allocator.set_config(quota)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -15,6 +15,7 @@
 from finchcart.consensus import decision, standing, subjects
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
 from finchcart.consensus.decision import decide, median_without
+from finchcart.consensus.effects import DecisionsChanged
 from finchcart.consensus.messages import CODEC, OperatorOverride, OverrideRequest, Report, StatusResponse
 from finchcart.consensus.observations import MILLION, Observer
 from finchcart.consensus.overrides import Override, OverrideTable
@@ -44,6 +45,7 @@
 from finchcart.node.inputs import MessagesReceived
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.observer import NodeObserver
+from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
 from finchcart.thrift.messages import HeartbeatCall
 from tests.core_harness import CoreHarness
@@ -411,13 +413,13 @@
     limiters = LimiterSet((Limit("trial", 4, counts="trial", mode="loose"),), 20 * MS, 10)
     limiters.recovery_step_us, limiters.probe_timeout_us = CONFIG.recovery_step, CONFIG.probe_timeout
     harness = plain_harness(limiters, NodeObserver(CONFIG), **settings)
-    harness.feed(fleet_input(("allow", "trial", 0, 1, harness.now + 10**12)))
+    harness.feed(fleet_input(LimitAllowance("trial", 0, 1, harness.now + 10**12)))
     return harness
 
 
 def holds(harness, **changed):
-    good = {"store": WORKING, "sources": {}, "out": False, "level": 0.0}
-    harness.feed(fleet_input(("verdicts", {**good, **changed})))
+    good = DecisionsChanged(WORKING, sources={}, is_ejected=False, minimum_level=0.0)
+    harness.feed(fleet_input(good._replace(**changed)))
 
 
 def test_a_store_that_is_down_gets_this_nodes_probe_calls_alone_and_more_by_steps_once_it_is_back():
@@ -429,7 +431,7 @@
     assert capacity() is None
     holds(harness, store=DOWN)
     assert capacity() == 1 and harness.limiters.acquire_call(harness.core.store)[1] == CONFIG.probe_timeout
-    harness.feed(fleet_input(("allow", "trial", 0, 0, harness.now + 10**12)))
+    harness.feed(fleet_input(LimitAllowance("trial", 0, 0, harness.now + 10**12)))
     assert capacity() == 0 and harness.limiters.acquire_call(harness.core.store) is None
     holds(harness)
     capacities = []
@@ -502,13 +504,13 @@
             holds(
                 harness,
                 store=rng.choice((WORKING, SLOW, DOWN)),
-                level=rng.choice((0.0, 0.0, 0.3, 0.9)),
-                out=rng.random() < 0.2,
+                minimum_level=rng.choice((0.0, 0.0, 0.3, 0.9)),
+                is_ejected=rng.random() < 0.2,
                 sources=rng.choice(({}, {}, {here: THROTTLED}, {here: BLOCKED})),
             )
         if rng.random() < 0.05 and not harness.ended:
             name = rng.choice(("trial", "calls"))
-            harness.feed(fleet_input(("allow", name, 0, rng.randrange(3), harness.now + SECOND)))
+            harness.feed(fleet_input(LimitAllowance(name, 0, rng.randrange(3), harness.now + SECOND)))
 
     harness.step = stepped
     play(harness, rng)
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -16,6 +16,8 @@
 from finchcart.key_leases import messages
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig, config_errors
+from finchcart.key_leases.effects import LeaseAnswer
+from finchcart.key_leases.inputs import AcquireKeyLeases, KeyLeaseRunCancelled, KeyLeaseRunEnded, KeyToLease
 from finchcart.key_leases.messages import LeaseStatus
 from finchcart.key_leases.replica import KeyLeaseReplica
 from finchcart.node.fleet_inputs import fleet_input, key_lease_client_input
@@ -35,7 +37,7 @@
 
 def acquire(simulation, name, payload_digest=7, key=KEY):
     """A holder begins to acquire the lease of a key."""
-    simulation.feed(name, "claim", [(key, payload_digest, 12 * SECOND)])
+    simulation.feed(name, AcquireKeyLeases([KeyToLease(key, payload_digest, 12 * SECOND)]))
 
 
 def test_one_of_two_gets_the_key_and_the_other_its_result():
@@ -64,7 +66,7 @@
     acquire(simulation, "h1")
     settle(simulation, simulation.config.wait // TICK_US + 4)
     assert simulation.answers["h1", KEY] == [LeaseStatus.HELD]
-    simulation.feed("h0", "never", KEY)
+    simulation.feed("h0", KeyLeaseRunCancelled(KEY))
     del simulation.granted["h0", KEY]
     acquire(simulation, "h1")
     settle(simulation, 6)
@@ -127,12 +129,12 @@
 def test_many_requests_go_in_one_message_and_a_result_too_long_is_reported_as_lost():
     simulation = KeyLeaseSimulation()
     keys = [messages.key_digest("m", str(n)) for n in range(20)]
-    simulation.feed("h0", "claim", [(key, 7, 12 * SECOND) for key in keys])
+    simulation.feed("h0", AcquireKeyLeases([KeyToLease(key, 7, 12 * SECOND) for key in keys]))
     assert len(simulation.in_flight) == 6, "sixteen to a message, three replicas"
     settle(simulation, 1)
     for key in keys:
         simulation.command("h0", key)
-    simulation.feed("h0", "ended", keys[0], LeaseStatus.COMPLETED, b"x" * 300)
+    simulation.feed("h0", KeyLeaseRunEnded(keys[0], LeaseStatus.COMPLETED, b"x" * 300))
     simulation.runs[keys[0]][0].outcome = LeaseStatus.COMPLETED
     settle(simulation, 2)
     acquire(simulation, "h1", key=keys[0])
@@ -201,20 +203,19 @@
             self.held.add(key)
         if not self.harness.ended:
             run_before = self.harness.now + self.rng.choice((5, 1000)) * MS
-            self.harness.feed(fleet_input(("claimed", key, status, b"", run_before)))
+            self.harness.feed(fleet_input(LeaseAnswer(key, status, b"", run_before)))
 
     def take(self, command):
-        kind, *rest = command
-        if kind == "claim":
-            for key, _, _ in rest[0]:
+        if isinstance(command, AcquireKeyLeases):
+            for key, _, _ in command.keys:
                 assert key not in self.asked and key not in self.held, "asked for twice"
                 self.asked[key] = True
-        elif kind == "ended":
-            self.held.remove(rest[0])
-            self.outcomes.append(rest[1])
+        elif isinstance(command, KeyLeaseRunEnded):
+            self.held.remove(command.key)
+            self.outcomes.append(command.status)
         else:
-            self.held.discard(rest[0])
-            self.asked.pop(rest[0], None)
+            self.held.discard(command.key)
+            self.asked.pop(command.key, None)
 
 
 def check_runs_hold_leases(harness, replicas):
@@ -250,15 +251,16 @@
     assert set(replicas.held) == {key for key, _ in gate.held.values()}
 
 
-def one_keyed(kind, again=False, by=1000, result=b"there"):
-    """How a keyed RPC is answered whose lease comes to `kind`, whether it ran, and how late it was."""
+def one_keyed(status, again=False, by=1000, result=b"there"):
+    """How a keyed RPC is answered whose lease comes to `status`, whether it ran, and how late it was."""
     harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
     name = harness.submit(harness.open(), 1, **({"r": "1"} if again else {}))
     harness.step(MS)
-    ((_, asks),) = harness.key_lease_inputs
+    (acquire_input,) = harness.key_lease_inputs
+    asked = acquire_input.keys[0]
     assert not harness.runs, "not before its lease"
-    if kind is not None:
-        harness.feed(fleet_input(("claimed", asks[0][0], kind, result, harness.now + by * MS)))
+    if status is not None:
+        harness.feed(fleet_input(LeaseAnswer(asked.key, status, result, harness.now + by * MS)))
     harness.step(MS)
     ran = name in harness.runs
     for _ in range(200):
@@ -286,9 +288,8 @@
     harness.on_reply = lambda link, data: told.append(read_answer(data))
     harness.submit(harness.open(), 1)
     harness.step(MS)
-    harness.feed(
-        fleet_input(("claimed", harness.key_lease_inputs[0][1][0][0], LeaseStatus.COMPLETED, b"there", 0))
-    )
+    key = harness.key_lease_inputs[0].keys[0].key
+    harness.feed(fleet_input(LeaseAnswer(key, LeaseStatus.COMPLETED, b"there", 0)))
     assert b"there" in str(told).encode() and not harness.runs
 
 
@@ -370,10 +371,10 @@
 
 
 class ForgetsThatItRuns(KeyLeaseClient):
-    def on_acquire(self, requests):
-        for key, _, _ in requests:
-            self.on_never_ran(key)
-        super().on_acquire(requests)
+    def on_acquire(self, keys):
+        for wanted in keys:
+            self.on_never_ran(wanted.key)
+        super().on_acquire(keys)
 
 
 DEFECTS = {
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,9 +17,11 @@
 from finchcart.fault_injection.script import Script
 from finchcart.fault_injection.virtual_run import play_on_virtual_clock
 from finchcart.fleet.codec import encode_value, name_hash, parse_address, xxh64_digest
+from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.membership import failure_detection, messages, view
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.config import SECOND, MembershipConfig
+from finchcart.membership.effects import MemberChanged
 from finchcart.membership.failure_detection import FailureDetector
 from finchcart.membership.heartbeats import HeartbeatSender
 from finchcart.membership.isolation import IsolationMonitor
@@ -55,10 +57,12 @@
         (CODEC.encode("f", messages.ViewPage(1, 0, 1, {})), "not asked for"),
     ]:
         before = member.counts.get(reason, 0)
-        assert not [e for e in member.reduce(1, ("got", ("127.0.0.2", 7400), data)) if e[0] == "change"]
+        effects = member.reduce(1, DatagramReceived(("127.0.0.2", 7400), data))
+        assert not [effect for effect in effects if isinstance(effect, MemberChanged)]
         assert member.counts[reason] == before + 1, reason
     assert list(member.known_members) == [member.own_id]
-    assert ("change", "a", "alive", 1000) in member.reduce(2, ("got", ("127.0.0.2", 7400), good))
+    effects = member.reduce(2, DatagramReceived(("127.0.0.2", 7400), good))
+    assert MemberChanged("a", "alive", 1000) in effects
 
 
 def test_all_mistakes_of_a_settings_file_are_told_at_once_with_path_and_nearest_name():
@@ -238,9 +242,13 @@
     old = CODEC.encode("virtual", MemberRecords([fleet.processes["n5"].machine.record]))
     fleet.kill("n5")
     fleet.run(fleet.now + 14 * SECOND)
-    fleet.feed("n1", ("got", ("10.0.0.3", 7400), old))
+    fleet.feed("n1", DatagramReceived(("10.0.0.3", 7400), old))
     fleet.run(fleet.now + SECOND)
-    return [c for c in changes if c[0] > 5 * SECOND and c[2][:3] == ("change", "n5", "alive")]
+    return [
+        (when, name, effect)
+        for when, name, effect in changes
+        if when > 5 * SECOND and isinstance(effect, MemberChanged) and effect[:2] == ("n5", "alive")
+    ]
 
 
 def clock_set_back():
@@ -296,7 +304,7 @@
         fleet.processes["n2"].machine.record, incarnation=2**53 - 1, status=DeclaredStatus.LEFT
     )
     for name in ("n0", "n1", "n3"):
-        fleet.feed(name, ("got", ("10.0.0.9", 1), CODEC.encode("virtual", MemberRecords([row]))))
+        fleet.feed(name, DatagramReceived(("10.0.0.9", 1), CODEC.encode("virtual", MemberRecords([row]))))
     fleet.run(fleet.now + 4 * SECOND)
     return [name for name, seen in fleet.views().items() if seen["n2"] != "alive"]
 
@@ -318,7 +326,7 @@
     fleet = MembershipSimulation(["n0"], 1, MembershipConfig(max_datagrams=100))
     fleet.start("n0")
     for n in range(2000):
-        fleet.feed("n0", ("got", ("10.0.0.9", 1), CODEC.encode("", messages.ViewRequest(n, 0))))
+        fleet.feed("n0", DatagramReceived(("10.0.0.9", 1), CODEC.encode("", messages.ViewRequest(n, 0))))
     return (
         [fleet.processes["n0"].machine.counts] if fleet.processes["n0"].machine.counts["sent"] > 100 else []
     )
@@ -331,14 +339,14 @@
 
     def receive(record, sequence, echo_session, echo_sequence, now):
         heartbeat = Heartbeat(record, sequence, echo_session, echo_sequence, 0, [])
-        member.reduce(now, ("got", ("127.0.0.2", 7400), CODEC.encode("f", heartbeat)))
+        member.reduce(now, DatagramReceived(("127.0.0.2", 7400), CODEC.encode("f", heartbeat)))
 
     receive(RECORD, 1, 0, 0, 1)
     for n in range(1, 20):
-        member.reduce(n * 100_000, ("tick",))
+        member.reduce(n * 100_000, Tick())
     receive(successor_record, 1, 0, 0, 2_000_000)
     for n in range(21, 30):
-        member.reduce(n * 100_000, ("tick",))
+        member.reduce(n * 100_000, Tick())
     receive(successor_record, 2, 12345, 99, 3_000_000)  # echoes what another process sent
     return ["contact"] if member.links[name_hash("a")].confirmed_at is not None else []
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -18,12 +18,16 @@
 from finchcart.fault_injection.quota_simulation import QuotaSimulation
 from finchcart.fault_injection.quota_state_space import explore
 from finchcart.fleet.codec import parse_address
+from finchcart.fleet.effects import SendDatagram
+from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.net.clock import boot_clock
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota import local_limits, messages
 from finchcart.quota.allocator import Allocator, HolderKey
+from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.fair_share import max_min_shares, prioritized_shares
 from finchcart.quota.held_lease import NO_LEASE, LeaseId
+from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.leader_election import LeaderElection
 from finchcart.quota.lease_holder import LeaseHolder, PendingRequest
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig, config_errors
@@ -173,7 +177,7 @@
     before = dict(leader.allocator.holders)
     demand = messages.LimitDemand("store", 0, 0, 0, 9, 0)
     data = messages.CODEC.encode("g", messages.LeaseRequest("n1", 1, 1, 1, False, [demand]))
-    effects = leader.reduce(now + 1, ("got", NODE, data))
+    effects = leader.reduce(now + 1, DatagramReceived(NODE, data))
     assert not effects and leader.allocator.holders == before and leader.counts["another fleet"] == 1
 
 
@@ -447,13 +451,17 @@
     lease_holder = holding({})
     grant(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
-    assert not lease_holder.reduce(2000, ("quota", dataclasses.replace(SHARED, limits=(store, other))))
+    assert not lease_holder.reduce(
+        2000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(store, other)))
+    )
     assert lease_holder.held["store"].amount == 10 and lease_holder.held["store"].limit is store
-    effects = lease_holder.reduce(3000, ("quota", dataclasses.replace(SHARED, limits=(other,))))
-    assert effects == [("allow", "store", None, 0, 0)] and list(lease_holder.held) == ["other"]
+    effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(other,))))
+    assert effects == [LimitAllowance("store", None, 0, 0)] and list(lease_holder.held) == ["other"]
     loose = [Limit(name, 9, mode="loose") for name in ("a", "b")]
     local = LocalLimits(QuotaConfig(limits=(loose[0],)), 0)
-    assert local.reduce(0, ("quota", QuotaConfig(limits=(loose[1],)))) == [("allow", "a", None, 0, 0)]
+    assert local.reduce(0, QuotaConfigChanged(QuotaConfig(limits=(loose[1],)))) == [
+        LimitAllowance("a", None, 0, 0)
+    ]
     assert list(local.allocations) == ["b"]
 
 
@@ -605,12 +613,12 @@
 
 def got(message, address=TWO):
     """The input of a datagram with this message."""
-    return ("got", address, messages.CODEC.encode("f", message))
+    return DatagramReceived(address, messages.CODEC.encode("f", message))
 
 
 def sent(effects):
     """The messages that were sent."""
-    return [messages.CODEC.decode("f", effect[2]) for effect in effects if effect[0] == "send"]
+    return [messages.CODEC.decode("f", effect.data) for effect in effects if isinstance(effect, SendDatagram)]
 
 
 def started(make):
@@ -622,7 +630,7 @@
     """A planner that leads, and when it proposed."""
     leader = started(make)
     now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
-    leader.reduce(now, ("tick",))
+    leader.reduce(now, Tick())
     ballot = leader.election.candidature.ballot
     leader.reduce(now + 1, got(messages.Promise(ballot, None)))
     leader.reduce(now + 2 + accept_late, got(messages.Accept(ballot)))
@@ -658,7 +666,7 @@
 def holding(make):
     """A holder that has sent its first request."""
     lease_holder = make.get("holder", LeaseHolder)("n1", "f", SHARED, random.Random(1), 0)
-    lease_holder.reduce(0, ("tick",))
+    lease_holder.reduce(0, Tick())
     return lease_holder
 
 
@@ -678,7 +686,7 @@
 def earlier_number(make):
     """A lease of less was taken, and reported: the one before, come late, is void."""
     lease_holder = holding(make)
-    lease_holder.reduce(500_000, ("tick",))
+    lease_holder.reduce(500_000, Tick())
     grant(lease_holder, 501_000, 5, 2, 8, 10)
     return ["taken"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
 
@@ -687,8 +695,8 @@
     """A request that reported 30 reaches a new leader late; meanwhile 20 of it were given back."""
     lease_holder = holding(make)
     grant(lease_holder, 1000, 5, 1, 1, 30)
-    lease_holder.reduce(500_000, ("tick",))  # reports 30
-    lease_holder.reduce(1_000_000, ("tick",))
+    lease_holder.reduce(500_000, Tick())  # reports 30
+    lease_holder.reduce(1_000_000, Tick())
     grant(lease_holder, 1_001_000, 5, 3, 2, 10)
     return ["taken"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -17,6 +17,7 @@
 from finchcart.fault_injection.script import read_script, shipped_scripts
 from finchcart.fault_injection.simulated_network import SimulatedNetwork
 from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fleet.inputs import DatagramReceived, Shutdown, Tick
 from finchcart.net.datagrams import DatagramEndpoint
 
 
@@ -164,9 +165,9 @@
         ended, ticks, got = False, 0, 0
 
         def reduce(self, now, what):
-            self.ticks += what[0] == "tick"
-            self.got += what[0] == "got"
-            self.ended = self.ended or what[0] == "end"
+            self.ticks += isinstance(what, Tick)
+            self.got += isinstance(what, DatagramReceived)
+            self.ended = self.ended or isinstance(what, Shutdown)
             return []
 
     machine = Machine()
@@ -186,7 +187,7 @@
         "import finchcart.__main__, sys\n"
         "new = ('finchcart.membership', 'finchcart.fault_injection', 'finchcart.cli',\n"
         "       'finchcart.simulated_peers',\n"
-        "       'finchcart.quota', 'finchcart.consensus', 'finchcart.key_leases',\n"
+        "       'finchcart.quota', 'finchcart.consensus', 'finchcart.key_leases', 'finchcart.fleet.',\n"
         "       'finchcart.node.observer', 'finchcart.node.limiters', 'finchcart.node.key_leases',\n"
         "       'finchcart.node.fleet_inputs',\n"
         "       'finchcart.net.datagrams', 'msgspec', 'click', 'json5', 'xxhash')\n"
