--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -83,7 +83,7 @@
 
 def claim(replica: KeyLeaseReplica, keys: list[bytes], body_hash: int) -> None:
     """Let a client ask a replica for these keys."""
-    asks = [messages.LeaseRequest(key, body_hash, 1, LIFE_US) for key in keys]
+    asks = [messages.LeaseProposal(key, body_hash, 1, LIFE_US) for key in keys]
     feed(replica, messages.AcquireLeases("a", 5, asks))
 
 
--- a/finchcart/cli/queries.py
+++ b/finchcart/cli/queries.py
@@ -9,18 +9,17 @@
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
-from types import ModuleType
 from typing import Any
 
-from msgspec import Struct
-
 from finchcart.consensus import messages as consensus
-from finchcart.fleet.codec import DatagramError
+from finchcart.fleet.codec import DatagramError, MessageCodec
 from finchcart.membership import messages as membership
 from finchcart.quota import messages as quota
 
 Address = tuple[str, int]
 View = dict[str, Any]
+NumberedRequest = quota.QuotaStatusRequest | consensus.ConsensusStatusRequest | consensus.OverrideRequest
+ViewResponse = quota.QuotaStatusResponse | consensus.ConsensusStatusResponse
 
 TIMEOUT_S = 2.0
 ATTEMPTS = 8  # within the timeout
@@ -52,16 +51,17 @@
 
 def query_limits(address: Address, timeout_s: float = TIMEOUT_S) -> View:
     """Return the fleet's limits as a node or planner holds them."""
-    return _query(address, quota, quota.StatusRequest(_random_number()), timeout_s)
+    request = quota.QuotaStatusRequest(_random_number())
+    return _query(address, quota.CODEC, request, quota.QuotaStatusResponse, timeout_s)
 
 
 def query_consensus(address: Address, timeout_s: float = TIMEOUT_S) -> View:
     """Return the fleet's decisions as a node holds them, of all pages."""
     number = _random_number()
-    view = _query(address, consensus, consensus.StatusRequest(number), timeout_s)
+    view = _query_consensus(address, consensus.ConsensusStatusRequest(number), timeout_s)
     for page in range(1, view["pages"]):
-        request = consensus.StatusRequest(number + page, page)
-        view["verdicts"] += _query(address, consensus, request, timeout_s)["verdicts"]
+        request = consensus.ConsensusStatusRequest(number + page, page)
+        view["verdicts"] += _query_consensus(address, request, timeout_s)["verdicts"]
     return view
 
 
@@ -79,19 +79,31 @@
     """
     lifetime_us = int(lifetime_s * MICROSECONDS_PER_SECOND)
     request = consensus.OverrideRequest(_random_number(), subject, value, lifetime_us, reason)
-    return _query(address, consensus, request, timeout_s)
+    return _query_consensus(address, request, timeout_s)
+
+
+def _query_consensus(
+    address: Address, request: consensus.ConsensusStatusRequest | consensus.OverrideRequest, timeout_s: float
+) -> View:
+    return _query(address, consensus.CODEC, request, consensus.ConsensusStatusResponse, timeout_s)
 
 
-def _query(address: Address, messages: ModuleType, request: Struct, timeout_s: float) -> View:
-    """Return the view that answers a request of that module of messages; one that is lost is sent again."""
+def _query(
+    address: Address,
+    codec: MessageCodec[Any],
+    request: NumberedRequest,
+    response_type: type[ViewResponse],
+    timeout_s: float,
+) -> View:
+    """Return the view that answers a request; one that is lost is sent again."""
     with _connected_socket(address, timeout_s) as sock:
         for _ in range(ATTEMPTS):
             try:
-                sock.send(messages.CODEC.encode("", request))
-                response = messages.CODEC.decode(None, sock.recv(MAX_ANSWER_BYTES))
+                sock.send(codec.encode("", request))
+                response = codec.decode(None, sock.recv(MAX_ANSWER_BYTES))
             except (OSError, DatagramError):
                 continue
-            if isinstance(response, messages.StatusResponse) and response.number == request.number:
+            if isinstance(response, response_type) and response.number == request.number:
                 return response.view
     raise _no_answer(address)
 
--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.messages import OperatorOverride, Report, decode_overrides, decode_reports
+from finchcart.consensus.messages import ObservationReport, OperatorOverride, decode_overrides, decode_reports
 from finchcart.consensus.subjects import SubjectKind, kind_of, node_subject
 from finchcart.membership.gossip import DatedEntry
 from finchcart.membership.member import Member
@@ -64,7 +64,7 @@
         self.heard_count = 0  # members whose reports counted last
         self.member_count = 1  # members in the fleet, this one included
         self._count = count
-        self._read: dict[int, tuple[Precedence, list[Report] | None]] = {}
+        self._read: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
         self._overrides_read: dict[int, Precedence] = {}
         self._change_rates: dict[int, ChangeRate] = {}
 
@@ -89,13 +89,13 @@
                 ends_at = held.written_at + message.remaining_us
                 yield ReceivedOverride(message, ends_at, known.record.name)
 
-    def collect(self, now: int, member: Member, is_alone: bool) -> dict[int, list[Report]]:
+    def collect(self, now: int, member: Member, is_alone: bool) -> dict[int, list[ObservationReport]]:
         """id -> reports that count, of all other members in the fleet; none where this node is alone."""
         self.oldest_age = 0
         self.heard_count = 0
         self.member_count = 1
         self._forget_missing(member)
-        collected: dict[int, list[Report]] = {}
+        collected: dict[int, list[ObservationReport]] = {}
         if is_alone:
             return collected
         life = self.config.report_lifetime
@@ -117,12 +117,12 @@
 
     def _reports_that_count(
         self, now: int, member_id: int, held: DatedEntry, name: str
-    ) -> list[Report] | None:
+    ) -> list[ObservationReport] | None:
         if self._changes_too_often(now, member_id, held.entry.precedence):
             return None
         return self._read_once(member_id, held, name)
 
-    def _read_once(self, member_id: int, held: DatedEntry, name: str) -> list[Report] | None:
+    def _read_once(self, member_id: int, held: DatedEntry, name: str) -> list[ObservationReport] | None:
         """The reports in an entry, decoded when it is seen first. Of runs a node reports its own alone."""
         precedence = held.entry.precedence
         read_precedence, reports = self._read.get(member_id, (None, None))
--- a/finchcart/consensus/decision.py
+++ b/finchcart/consensus/decision.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.messages import Report
+from finchcart.consensus.messages import ObservationReport
 from finchcart.consensus.observations import MILLION
 from finchcart.consensus.subjects import (
     EJECTED,
@@ -25,7 +25,7 @@
     kind_of,
 )
 
-Reports = Mapping[int, Sequence[Report]]  # id of a member -> what it reports
+Reports = Mapping[int, Sequence[ObservationReport]]  # id of a member -> what it reports
 Zones = Mapping[int, int]  # id of a member -> hash of its zone
 
 
@@ -52,7 +52,7 @@
     return decisions
 
 
-def _reports_of(reports: Reports, subject: int) -> list[tuple[int, Report]]:
+def _reports_of(reports: Reports, subject: int) -> list[tuple[int, ObservationReport]]:
     return [
         (who, report) for who, of_one in reports.items() for report in of_one if report.subject == subject
     ]
@@ -83,7 +83,7 @@
     reports: Reports, zones: Zones, config: ConsensusConfig, member_count: int
 ) -> dict[int, Decision]:
     """Restrictions of sources, of those reported by most first."""
-    by_source: dict[int, dict[int, Report]] = {}
+    by_source: dict[int, dict[int, ObservationReport]] = {}
     for who, of_one in reports.items():
         for report in of_one:
             if is_source(report.subject):
--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -21,7 +21,7 @@
 OverrideValue = Annotated[int, Meta(ge=0, le=1000)]
 
 
-class Report(NamedTuple):
+class ObservationReport(NamedTuple):
     """What one node reports of one subject; what value and weight are is said at `Observer.reports`."""
 
     subject: Unsigned64
@@ -46,7 +46,7 @@
         return self.number, self.incarnation, self.issuer
 
 
-class StatusRequest(Struct, array_like=True, frozen=True, tag=40):
+class ConsensusStatusRequest(Struct, array_like=True, frozen=True, tag=40):
     """A question of the command line for one page of the decisions."""
 
     number: Unsigned53
@@ -63,24 +63,24 @@
     reason: Reason
 
 
-class StatusResponse(Struct, array_like=True, frozen=True, tag=42):
+class ConsensusStatusResponse(Struct, array_like=True, frozen=True, tag=42):
     """The answer to a request of that number."""
 
     number: Unsigned53
     view: dict
 
 
-Message = StatusRequest | OverrideRequest | StatusResponse
+Message = ConsensusStatusRequest | OverrideRequest | ConsensusStatusResponse
 
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (StatusRequest, OverrideRequest))
+CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (ConsensusStatusRequest, OverrideRequest))
 
-_reports_decoder = msgspec.msgpack.Decoder(Annotated[list[Report], Meta(max_length=MAX_REPORTS)])
+_reports_decoder = msgspec.msgpack.Decoder(Annotated[list[ObservationReport], Meta(max_length=MAX_REPORTS)])
 _overrides_decoder = msgspec.msgpack.Decoder(
     Annotated[list[OperatorOverride], Meta(max_length=MAX_OVERRIDES)]
 )
 
 
-def decode_reports(payload: bytes) -> list[Report] | None:
+def decode_reports(payload: bytes) -> list[ObservationReport] | None:
     """The reports in a gossip entry, or None where they cannot be read."""
     try:
         return _reports_decoder.decode(payload)
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -10,7 +10,7 @@
 from typing import TypedDict
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.messages import Report
+from finchcart.consensus.messages import ObservationReport
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
     STORE_SUBJECT,
@@ -198,7 +198,7 @@
 
     # ---- what is reported
 
-    def reports(self, now: int) -> list[Report]:
+    def reports(self, now: int) -> list[ObservationReport]:
         """What this node reports at this moment, coarse, so that a node that is well reports the same for
         long.
 
@@ -207,14 +207,14 @@
         failed runs in percent, the weight the mean time of a run; of the level the value is in thousandths.
         """
         level = LEVEL_STEP_THOUSANDTHS * round(LEVEL_STEPS * self._level)
-        reports = [Report(ZONE_SUBJECT, self.zone, 0), Report(LEVEL_SUBJECT, level, 0)]
+        reports = [ObservationReport(ZONE_SUBJECT, self.zone, 0), ObservationReport(LEVEL_SUBJECT, level, 0)]
         if self._store:
             is_fresh = now - self._store_seen_at <= self.config.observation_span
-            reports.append(Report(STORE_SUBJECT, self._store, int(is_fresh)))
+            reports.append(ObservationReport(STORE_SUBJECT, self._store, int(is_fresh)))
         if self._runs_summary:
             percent_failed, time = self._runs_summary
             coarse_time = round(2 ** (round(2 * log2(max(1, time))) / 2))
-            reports.append(Report(self.own_subject, 10 * round(percent_failed / 10), coarse_time))
+            reports.append(ObservationReport(self.own_subject, 10 * round(percent_failed / 10), coarse_time))
         reports += map(self._report_source, self._worst_sources())
         return reports
 
@@ -223,9 +223,9 @@
         restricted.sort(key=lambda subject: (-self.sources[subject].worst_count, subject))
         return restricted[: self.config.max_source_reports]
 
-    def _report_source(self, subject: int) -> Report:
+    def _report_source(self, subject: int) -> ObservationReport:
         source = self.sources[subject]
         all_rpcs = max(1, self.rpcs.sums[0])
         percent = min(100, 100 * source.sums.sums[2] // all_rpcs)
         rate = min(MILLION - 1, source.worst_count * MILLION // self.config.source_span)
-        return Report(subject, source.restriction, percent * MILLION + rate)
+        return ObservationReport(subject, source.restriction, percent * MILLION + rate)
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -21,11 +21,11 @@
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.messages import (
     CODEC,
+    ConsensusStatusRequest,
+    ConsensusStatusResponse,
+    ObservationReport,
     OperatorOverride,
     OverrideRequest,
-    Report,
-    StatusRequest,
-    StatusResponse,
 )
 from finchcart.consensus.observations import Evidence, Observer
 from finchcart.consensus.overrides import Override, OverrideTable
@@ -85,7 +85,7 @@
         self._status = ConsensusStatus(self)
         self.last_turn_at = now
         self._quiet_until = 0  # reports nothing before
-        self._published: list[Report] | None = None
+        self._published: list[ObservationReport] | None = None
         self._published_at = 0
         self._overrides_published_at = 0
         self._overrides_read: dict[
@@ -178,9 +178,9 @@
 
     # ---- what others publish
 
-    def collect_reports(self, now: int, *, is_alone: bool) -> dict[int, list[Report]]:
+    def collect_reports(self, now: int, *, is_alone: bool) -> dict[int, list[ObservationReport]]:
         """id of a member -> reports that count, this node's first."""
-        reports: dict[int, list[Report]] = {}
+        reports: dict[int, list[ObservationReport]] = {}
         if now >= self._quiet_until:
             reports[self.member.own_id] = self.observer.reports(now)
         reports.update(self.collector.collect(now, self.member, is_alone))
@@ -293,16 +293,18 @@
         try:
             message = CODEC.decode(self.fleet, data)
             view = self._answer(now, message)
-            answer = CODEC.encode_bounded(self.fleet, StatusResponse(message.number, view))
+            answer = CODEC.encode_bounded(self.fleet, ConsensusStatusResponse(message.number, view))
         except DatagramError as error:
             self.count(str(error))
             return
         self.effects.append(SendDatagram(address, answer))
 
-    def _answer(self, now: int, message: StatusRequest | OverrideRequest | StatusResponse) -> dict[str, Any]:
+    def _answer(
+        self, now: int, message: ConsensusStatusRequest | OverrideRequest | ConsensusStatusResponse
+    ) -> dict[str, Any]:
         if isinstance(message, OverrideRequest):
             return self.issue_override(now, message)
-        if isinstance(message, StatusRequest):
+        if isinstance(message, ConsensusStatusRequest):
             return self.status(now, message.page)
         raise DatagramError("not asked for")
 
@@ -336,7 +338,7 @@
         return self._status.page(now, page)
 
 
-def _urgent_part(reports: list[Report]) -> list[tuple[int, ...]]:
+def _urgent_part(reports: list[ObservationReport]) -> list[tuple[int, ...]]:
     """What a change of is published at once: not of the level or a node, nor of how much a source does."""
     return [
         report[:2] if is_source(report.subject) else report
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -29,8 +29,8 @@
     CODEC,
     RUN_ENDED,
     AcquireLeases,
+    LeaseProposal,
     LeaseReport,
-    LeaseRequest,
     LeaseStatus,
     Message,
     OutcomesAcknowledged,
@@ -65,9 +65,9 @@
         self.transmit_at = now
         self.votes: dict[int, LeaseStatus] = {}  # by index of the replica
 
-    def request(self) -> LeaseRequest:
-        """What is asked of the replicas."""
-        return LeaseRequest(self.key, self.payload_digest, self.number, self.duration_us)
+    def proposal(self) -> LeaseProposal:
+        """Return what is proposed to the replicas."""
+        return LeaseProposal(self.key, self.payload_digest, self.number, self.duration_us)
 
     def granted_votes(self) -> int:
         """Replicas that voted for it."""
@@ -134,12 +134,12 @@
     def after_input(self) -> None:
         """Send all that is due, many to a message."""
         self._drop_expired()
-        requests = self._due_requests()
+        proposals = self._due_proposals()
         outcomes = self._due_outcomes()
-        if not requests and not outcomes:
+        if not proposals and not outcomes:
             return
         for replica, address in enumerate(self.replicas):
-            self._send_requests(address, requests.get(replica, []))
+            self._send_proposals(address, proposals.get(replica, []))
             self._send_outcomes(address, outcomes.get(replica, []))
 
     # ---- attempts
@@ -275,9 +275,9 @@
             del self.held[key]
             self.count("never told how it ended")
 
-    def _due_requests(self) -> dict[int, list[LeaseRequest]]:
+    def _due_proposals(self) -> dict[int, list[LeaseProposal]]:
         """By index of the replica."""
-        requests: dict[int, list[LeaseRequest]] = {}
+        proposals: dict[int, list[LeaseProposal]] = {}
         for attempt in list(self.attempts.values()):
             if self.now < attempt.transmit_at:
                 continue
@@ -287,8 +287,8 @@
             attempt.transmit_at = self.now + self.config.again
             for replica in range(len(self.replicas)):
                 if replica not in attempt.votes:
-                    requests.setdefault(replica, []).append(attempt.request())
-        return requests
+                    proposals.setdefault(replica, []).append(attempt.proposal())
+        return proposals
 
     def _due_outcomes(self) -> dict[int, list[LeaseReport]]:
         """By index of the replica."""
@@ -305,10 +305,10 @@
                 del self.deliveries[which]
         return outcomes
 
-    def _send_requests(self, address: HostPort, requests: list[LeaseRequest]) -> None:
+    def _send_proposals(self, address: HostPort, proposals: list[LeaseProposal]) -> None:
         batch = self.config.batch
-        for first in range(0, len(requests), batch):
-            self.send(address, AcquireLeases(self.name, self.session, requests[first : first + batch]))
+        for first in range(0, len(proposals), batch):
+            self.send(address, AcquireLeases(self.name, self.session, proposals[first : first + batch]))
 
     def _send_outcomes(self, address: HostPort, outcomes: list[LeaseReport]) -> None:
         while outcomes:
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -36,7 +36,7 @@
 RUN_ENDED = frozenset({LeaseStatus.COMPLETED, LeaseStatus.FAILED})  # statuses of a run that is over
 
 
-class LeaseRequest(Struct, array_like=True, frozen=True):
+class LeaseProposal(Struct, array_like=True, frozen=True):
     """One attempt to acquire the lease of a key; of one holder the higher `attempt` is the newer."""
 
     key: Key
@@ -46,11 +46,11 @@
 
 
 class AcquireLeases(Struct, array_like=True, frozen=True, tag=60):
-    """A holder's requests, to one replica."""
+    """A holder's proposals, to one replica."""
 
     node: NodeName
     session: Unsigned64  # drawn at the holder's start: tells two processes of one name apart
-    requests: Annotated[list[LeaseRequest], Meta(max_length=MAX_BATCH)]
+    proposals: Annotated[list[LeaseProposal], Meta(max_length=MAX_BATCH)]
 
 
 class LeaseReport(Struct, array_like=True, frozen=True):
@@ -64,7 +64,7 @@
 
 
 class Votes(Struct, array_like=True, frozen=True, tag=61):
-    """A replica's votes on the requests of the holder's process `session`."""
+    """A replica's votes on the proposals of the holder's process `session`."""
 
     session: Unsigned64
     votes: Annotated[list[LeaseReport], Meta(max_length=MAX_BATCH)]
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -17,8 +17,8 @@
     CODEC,
     RUN_ENDED,
     AcquireLeases,
+    LeaseProposal,
     LeaseReport,
-    LeaseRequest,
     LeaseStatus,
     Message,
     OutcomeId,
@@ -89,7 +89,7 @@
             raise MessageRejectedError("silent after the start")
         match message:
             case AcquireLeases():
-                votes = [self.vote(message.session, request) for request in message.requests]
+                votes = [self.vote(message.session, proposal) for proposal in message.proposals]
                 # What does not fit into one datagram is requested again by its holder.
                 votes = take_fitting(votes, MAX_DATAGRAM_BYTES - VOTES_OVERHEAD_BYTES)
                 self.send(address, Votes(message.session, votes))
@@ -103,40 +103,40 @@
 
     # ---- votes
 
-    def vote(self, session: int, request: LeaseRequest) -> LeaseReport:
+    def vote(self, session: int, proposal: LeaseProposal) -> LeaseReport:
         """Vote on an attempt of the process `session`.
 
         Returns:
             The vote: `GRANTED`, or why not, with the result where a run of the key has completed.
         """
-        if self._is_released(session, request):
+        if self._is_released(session, proposal):
             # A late copy of an attempt that was given back must not take the key again.
-            return self._report(request, LeaseStatus.RELEASED)
-        if request.duration_us > self.config.life:
+            return self._report(proposal, LeaseStatus.RELEASED)
+        if proposal.duration_us > self.config.life:
             self.count("a life longer than kept")
-            return self._report(request, LeaseStatus.UNAVAILABLE)
-        lease = self._active_lease(request.key)
+            return self._report(proposal, LeaseStatus.UNAVAILABLE)
+        lease = self._active_lease(proposal.key)
         if lease is None:
-            return self._grant(session, request)
-        if lease.payload_digest != request.payload_digest:
+            return self._grant(session, proposal)
+        if lease.payload_digest != proposal.payload_digest:
             self.count("another body")
-            return self._report(request, LeaseStatus.PAYLOAD_MISMATCH)
-        if lease.is_of(session, request.attempt) and lease.status == LeaseStatus.HELD:
-            return self._report(request, LeaseStatus.GRANTED)
+            return self._report(proposal, LeaseStatus.PAYLOAD_MISMATCH)
+        if lease.is_of(session, proposal.attempt) and lease.status == LeaseStatus.HELD:
+            return self._report(proposal, LeaseStatus.GRANTED)
         # A later attempt of the same process too is refused until the process has said that the earlier one
         # never ran: its run may have ended, with the report of that still on its way.
-        return self._report(request, lease.status, lease.result)
+        return self._report(proposal, lease.status, lease.result)
 
-    def _grant(self, session: int, request: LeaseRequest) -> LeaseReport:
+    def _grant(self, session: int, proposal: LeaseProposal) -> LeaseReport:
         if len(self.leases) >= self.config.entries:
             self.count("full")
-            return self._report(request, LeaseStatus.UNAVAILABLE)
-        expires_at = self.now + self.config.widened(request.duration_us)
-        self.leases[request.key] = KeyLease(session, request.attempt, request.payload_digest, expires_at)
-        return self._report(request, LeaseStatus.GRANTED)
+            return self._report(proposal, LeaseStatus.UNAVAILABLE)
+        expires_at = self.now + self.config.widened(proposal.duration_us)
+        self.leases[proposal.key] = KeyLease(session, proposal.attempt, proposal.payload_digest, expires_at)
+        return self._report(proposal, LeaseStatus.GRANTED)
 
-    def _report(self, request: LeaseRequest, status: LeaseStatus, result: bytes = b"") -> LeaseReport:
-        return LeaseReport(request.key, request.attempt, status, result)
+    def _report(self, proposal: LeaseProposal, status: LeaseStatus, result: bytes = b"") -> LeaseReport:
+        return LeaseReport(proposal.key, proposal.attempt, status, result)
 
     def _active_lease(self, key: bytes) -> KeyLease | None:
         lease = self.leases.get(key)
@@ -145,11 +145,11 @@
             return None
         return lease
 
-    def _is_released(self, session: int, request: LeaseRequest) -> bool:
-        released = self.released.get((request.key, session))
+    def _is_released(self, session: int, proposal: LeaseProposal) -> bool:
+        released = self.released.get((proposal.key, session))
         if released is None:
             return False
-        return request.attempt <= released.attempt and self.now < released.expires_at
+        return proposal.attempt <= released.attempt and self.now < released.expires_at
 
     # ---- outcomes
 
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -42,7 +42,7 @@
 )
 from finchcart.membership.name_contest import NameContest
 from finchcart.membership.outbox import Outbox
-from finchcart.membership.records import MemberState, MemberTable, Reception, WallClock
+from finchcart.membership.records import ExtrapolatedWallClock, MemberState, MemberTable, Reception
 from finchcart.membership.view import Graph
 from finchcart.membership.view_report import ViewReport
 
@@ -100,7 +100,7 @@
             name, advertise, random.getrandbits(64), wall_ms, wall_ms, 0, DeclaredStatus.ALIVE, []
         )
         self.outbox = Outbox(fleet, config)
-        self.table = MemberTable(own_record, WallClock(wall_ms, now), config, self.outbox, now)
+        self.table = MemberTable(own_record, ExtrapolatedWallClock(wall_ms, now), config, self.outbox, now)
         self.detector = FailureDetector(self.table, config, now)
         self.own_id = self.table.own_id
         self.known_members = self.table.members
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -59,7 +59,7 @@
         return self.state not in GONE
 
 
-class WallClock:
+class ExtrapolatedWallClock:
     """The wall clock as it was at start, carried on by the boot clock.
 
     Arguments:
@@ -84,7 +84,12 @@
     """
 
     def __init__(
-        self, own_record: MemberRecord, clock: WallClock, config: MembershipConfig, outbox: Outbox, now: int
+        self,
+        own_record: MemberRecord,
+        clock: ExtrapolatedWallClock,
+        config: MembershipConfig,
+        outbox: Outbox,
+        now: int,
     ) -> None:
         self.own_id = name_hash(own_record.name)
         self.clock = clock
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -27,9 +27,9 @@
     LeaseRequest,
     LimitLease,
     Message,
+    QuotaStatusRequest,
+    QuotaStatusResponse,
     Redirect,
-    StatusRequest,
-    StatusResponse,
 )
 
 MAX_PENDING_REQUESTS = 8  # whose answers are still taken
@@ -108,8 +108,8 @@
                 self.on_grant(message)
             case Redirect():
                 self.on_redirect(message)
-            case StatusRequest():
-                self.send(address, StatusResponse(message.number, self.status()))
+            case QuotaStatusRequest():
+                self.send(address, QuotaStatusResponse(message.number, self.status()))
             case _:
                 raise MessageRejectedError("not for a holder")
 
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -121,13 +121,13 @@
     leader: LeaderAddress
 
 
-class StatusRequest(Struct, array_like=True, frozen=True, tag=28):
+class QuotaStatusRequest(Struct, array_like=True, frozen=True, tag=28):
     """A question of the command line."""
 
     number: Unsigned53
 
 
-class StatusResponse(Struct, array_like=True, frozen=True, tag=29):
+class QuotaStatusResponse(Struct, array_like=True, frozen=True, tag=29):
     """The answer to a question of that number."""
 
     number: Unsigned53
@@ -144,7 +144,7 @@
     | LeaseRequest
     | LeaseGrant
     | Redirect
-    | StatusRequest
-    | StatusResponse
+    | QuotaStatusRequest
+    | QuotaStatusResponse
 )
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (StatusRequest,))
+CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (QuotaStatusRequest,))
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -29,10 +29,10 @@
     Prepare,
     Promise,
     Propose,
+    QuotaStatusRequest,
+    QuotaStatusResponse,
     Redirect,
     Reject,
-    StatusRequest,
-    StatusResponse,
 )
 
 
@@ -88,8 +88,8 @@
                 self._on_election_message(address, message)
             case LeaseRequest():
                 self.on_request(address, message)
-            case StatusRequest():
-                self.send(address, StatusResponse(message.number, self.status()))
+            case QuotaStatusRequest():
+                self.send(address, QuotaStatusResponse(message.number, self.status()))
             case _:
                 raise MessageRejectedError("not for a planner")
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,7 +16,13 @@
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
 from finchcart.consensus.decision import decide, median_without
 from finchcart.consensus.effects import DecisionsChanged
-from finchcart.consensus.messages import CODEC, OperatorOverride, OverrideRequest, Report, StatusResponse
+from finchcart.consensus.messages import (
+    CODEC,
+    ConsensusStatusResponse,
+    ObservationReport,
+    OperatorOverride,
+    OverrideRequest,
+)
 from finchcart.consensus.observations import MILLION, Observer
 from finchcart.consensus.overrides import Override, OverrideTable
 from finchcart.consensus.standing import StandingDecision
@@ -65,19 +71,19 @@
 
 def by_member(*reports):
     """Each member's reports by its id; members stand in three zones in turn."""
-    return {n: [Report(ZONE_SUBJECT, n % 3, 0), *each] for n, each in enumerate(reports)}
+    return {n: [ObservationReport(ZONE_SUBJECT, n % 3, 0), *each] for n, each in enumerate(reports)}
 
 
 def store_report(value, fresh=1):
-    return [Report(STORE_SUBJECT, value, fresh)]
+    return [ObservationReport(STORE_SUBJECT, value, fresh)]
 
 
 def source_report(subject, percent=1, value=BLOCKED):
-    return [Report(subject, value, percent * MILLION + 5)]
+    return [ObservationReport(subject, value, percent * MILLION + 5)]
 
 
 def node_report(n, percent_failed=0, time=1000):
-    return [Report(subjects.node_subject(f"n{n}"), percent_failed, time)]
+    return [ObservationReport(subjects.node_subject(f"n{n}"), percent_failed, time)]
 
 
 def decided_values(*reports, config=CONFIG):
@@ -134,7 +140,9 @@
 
 def test_the_level_is_the_lower_median_which_fewer_than_half_can_not_move():
     def level(*values):
-        return decided_values(*([Report(LEVEL_SUBJECT, value, 0)] for value in values)).get(LEVEL_SUBJECT, 0)
+        return decided_values(*([ObservationReport(LEVEL_SUBJECT, value, 0)] for value in values)).get(
+            LEVEL_SUBJECT, 0
+        )
 
     assert level(0, 0, 0, 1000, 1000) == 0
     assert level(300, 300, 300, 0, 0) == 300
@@ -261,14 +269,14 @@
         member.gossip.receive(now, entry(name, GossipTopic.OBSERVATIONS, number, payload), 0)
         return collected(now, name)
 
-    own = Report(subjects.node_subject("b"), 0, 5)
-    assert receive(1, [Report(subjects.node_subject("c"), 100, 5), own], 0) == [own]
+    own = ObservationReport(subjects.node_subject("b"), 0, 5)
+    assert receive(1, [ObservationReport(subjects.node_subject("c"), 100, 5), own], 0) == [own]
     now = 0
     while receive(now // 1000 + 2, [], now) is not None:
         now += 100_000
         assert now < 10 * SECOND, "a change every 100 ms is not noticed"
     assert consensus.counts["speaks too often"]
-    assert receive(1, [Report(BAD, BLOCKED, 1)], now, "c") is not None
+    assert receive(1, [ObservationReport(BAD, BLOCKED, 1)], now, "c") is not None
     known = member.known_members[name_hash("c")]
     known.state = MemberState.FAILED
     assert collected(now, "c") is None, "of a failed member"
@@ -602,7 +610,7 @@
     rows = [row for page in range(view["pages"]) for row in consensus.status(fleet.now, page)["verdicts"]]
     assert len(rows) == 14 and len({row["name"] for row in rows}) == 14
     for page in range(view["pages"]):
-        response = StatusResponse(1, consensus.status(fleet.now, page))
+        response = ConsensusStatusResponse(1, consensus.status(fleet.now, page))
         assert len(CODEC.encode("f", response)) <= MAX_DATAGRAM_BYTES
 
 
