--- a/finchcart/consensus/__init__.py
+++ b/finchcart/consensus/__init__.py
@@ -1,7 +1,8 @@
-"""Consensus: what the whole fleet holds to be so, from what its nodes observed.
+"""Consensus: health decisions that hold for the whole fleet, from what its nodes observed.
 
-Owns reports (one node's, observations.py), the rule that makes decisions of them (decision.py, pure), how
-long they stand (standing.py), operators' overrides (overrides.py) and the state machine that joins them
-(store.py). Reports are piggybacked on the members' heartbeats. It must never act on a decision, hold a
-socket, a clock or a lock: the core is told of decisions, and its decision module acts.
+Owns a node's reports (observations.py, publisher.py), those of the others (collector.py), the rule that makes
+decisions of them (decision.py, pure), how long these stay in force (active_decisions.py), operators'
+overrides (overrides.py), and the state machine that joins them (store.py, fleet_decisions.py). Reports are
+piggybacked on the members' heartbeats. It must never act on a decision, nor hold a socket, a clock or a lock:
+the core receives the decisions, and its decision module acts.
 """
--- a/finchcart/consensus/standing.py
+++ b/finchcart/consensus/active_decisions.py
@@ -1,6 +1,6 @@
-"""How long decisions stand: what is bad is held for a while, and longer each time it comes back soon.
+"""How long decisions stay in force: each for a hold time, doubled each time that it comes back soon.
 
-Owns the decisions that stand and those that ended lately. It must never make a decision: decision.py does.
+Owns the decisions in force and those that ended lately. It must never make a decision: decision.py does.
 """
 
 from collections.abc import Mapping
@@ -9,12 +9,12 @@
 from finchcart.consensus.decision import Decision
 from finchcart.consensus.subjects import GOOD
 
-MAX_RECURRENCES = 10  # that still lengthen the time for which a decision stands
+MAX_RECURRENCES = 10  # that still lengthen the hold time
 NO_DECISION = Decision(GOOD, 0, 0)
 
 
-class StandingDecision:
-    """A decision that stands."""
+class ActiveDecision:
+    """A decision in force."""
 
     def __init__(self, now: int, decision: Decision, recurrences: int, config: ConsensusConfig) -> None:
         self.value = decision.value
@@ -26,7 +26,7 @@
 
 
 class EndedDecision:
-    """A decision that stood until `ended_at`."""
+    """A decision that was in force until `ended_at`."""
 
     __slots__ = ("ended_at", "recurrences")
 
@@ -35,35 +35,35 @@
         self.recurrences = recurrences
 
 
-class StandingDecisions:
+class ActiveDecisions:
     """Bounded by the subjects that there are reports of.
 
     Arguments:
         own_subject: of this node.
-        config: for how long decisions stand.
+        config: the hold times.
     """
 
     def __init__(self, own_subject: int, config: ConsensusConfig) -> None:
         self.own_subject = own_subject
         self.config = config
-        self.by_subject: dict[int, StandingDecision] = {}
+        self.by_subject: dict[int, ActiveDecision] = {}
         self._ended: dict[int, EndedDecision] = {}
         self._ejected_since: int | None = None  # since when the reports say that this node is to be ejected
 
     def clear(self) -> None:
-        """After a suspension: what stood is of before."""
+        """Drop all decisions: they are of before a suspension."""
         self.by_subject.clear()
 
     def values(self) -> dict[int, int]:
-        """subject -> value of all that stands."""
-        return {subject: standing.value for subject, standing in self.by_subject.items()}
+        """Return subject -> value of all decisions in force."""
+        return {subject: active.value for subject, active in self.by_subject.items()}
 
     def max_recurrences(self) -> int:
-        """How often what stands came back lately, at most."""
-        return max((standing.recurrences for standing in self.by_subject.values()), default=0)
+        """Return how often what is in force came back lately, at most."""
+        return max((active.recurrences for active in self.by_subject.values()), default=0)
 
     def update(self, now: int, decisions: Mapping[int, Decision], acts_within: int) -> None:
-        """What is bad stands for a while once it is decided; what is worse stands at once.
+        """Put decisions into force and end those that are over; a worse value is in force at once.
 
         Arguments:
             now: boot clock, microseconds.
@@ -79,24 +79,26 @@
         self._forget_ended(now)
 
     def _waits_for_others(self, now: int, subject: int, acts_within: int) -> bool:
-        """Guards against more nodes ejected at once than may be: the others' numbers must have had time to
-        come."""
+        """Whether this node is yet to wait before it takes itself for ejected.
+
+        Guards against more nodes ejected at once than may be: the others' reports must have had time to come.
+        """
         if subject != self.own_subject or subject in self.by_subject:
             return False
         self._ejected_since = self._ejected_since or now
         return now - self._ejected_since < acts_within
 
     def _hold(self, now: int, subject: int, decision: Decision) -> None:
-        standing = self.by_subject.get(subject)
-        if standing is None:
+        active = self.by_subject.get(subject)
+        if active is None:
             recurrences = self._recurrences(now, subject)
-        elif decision.value > standing.value or (decision.value < standing.value and now >= standing.until):
-            recurrences = standing.recurrences
+        elif decision.value > active.value or (decision.value < active.value and now >= active.until):
+            recurrences = active.recurrences
         else:
-            standing.votes = decision.votes
-            standing.voters = decision.voters
+            active.votes = decision.votes
+            active.voters = decision.voters
             return
-        self.by_subject[subject] = StandingDecision(now, decision, recurrences, self.config)
+        self.by_subject[subject] = ActiveDecision(now, decision, recurrences, self.config)
 
     def _recurrences(self, now: int, subject: int) -> int:
         ended = self._ended.pop(subject, None)
@@ -105,10 +107,10 @@
         return min(ended.recurrences + 1, MAX_RECURRENCES)
 
     def _end_expired(self, now: int, decisions: Mapping[int, Decision]) -> None:
-        for subject, standing in list(self.by_subject.items()):
-            if now >= standing.until and decisions.get(subject, NO_DECISION).value == GOOD:
+        for subject, active in list(self.by_subject.items()):
+            if now >= active.until and decisions.get(subject, NO_DECISION).value == GOOD:
                 del self.by_subject[subject]
-                self._ended[subject] = EndedDecision(now, standing.recurrences)
+                self._ended[subject] = EndedDecision(now, active.recurrences)
 
     def _forget_ended(self, now: int) -> None:
         for subject in [
--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -1,4 +1,4 @@
-"""Reads what the other members publish, and leaves out what must not count.
+"""Read what the other members publish, and leave out what must not count.
 
 Owns the reports and overrides read from each member's gossip entry and how often each member changes them.
 It must never take a report for younger than it can be, nor one that a node makes of another node's runs.
@@ -15,7 +15,7 @@
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import IN_FLEET
 
-RATE_WINDOW = 10_000_000  # who changes its reports more often in this than it may is ignored for as long
+RATE_WINDOW_US = 10_000_000  # a member that changes its reports too often in this is muted for as long
 
 # Looked up for every member in each tick: plain numbers cost a quarter of an enum's.
 OBSERVATIONS = GossipTopic.OBSERVATIONS.value
@@ -43,8 +43,8 @@
         self.muted_until = 0
 
     def changes(self, now: int, precedence: Precedence) -> int:
-        """Changes in this window, up to the entry of that precedence."""
-        if precedence[0] != self.first[0] or now - self.window_start > RATE_WINDOW:
+        """Return the changes in this window, up to the entry of that precedence."""
+        if precedence[0] != self.first[0] or now - self.window_start > RATE_WINDOW_US:
             self.window_start = now
             self.first = precedence
         return precedence[1] - self.first[1]
@@ -54,7 +54,7 @@
     """Bounded by the members there are.
 
     Arguments:
-        config: the life of a report and the pace of changes.
+        config: the lifetime of a report and the pace of changes.
         count: counts what was left out, by reason.
     """
 
@@ -69,12 +69,12 @@
         self._change_rates: dict[int, ChangeRate] = {}
 
     def on_clock_gap(self) -> None:
-        """After a suspension many changes may come at once, and overrides are read again."""
+        """Start anew after a suspension: many changes may come at once, and overrides are read again."""
         self._change_rates.clear()
         self._overrides_read.clear()
 
     def new_overrides(self, member: Member) -> Iterator[ReceivedOverride]:
-        """The overrides in entries that were not read yet."""
+        """Yield the overrides in entries that were not read yet."""
         for (member_id, topic), held in member.gossip.received.items():
             if topic != OVERRIDES or held.written_at is None:
                 continue
@@ -90,7 +90,7 @@
                 yield ReceivedOverride(message, ends_at, known.record.name)
 
     def collect(self, now: int, member: Member, is_alone: bool) -> dict[int, list[ObservationReport]]:
-        """id -> reports that count, of all other members in the fleet; none where this node is alone."""
+        """Return id -> reports that count, of all other members in the fleet; none where it is alone."""
         self.oldest_age = 0
         self.heard_count = 0
         self.member_count = 1
@@ -98,7 +98,7 @@
         collected: dict[int, list[ObservationReport]] = {}
         if is_alone:
             return collected
-        life = self.config.report_lifetime
+        lifetime = self.config.report_lifetime
         own_id = member.own_id
         received = member.gossip.received
         for member_id, known in member.known_members.items():
@@ -106,7 +106,7 @@
                 continue
             self.member_count += 1
             held = received.get((member_id, OBSERVATIONS))
-            if held is None or held.written_at is None or now - held.written_at > life:
+            if held is None or held.written_at is None or now - held.written_at > lifetime:
                 continue
             reports = self._reports_that_count(now, member_id, held, known.record.name)
             if reports is not None:
@@ -123,14 +123,17 @@
         return self._read_once(member_id, held, name)
 
     def _read_once(self, member_id: int, held: DatedEntry, name: str) -> list[ObservationReport] | None:
-        """The reports in an entry, decoded when it is seen first. Of runs a node reports its own alone."""
+        """Return the reports in an entry, decoded when it is seen first.
+
+        Of runs a node reports its own alone: others are left out.
+        """
         precedence = held.entry.precedence
         read_precedence, reports = self._read.get(member_id, (None, None))
         if read_precedence == precedence:
             return reports
         reports = decode_reports(held.entry.payload)
         if reports is None:
-            self._count("opinions not valid")
+            self._count("reports not valid")
         else:
             own = node_subject(name)
             reports = [
@@ -144,14 +147,14 @@
         if rate is None:
             rate = ChangeRate(now, precedence)
             self._change_rates[member_id] = rate
-        allowed = 2 * RATE_WINDOW // self.config.min_publish_interval
+        allowed = 2 * RATE_WINDOW_US // self.config.min_publish_interval
         if rate.changes(now, precedence) > allowed and now >= rate.muted_until:
-            rate.muted_until = now + RATE_WINDOW
-            self._count("speaks too often")
+            rate.muted_until = now + RATE_WINDOW_US
+            self._count("changes too often")
         return now < rate.muted_until
 
     def _forget_missing(self, member: Member) -> None:
-        """Takes out members that are known no more."""
+        """Take out members that are not known any more."""
         known = member.known_members
         if len(self._read) > len(known):
             self._read = {one: read for one, read in self._read.items() if one in known}
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from finchcart.fleet.field_problem import FieldProblem
-from finchcart.membership.config import MS, SECOND, MembershipConfig
+from finchcart.fleet.units import MS, SECOND
+from finchcart.membership.config import MembershipConfig
 
 # Key of a setting (without its unit) -> the field, where they differ.
 FIELDS_BY_SETTING = {
@@ -22,8 +23,8 @@
     "quiet": "quiet_period",
     "count": "min_reports",
     "part": "store_quorum",
-    "hold": "min_standing",
-    "hold_most": "max_standing",
+    "hold": "min_hold_time",
+    "hold_most": "max_hold_time",
     "calls": "min_calls",
     "failed": "failed_fraction",
     "slower": "slow_factor",
@@ -50,7 +51,7 @@
 class ConsensusConfig:
     """Spans, thresholds and bounds; see docs/operate/verdicts.md for how to choose them."""
 
-    zone: str = ""  # where this node stands; reports from `min_zones` of them are needed
+    zone: str = ""  # of this node; reports from `min_zones` of them are needed
     min_zones: int = 1
     look_interval: int = 250 * MS  # the core hands on what it saw so often
     observation_span: int = 2 * SECOND  # of calls and runs that a report rests on
@@ -59,14 +60,14 @@
     quiet_period: int = 3 * SECOND  # after a suspension this node reports nothing for so long
     min_reports: int = 2  # reports that a decision needs at least
     store_quorum: float = 0.5  # of those that could know, and more: store
-    min_standing: int = 2 * SECOND  # of a decision; twice as long each time it comes back soon
-    max_standing: int = 16 * SECOND
+    min_hold_time: int = 2 * SECOND  # of a decision in force; doubled each time that it comes back soon
+    max_hold_time: int = 16 * SECOND
     min_calls: int = 4  # in a span, for a report of the store
     failed_fraction: float = 0.5  # of calls, or of runs, that failed: down, or failing
     slow_factor: float = 4.0  # times the usual time of calls, or the median of other nodes' runs: slow
-    probe_calls: int = 4  # calls of the whole fleet to a store that is down
+    probe_calls: int = 4  # at once, of the whole fleet to a store that is down
     probe_timeout: int = 1 * SECOND  # the longest of these
-    recovery_step: int = 500 * MS  # each so long twice as many calls, once it is back
+    recovery_step: int = 500 * MS  # once it is back, calls double at each step of this length
     max_bad_messages: int = 20  # messages that can't be read and connections without an RPC, in `source_span`
     source_span: int = 10 * SECOND
     source_quorum: float = 0.25  # of the members that have to report a source, and at least `min_reports`
@@ -78,19 +79,19 @@
     runs_report_lifetime: int = 30 * SECOND  # an ejected node that runs nothing keeps its numbers for so long
     level_step: float = 0.2  # a node may be laxer than the fleet's level by this
     max_source_reports: int = 12  # reports of sources, by one node: the worst
-    max_sources: int = 512  # sources looked at by a node; the one that did least goes when full
+    max_sources: int = 512  # sources observed by a node; see `Observer` for what happens when full
     max_overrides: int = 16  # overrides of operators; the one that ends first goes when full
     recurrence_window: int = 30 * SECOND  # a decision that comes back within this stands for longer each time
 
     @classmethod
     def from_settings(cls, settings: Mapping[str, Any]) -> "ConsensusConfig":
-        """The configuration of settings by key (without its unit); times are microseconds."""
+        """Return the configuration of settings by key (without its unit); times are microseconds."""
         return cls(**{FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()})
 
     def acts_within(
         self, membership: MembershipConfig, count: int, loss: float = 0.0, lateness: int = 0
     ) -> int:
-        """Microseconds from the moment that enough nodes have the evidence until all connected nodes act.
+        """Return the microseconds from enough nodes having the evidence until all connected nodes act.
 
         The sum of the core's look, the fleet's thread, the pace of changes, dissemination, the thread at the
         other end and the core's next timer.
@@ -117,8 +118,10 @@
     def store_within(
         self, membership: MembershipConfig, count: int, loss: float = 0.0, lateness: int = 0
     ) -> int:
-        """Microseconds from a fault of the store until all connected nodes act: the span has to fill
-        first."""
+        """Return the microseconds from a fault of the store until all connected nodes act.
+
+        The observation span has to fill first. The arguments are those of `acts_within`.
+        """
         return (
             self.observation_span + self.probe_timeout + self.acts_within(membership, count, loss, lateness)
         )
@@ -131,8 +134,10 @@
         loss: float = 0.0,
         lateness: int = 0,
     ) -> int:
-        """Microseconds from the store's return until calls rise again everywhere; `recurrences`: how often it
-        fell lately."""
+        """Return the microseconds from the store's return until calls rise again everywhere.
+
+        `recurrences`: how often it fell lately; the other arguments are those of `acts_within`.
+        """
         return (
             2 * self.observation_span
             + self.hold_time(recurrences)
@@ -140,25 +145,30 @@
         )
 
     def hold_time(self, recurrences: int) -> int:
-        """Microseconds that a decision stands at least, where it came back so often lately."""
-        return min(self.min_standing << recurrences, self.max_standing)
+        """Return the microseconds that a decision stays in force at least, after so many recurrences."""
+        return min(self.min_hold_time << recurrences, self.max_hold_time)
 
     def staleness_bound(self) -> int:
-        """Microseconds: the oldest report that a decision can rest on."""
+        """Return the greatest age, in microseconds, of a report that a decision can rest on."""
         return self.report_lifetime
 
     def required_reports(self, member_count: int) -> int:
-        """Reports that a decision on a source needs, of so many members."""
+        """Return the number of reports that a decision on a source needs, of so many members."""
         return max(self.min_reports, ceil(self.source_quorum * member_count))
 
     def excess_messages(self, per_second: int, member_count: int, within: int) -> int:
-        """What a source can have sent to all nodes in the microseconds between the evidence and the last node
-        that acts."""
+        """Return how many messages a source can have sent to all nodes before the last one acts.
+
+        Arguments:
+            per_second: that it sends to one node.
+            member_count: of the fleet.
+            within: microseconds between the evidence and the last node that acts.
+        """
         return ceil(per_second * member_count * within / SECOND)
 
 
 def config_errors(config: ConsensusConfig) -> Iterator[FieldProblem]:
-    """What cannot be used."""
+    """Yield what cannot be used."""
     if config.store_quorum <= 0:
         yield FieldProblem("part", "0 lets one node alone speak for all")
     if config.report_lifetime < 3 * config.observation_span:
@@ -168,15 +178,15 @@
             f"3 x span_ms = {3 * config.observation_span // MS} ms: "
             "opinions would be void before they are confirmed",
         )
-    if config.max_standing < config.min_standing:
+    if config.max_hold_time < config.min_hold_time:
         yield FieldProblem(
             "hold_most_ms",
-            f"{config.max_standing // MS} ms is less than hold_ms, {config.min_standing // MS} ms",
+            f"{config.max_hold_time // MS} ms is less than hold_ms, {config.min_hold_time // MS} ms",
         )
 
 
 def config_warnings(config: ConsensusConfig) -> Iterator[FieldProblem]:
-    """What can be used, but is seldom meant."""
+    """Yield what can be used, but is seldom meant."""
     if config.min_reports < 2:
         yield FieldProblem("count", "1: one node that is wrong, or lies, shuts a source out for all")
     if config.max_blocked_fraction > 0.5:
--- a/finchcart/consensus/decision.py
+++ b/finchcart/consensus/decision.py
@@ -1,8 +1,8 @@
 """The rule that makes decisions of reports.
 
 Pure, without memory: the same reports give the same decisions at everybody, whatever was decided before. So
-after a cut heals there is nothing to settle but which reports are there. What must stand for a while is kept
-by standing.py.
+after a cut heals there is nothing to settle but which reports are there. What must stay in force for
+a while is kept by active_decisions.py.
 """
 
 from bisect import bisect_left
@@ -38,7 +38,7 @@
 
 
 def decide(reports: Reports, config: ConsensusConfig, member_count: int) -> dict[int, Decision]:
-    """subject -> decision, from the reports of `member_count` members of the fleet."""
+    """Return subject -> decision, from the reports of `member_count` members of the fleet."""
     zones = {who: report.value for who, report in _reports_of(reports, ZONE_SUBJECT)}
     decisions: dict[int, Decision] = {}
     store = decide_store(reports, zones, config)
@@ -63,7 +63,7 @@
 
 
 def decide_store(reports: Reports, zones: Zones, config: ConsensusConfig) -> Decision | None:
-    """Those who called it lately know; where too few did, all who ever reported something vote."""
+    """Decide on the store: those who called it lately vote; where too few did, all who reported it."""
     of_store = dict(_reports_of(reports, STORE_SUBJECT))
     votes = {who: value for who, (_, value, is_fresh) in of_store.items() if is_fresh}
     if len(votes) < config.min_reports:
@@ -82,7 +82,7 @@
 def decide_sources(
     reports: Reports, zones: Zones, config: ConsensusConfig, member_count: int
 ) -> dict[int, Decision]:
-    """Restrictions of sources, of those reported by most first."""
+    """Decide which sources are restricted, those reported by most nodes first."""
     by_source: dict[int, dict[int, ObservationReport]] = {}
     for who, of_one in reports.items():
         for report in of_one:
@@ -107,7 +107,7 @@
 
 
 def median_without(values: Sequence[float], value: float) -> float:
-    """The median of the sorted `values` but for one that is `value`; spares a sort for each node."""
+    """Return the median of the sorted `values` without one that is `value`, with no sort for each node."""
     removed = bisect_left(values, value)
     count = len(values) - 1
 
@@ -119,8 +119,7 @@
 
 
 def decide_nodes(reports: Reports, config: ConsensusConfig, member_count: int) -> dict[int, Decision]:
-    """Outliers: each node reports its own numbers; ejected is who stands apart from the median of the
-    others."""
+    """Decide which nodes are ejected: outliers, by their own numbers against the median of the others."""
     by_member = {
         who: report
         for who, of_one in reports.items()
@@ -132,7 +131,7 @@
         return {}
     all_failed = sorted(percent_failed for _, percent_failed, _ in of_nodes)
     all_times = sorted(time for _, _, time in of_nodes)
-    outliers = []
+    outliers: list[tuple[float, int]] = []  # (negative distance, subject): the farthest first
     for node, percent_failed, time in of_nodes:
         usual_failed = median_without(all_failed, percent_failed)
         usual_time = median_without(all_times, time)
@@ -146,7 +145,7 @@
 
 
 def decide_level(reports: Reports, config: ConsensusConfig) -> Decision | None:
-    """The lower median: so many are as strict or stricter, and fewer than half can't move it."""
+    """Decide on the level of load shedding: the lower median, which fewer than half cannot move."""
     levels = [report.value for _, report in _reports_of(reports, LEVEL_SUBJECT)]
     if len(levels) < config.min_reports:
         return None
@@ -164,7 +163,7 @@
 
 
 def fault_thresholds(config: ConsensusConfig, member_count: int) -> FaultThresholds:
-    """How many wrong or lying nodes of `member_count` it takes, by the rule alone."""
+    """Return how many wrong or lying nodes of `member_count` it takes, by the rule alone."""
     half = member_count // 2
     return FaultThresholds(
         store=max(config.min_reports, int(config.store_quorum * member_count) + 1),
--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What a member publishes of its observations in a gossip entry, and what the command line asks and says.
+"""What a member publishes of its observations in a gossip entry, and the messages of the command line.
 
-Owns the messages alone; see store.py for what they mean. The order of the fields and the tags are the wire
-format: they stay, whatever the fields are called here.
+Owns their fields and limits; see store.py for what they mean. It must never act on one. The order of the
+fields and the tags are the wire format: they stay, whatever the fields are called here.
 """
 
 from typing import Annotated, NamedTuple
@@ -22,7 +22,7 @@
 
 
 class ObservationReport(NamedTuple):
-    """What one node reports of one subject; what value and weight are is said at `Observer.reports`."""
+    """What one node reports of one subject; see `Observer.reports` for value and weight."""
 
     subject: Unsigned64
     value: Unsigned53
@@ -81,7 +81,7 @@
 
 
 def decode_reports(payload: bytes) -> list[ObservationReport] | None:
-    """The reports in a gossip entry, or None where they cannot be read."""
+    """Return the reports in a gossip entry, or None where they cannot be read."""
     try:
         return _reports_decoder.decode(payload)
     except msgspec.DecodeError:
@@ -89,7 +89,7 @@
 
 
 def decode_overrides(payload: bytes) -> list[OperatorOverride] | None:
-    """The overrides in a gossip entry, or None where they cannot be read."""
+    """Return the overrides in a gossip entry, or None where they cannot be read."""
     try:
         return _overrides_decoder.decode(payload)
     except msgspec.DecodeError:
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -1,7 +1,7 @@
-"""One node's observer: what it reports, from what its core saw.
+"""One node's observer: the reports that it makes of what its core saw.
 
-Owns the evidence of the last spans and its bounds; it must never hear of other nodes' reports. Pure but for
-what it remembers: the same evidence at the same times gives the same reports. Times are whole microseconds.
+Owns the evidence of the last spans and its bounds; it must never take other nodes' reports into account.
+Deterministic: the same evidence at the same times gives the same reports. Times are whole microseconds.
 """
 
 from collections import deque
@@ -21,16 +21,16 @@
     kind_of,
 )
 
-MILLION = 10**6  # by which the percentage stands above the rate in the weight of a source
+MILLION = 10**6  # the weight of a source is its percentage of RPCs times this, plus its rate
 LEVEL_STEPS = 20  # of a level, as it is reported
-LEVEL_STEP_THOUSANDTHS = 50
-EVICTION_ATTEMPTS = 8
+LEVEL_STEP_THOUSANDTHS = 1000 // LEVEL_STEPS
+EVICTION_ATTEMPTS = 8  # sources looked at for one that can go
 CALL_TIME_SMOOTHING = 64  # a new mean counts for one part in so many
 NOTHING_SEEN = (0, 0, 0)
 
 
 class Evidence(TypedDict, total=False):
-    """What a core saw since it was looked at last."""
+    """What a core saw since the last look."""
 
     calls: tuple[int, int, int]  # (succeeded, failed, microseconds of the successful ones together)
     runs: tuple[int, int, int]  # (ended, failed, microseconds together)
@@ -53,14 +53,14 @@
         return not self._items
 
     def add(self, now: int, item: Sequence[int]) -> None:
-        """Adds one look's numbers."""
+        """Add one look's numbers."""
         if any(item):
             self._items.append((now, item))
             self.sums = [total + number for total, number in zip(self.sums, item, strict=True)]
         self.expire(now)
 
     def expire(self, now: int) -> None:
-        """Takes out what is older than the span."""
+        """Take out what is older than the span."""
         while self._items and self._items[0][0] <= now - self.span:
             _, item = self._items.popleft()
             self.sums = [total - number for total, number in zip(self.sums, item, strict=True)]
@@ -76,7 +76,7 @@
         self.worst_count = 0
 
     def restrict(self, restriction: Restriction, until: int, count: int) -> None:
-        """Reports a restriction until then, for a count of messages."""
+        """Report a restriction until then, for a count of messages."""
         self.restriction = restriction
         self.restricted_until = until
         self.worst_count = count
@@ -111,13 +111,13 @@
         self._level = 0.0
 
     def forget(self) -> None:
-        """After a suspension: what was seen is of before."""
+        """Drop what was seen: it is of before a suspension."""
         self._clear()
 
     # ---- what is seen
 
     def observe(self, now: int, evidence: Evidence) -> None:
-        """Takes what the core saw since the last look."""
+        """Take what the core saw since the last look."""
         calls = evidence.get("calls", NOTHING_SEEN)
         self.calls.add(now, calls)
         self.runs.add(now, evidence.get("runs", NOTHING_SEEN))
@@ -131,7 +131,7 @@
 
     def _observe_store(self, now: int, was_called: bool) -> None:
         succeeded, failed, time = self.calls.sums
-        # Of a store that is down one probe call tells.
+        # One probe call is enough to see that a store which was down is back.
         required = 1 if self._store == StoreHealth.DOWN else self.config.min_calls
         if was_called and succeeded + failed >= required:
             self._store = self._judge_store(succeeded, failed, time)
@@ -167,8 +167,11 @@
         source.sums.add(now, item)
 
     def _make_room(self) -> bool:
-        """Guards against memory and time that sources without end take: of a few that are there longest, the
-        first of which nothing is reported goes. False where something is reported of each."""
+        """Evict one source: of the oldest few, the first of which nothing is reported.
+
+        Bounds the memory and time that sources without end would take. Return False where something is
+        reported of each.
+        """
         for _ in range(EVICTION_ATTEMPTS):
             subject = next(iter(self.sources))
             source = self.sources.pop(subject)
@@ -199,8 +202,7 @@
     # ---- what is reported
 
     def reports(self, now: int) -> list[ObservationReport]:
-        """What this node reports at this moment, coarse, so that a node that is well reports the same for
-        long.
+        """Return what this node reports now, in coarse steps, so that a healthy node seldom changes it.
 
         Of the store the weight is 1 where there is evidence of the last span; of a source its percentage of
         the well-formed RPCs times a million, and what it does a second; of the node itself the value is its
@@ -225,7 +227,8 @@
 
     def _report_source(self, subject: int) -> ObservationReport:
         source = self.sources[subject]
+        restriction = source.restriction or Restriction.NONE  # a restriction, as `_worst_sources` chose it
         all_rpcs = max(1, self.rpcs.sums[0])
         percent = min(100, 100 * source.sums.sums[2] // all_rpcs)
         rate = min(MILLION - 1, source.worst_count * MILLION // self.config.source_span)
-        return ObservationReport(subject, source.restriction, percent * MILLION + rate)
+        return ObservationReport(subject, restriction, percent * MILLION + rate)
--- a/finchcart/consensus/overrides.py
+++ b/finchcart/consensus/overrides.py
@@ -1,6 +1,6 @@
-"""Operators' overrides: decisions that a person made, which stand over those of the fleet for a time.
+"""Operators' overrides: decisions of a person, which take precedence over those of the fleet for a time.
 
-Owns the newest override of each subject, and when it ends. It must never gossip by itself: store.py does.
+Owns the newest override of each subject, and when it ends. It must never gossip by itself: publisher.py does.
 """
 
 import msgspec
@@ -21,7 +21,7 @@
         self.origin = origin
 
     def as_sent(self, now: int) -> OperatorOverride:
-        """The message with the time that is left at `now`."""
+        """Return the message with the time that is left at `now`."""
         return msgspec.structs.replace(self.message, remaining_us=max(0, self.ends_at - now))
 
 
@@ -37,22 +37,25 @@
         return len(self.by_subject)
 
     def get(self, subject: int) -> Override | None:
-        """The override of a subject, a revoked one too."""
+        """Return the override of a subject, a revoked one too."""
         return self.by_subject.get(subject)
 
     def active_value(self, subject: int) -> int:
-        """The value of a subject's override; 0 where there is none or it is revoked."""
+        """Return the value of a subject's override; 0 where there is none or it is revoked."""
         override = self.by_subject.get(subject)
         return override.message.value if override else 0
 
     def receive(self, now: int, message: OperatorOverride, ends_at: int, origin: str) -> bool:
-        """Takes an override where it is newer than what is held, whichever side of a cut it was issued on.
+        """Take an override where it is newer than what is held, whichever side of a partition issued it.
 
         Arguments:
             now: boot clock, microseconds.
             message: as it was gossiped.
             ends_at: boot clock, microseconds.
             origin: the name of the node that it came from.
+
+        Returns:
+            Whether it was taken.
         """
         held = self.by_subject.get(message.subject)
         if ends_at <= now or (held is not None and message.precedence < held.message.precedence):
@@ -67,16 +70,16 @@
         return True
 
     def expire(self, now: int) -> None:
-        """Takes out what has ended."""
+        """Take out what has ended."""
         for subject in [one for one, override in self.by_subject.items() if override.ends_at <= now]:
             del self.by_subject[subject]
 
     def newest(self) -> list[Override]:
-        """The newest, as many as go with one gossip entry."""
+        """Return the newest, as many as go with one gossip entry."""
         return list(self.by_subject.values())[-OVERRIDES_AT_ONCE:]
 
     def next_in_turn(self) -> list[Override]:
-        """Those that are gossiped next, all in turn."""
+        """Return those that are gossiped next, all in turn."""
         overrides = list(self.by_subject.values())
         count = min(OVERRIDES_AT_ONCE, len(overrides))
         chosen = [overrides[(self._gossiped + offset) % len(overrides)] for offset in range(count)]
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -1,46 +1,63 @@
-"""What a node tells the command line of the decisions in force, page by page.
+"""The answer to the command line's question for the decisions in force, page by page.
 
 Owns the fields that an operator sees; their names are those of docs/operate/verdicts.md.
 """
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from typing import Any
 
+from finchcart.consensus.fleet_decisions import FleetDecisions, MemberReports
 from finchcart.consensus.observations import MILLION
-from finchcart.consensus.subjects import describe
-
-if TYPE_CHECKING:
-    from finchcart.consensus.store import ConsensusStore
+from finchcart.consensus.subjects import describe, node_subject
+from finchcart.membership.member import Member
 
 DECISIONS_PER_PAGE = 6
 
+CollectReports = Callable[[], MemberReports]
+
 
 class ConsensusStatus:
-    """Keeps no state: what `store` holds when asked."""
+    """Keeps no state: what is in force when asked.
+
+    Arguments:
+        name: of this node.
+        decisions: in force here.
+        counts: reason -> how often, of the consensus store.
+    """
 
-    def __init__(self, store: "ConsensusStore") -> None:
-        self.store = store
+    def __init__(self, name: str, decisions: FleetDecisions, counts: Mapping[str, int]) -> None:
+        self.name = name
+        self.decisions = decisions
+        self.counts = counts
 
-    def page(self, now: int, page: int) -> dict[str, Any]:
-        """One page; the first has the bounds and counters besides."""
-        store = self.store
-        if store.member is None:
-            return {"name": store.name, "verdicts": [], "pages": 1}
-        rows = self._rows(now)
+    def empty_page(self) -> dict[str, Any]:
+        """Return the page of a store that did not take part in the fleet yet."""
+        return {"name": self.name, "verdicts": [], "pages": 1}
+
+    def page(self, now: int, member: Member, collect: CollectReports, page: int) -> dict[str, Any]:
+        """Return one page; the first has the bounds and counters besides.
+
+        Arguments:
+            now: microseconds on the boot clock.
+            member: on whose heartbeats reports are piggybacked.
+            collect: gives the reports of all members.
+            page: its number, from 0.
+        """
+        rows = self._rows(now, member, collect)
         first = DECISIONS_PER_PAGE * page
         view = {
-            "name": store.name,
-            "isolated": store.member.isolated,
+            "name": self.name,
+            "isolated": member.isolated,
             "verdicts": rows[first : first + DECISIONS_PER_PAGE],
             "pages": max(1, -(-len(rows) // DECISIONS_PER_PAGE)),
         }
-        return {**view, **self._bounds()} if page == 0 else view
-
-    def _bounds(self) -> dict[str, Any]:
-        store = self.store
-        member = store.member
-        config = store.config
-        collector = store.collector
-        recurrences = store.standing.max_recurrences()
+        return {**view, **self._bounds(member)} if page == 0 else view
+
+    def _bounds(self, member: Member) -> dict[str, Any]:
+        decisions = self.decisions
+        config = decisions.config
+        collector = decisions.collector
+        recurrences = decisions.active.max_recurrences()
         fleet = member.config, collector.member_count
         measured = member.loss, member.lateness
         return {
@@ -48,47 +65,61 @@
             "heard": collector.heard_count,
             "oldest_ms": collector.oldest_age // 1000,
             "stale_at_most_ms": config.staleness_bound() // 1000,
-            "acts_within_ms": store.acts_within() // 1000,
+            "acts_within_ms": decisions.acts_within(member) // 1000,
             "store_within_ms": config.store_within(*fleet, *measured) // 1000,
             "back_within_ms": config.back_within(*fleet, recurrences, *measured) // 1000,
-            "level": store.level,
-            "counts": store.counts,
+            "level": decisions.level,
+            "counts": self.counts,
         }
 
-    def _rows(self, now: int) -> list[dict[str, Any]]:
-        names = self.store.node_names()
-        values = sorted(self.store.values_in_force().items())
-        rows = [self._row(now, subject, value, names) for subject, value in values]
-        level = self.store.minimum_level()
+    def _rows(self, now: int, member: Member, collect: CollectReports) -> list[dict[str, Any]]:
+        names = node_names(member)
+        rows = []
+        for subject, value in sorted(self.decisions.values_in_force().items()):
+            row = describe(subject, value, names)._asdict()
+            row.update(self._origin(now, subject))
+            if row["kind"] == "source" and "votes" in row:
+                row["beyond_at_most"] = self._excess_messages(member, collect(), subject)
+            rows.append(row)
+        level = self.decisions.minimum_level()
         if level:
             rows.append({"kind": "level", "name": "", "value": f"{level:.2f}"})
         return rows
 
-    def _row(self, now: int, subject: int, value: int, names: dict[int, str]) -> dict[str, Any]:
-        row = describe(subject, value, names)._asdict()
-        override = self.store.overrides.get(subject)
-        standing = self.store.standing.by_subject.get(subject)
+    def _origin(self, now: int, subject: int) -> dict[str, Any]:
+        """Return who decided it, and since or until when."""
+        override = self.decisions.overrides.get(subject)
         if override is not None and override.message.value:
-            row["said_at"] = override.origin
-            row["why"] = override.message.reason
-            row["left_ms"] = (override.ends_at - now) // 1000
-        elif standing is not None:
-            row["votes"] = standing.votes
-            row["of"] = standing.voters
-            row["stands_ms"] = (now - standing.since) // 1000
-            if row["kind"] == "source":
-                row["beyond_at_most"] = self._excess_messages(now, subject)
-        return row
-
-    def _excess_messages(self, now: int, subject: int) -> int:
-        """Messages of a blocked source that can have come between the evidence and the last node that
-        acts."""
-        store = self.store
+            return {
+                "said_at": override.origin,
+                "why": override.message.reason,
+                "left_ms": (override.ends_at - now) // 1000,
+            }
+        decision = self.decisions.active.by_subject.get(subject)
+        if decision is None:
+            return {}
+        return {
+            "votes": decision.votes,
+            "of": decision.voters,
+            "stands_ms": (now - decision.since) // 1000,
+        }
+
+    def _excess_messages(self, member: Member, reports: MemberReports, subject: int) -> int:
+        """Return how much can have come of a source between the evidence and the last node that acts."""
         rates = [
             report.weight % MILLION
-            for reports in store.collect_reports(store.last_turn_at, is_alone=False).values()
-            for report in reports
+            for of_one in reports.values()
+            for report in of_one
             if report.subject == subject
         ]
         rate = max(rates, default=0) or 1
-        return store.config.excess_messages(rate, store.collector.member_count, store.acts_within())
+        decisions = self.decisions
+        return decisions.config.excess_messages(
+            rate, decisions.collector.member_count, decisions.acts_within(member)
+        )
+
+
+def node_names(member: Member) -> dict[int, str]:
+    """Return subject of a node -> its name, of all members."""
+    names = (known.record.name for known in member.known_members.values())
+    return {node_subject(name): name for name in names}
--- a/finchcart/consensus/subjects.py
+++ b/finchcart/consensus/subjects.py
@@ -8,6 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from finchcart.errors import InvalidOverrideError
 from finchcart.fleet.codec import name_hash
 
 IDENTIFIER_BITS = 56
@@ -49,7 +50,11 @@
 
 GOOD = 1  # the value of a subject of any kind that nothing is wrong with
 
-SOURCE_WORDS = {Restriction.NONE: "in", Restriction.THROTTLED: "slowed", Restriction.BLOCKED: "out"}
+SOURCE_WORDS: dict[int, str] = {
+    Restriction.NONE: "in",
+    Restriction.THROTTLED: "slowed",
+    Restriction.BLOCKED: "out",
+}
 VALUE_WORDS: dict[SubjectKind, dict[int, str]] = {
     SubjectKind.STORE: {StoreHealth.WORKING: "working", StoreHealth.SLOW: "slow", StoreHealth.DOWN: "down"},
     SubjectKind.NODE: {Restriction.NONE: "in", EJECTED: "out"},
@@ -64,7 +69,7 @@
     SubjectKind.LEVEL: "level",
     SubjectKind.ZONE: "zone",
 }
-KINDS_OF_OPERATORS = {
+KIND_BY_WORD = {
     "store": SubjectKind.STORE,
     "source": SubjectKind.ADDRESS,
     "node": SubjectKind.NODE,
@@ -72,12 +77,12 @@
 
 
 def make_subject(kind: SubjectKind, identifier: int = 0) -> int:
-    """The subject of a kind with the lowest 56 bits of an identifier."""
+    """Return the subject of a kind with the lowest 56 bits of an identifier."""
     return kind << IDENTIFIER_BITS | identifier & IDENTIFIER_MASK
 
 
 def kind_of(subject: int) -> int:
-    """Its kind: a `SubjectKind`, or another number where a newer version sent it."""
+    """Return its kind: a `SubjectKind`, or another number where a newer version sent it."""
     return subject >> IDENTIFIER_BITS
 
 
@@ -92,12 +97,12 @@
 
 
 def node_subject(name: str) -> int:
-    """The subject of a node."""
+    """Return the subject of a node."""
     return make_subject(SubjectKind.NODE, name_hash(name))
 
 
 def source_subject(text: str) -> int | None:
-    """The subject of an IPv4 address or the number of a dispatcher; None where the text is neither."""
+    """Return the subject of an IPv4 address or a dispatcher's number; None where the text is neither."""
     octets = text.split(".")
     if len(octets) == 4 and all(
         octet.isdecimal() and len(octet) < 4 and int(octet) < 256 for octet in octets
@@ -109,7 +114,7 @@
 
 
 def parse_subject(kind: str, name: str) -> int:
-    """The subject that an operator names; a ValueError says what is wrong."""
+    """Return the subject that an operator names; raise `InvalidOverrideError`."""
     if kind == "store":
         return STORE_SUBJECT
     if kind == "level":
@@ -118,22 +123,22 @@
         return node_subject(name)
     subject = source_subject(name)
     if subject is None:
-        raise ValueError(f"{name!r}: neither an address nor the number of a dispatcher")
+        raise InvalidOverrideError(f"{name!r}: neither an address nor the number of a dispatcher")
     return subject
 
 
 def parse_value(kind: str, text: str) -> int:
-    """The value of an operator's override; a ValueError says what is allowed."""
+    """Return the value of an operator's override; raise `InvalidOverrideError`."""
     if kind == "level":
         try:
             return round(LEVEL_SCALE * min(1.0, max(0.0, float(text))))
         except ValueError:
-            raise ValueError(f"{text!r}: a level is a number from 0 to 1") from None
-    words = VALUE_WORDS[KINDS_OF_OPERATORS[kind]]
+            raise InvalidOverrideError(f"{text!r}: a level is a number from 0 to 1") from None
+    words = VALUE_WORDS[KIND_BY_WORD[kind]]
     for value, word in words.items():
         if word == text:
             return value
-    raise ValueError(f"{text!r}: one of {', '.join(words.values())}")
+    raise InvalidOverrideError(f"{text!r}: expected one of {', '.join(words.values())}")
 
 
 class Description(NamedTuple):
@@ -145,8 +150,8 @@
 
 
 def describe(subject: int, value: int, node_names: Mapping[int, str]) -> Description:
-    """A subject and a value in words; `node_names`: subject of a node -> its name."""
-    kind = kind_of(subject)
+    """Return a subject and a value in words; `node_names`: subject of a node -> its name."""
+    kind = SubjectKind(kind_of(subject))
     identifier = subject & IDENTIFIER_MASK
     if kind == SubjectKind.LEVEL:
         return Description("level", "", f"{value / LEVEL_SCALE:.2f}")
--- a/finchcart/errors.py
+++ b/finchcart/errors.py
@@ -25,5 +25,9 @@
         self.mistakes = mistakes
 
 
+class InvalidOverrideError(FinchcartError, ValueError):
+    """An operator's override of a decision that names no subject or value."""
+
+
 class InvalidRpcError(FinchcartError, ValueError):
     """An RPC that cannot be accepted, as one of its fields is not valid."""
--- a/finchcart/fault_injection/consensus_fault_run.py
+++ b/finchcart/fault_injection/consensus_fault_run.py
@@ -65,7 +65,7 @@
             config.restriction_time
             + 2 * config.source_span
             + config.report_lifetime
-            + config.max_standing
+            + config.max_hold_time
             + 10 * SECOND
         )
         self.wait_until(holds_nothing, self.running(), within, f"after {self.kind} nothing is held")
--- a/finchcart/fleet/leases.py
+++ b/finchcart/fleet/leases.py
@@ -29,8 +29,6 @@
 
 from finchcart.fleet.field_problem import FieldProblem
 
-MS = 1_000  # microseconds
-SECOND = 1_000_000  # microseconds
 ROUNDING_US = 1  # clocks count whole microseconds: either side may be one off
 GROUP_SIZES = (1, 3, 5)  # of replicas: each tolerates the failure of one less than half
 
--- /dev/null
+++ b/finchcart/fleet/units.py
@@ -0,0 +1,7 @@
+"""Units of time: durations and clocks are whole microseconds.
+
+Owns the constants alone.
+"""
+
+MS = 1_000  # microseconds in a millisecond
+SECOND = 1_000_000  # microseconds in a second
--- a/finchcart/key_leases/config.py
+++ b/finchcart/key_leases/config.py
@@ -9,7 +9,7 @@
 
 from finchcart.fleet import leases
 from finchcart.fleet.field_problem import FieldProblem
-from finchcart.fleet.leases import MS, SECOND
+from finchcart.fleet.units import MS, SECOND
 
 LEASE_BYTES = 500  # memory of one lease at a replica, measured, without its result
 
--- a/finchcart/membership/config.py
+++ b/finchcart/membership/config.py
@@ -9,8 +9,8 @@
 from math import ceil, log, log2
 from typing import Any
 
-MS = 1_000  # microseconds in a millisecond
-SECOND = 1_000_000  # microseconds in a second
+from finchcart.fleet.units import MS, SECOND
+
 UNINFORMED_PROBABILITY = 0.01  # that one member of a fleet still lacks an update after the stated bound
 
 # Key of a setting (without its unit) -> the field, where they differ.
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -17,8 +17,9 @@
 from typing import NamedTuple
 
 from finchcart.fleet.message_endpoint import MessageRejectedError
+from finchcart.fleet.units import MS
 from finchcart.quota.fair_share import prioritized_shares
-from finchcart.quota.limits import MS, Limit, QuotaConfig
+from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
 TARGETS_LIFETIME_US = 50 * MS  # targets are not worked out again for so long
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -16,11 +16,12 @@
 from finchcart.fleet.codec import HostPort, parse_address
 from finchcart.fleet.inputs import CommonInput, Leave
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
+from finchcart.fleet.units import MS
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.held_lease import Allowance, HeldLease, LeaseId
 from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 from finchcart.quota.limit_table import reconcile
-from finchcart.quota.limits import MS, QuotaConfig
+from finchcart.quota.limits import QuotaConfig
 from finchcart.quota.messages import (
     CODEC,
     LeaseGrant,
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -11,7 +11,7 @@
 
 from finchcart.fleet import leases
 from finchcart.fleet.field_problem import FieldProblem
-from finchcart.fleet.leases import MS, SECOND
+from finchcart.fleet.units import MS, SECOND
 
 TICK_US = 100 * MS  # between two looks at the clock, of holders and planners
 MIN_LEADER_LEASE_US = SECOND // 2  # a shorter lease can't be renewed in time
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -20,7 +20,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from finchcart.fleet.codec import name_hash
-from finchcart.fleet.leases import MS, SECOND
+from finchcart.fleet.units import MS, SECOND
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import MemberState
 from finchcart.quota.effects import LimitAllowance
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -14,10 +14,11 @@
 from finchcart.fleet.codec import HostPort
 from finchcart.fleet.inputs import CommonInput
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
+from finchcart.fleet.units import MS
 from finchcart.quota.allocator import Allocator
 from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.leader_election import LeaderElection
-from finchcart.quota.limits import MS, Limit, QuotaConfig
+from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import (
     CODEC,
     Accept,
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,10 +12,12 @@
 
 from finchcart.cli.settings_file import check_settings
 from finchcart.cli.settings_schema import consensus_config
-from finchcart.consensus import decision, standing, subjects
+from finchcart.consensus import active_decisions, decision, subjects
+from finchcart.consensus.active_decisions import ActiveDecision
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
 from finchcart.consensus.decision import decide, median_without
 from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.fleet_decisions import FleetDecisions
 from finchcart.consensus.messages import (
     CODEC,
     ConsensusStatusResponse,
@@ -25,7 +27,6 @@
 )
 from finchcart.consensus.observations import MILLION, Observer
 from finchcart.consensus.overrides import Override, OverrideTable
-from finchcart.consensus.standing import StandingDecision
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
@@ -262,7 +263,7 @@
     consensus.member = member
 
     def collected(now, name):
-        return consensus.collect_reports(now, is_alone=False).get(name_hash(name))
+        return consensus.collect_reports(now, member, is_alone=False).get(name_hash(name))
 
     def receive(number, reports, now, name="b"):
         payload = encode_value(reports)
@@ -275,7 +276,7 @@
     while receive(now // 1000 + 2, [], now) is not None:
         now += 100_000
         assert now < 10 * SECOND, "a change every 100 ms is not noticed"
-    assert consensus.counts["speaks too often"]
+    assert consensus.counts["changes too often"]
     assert receive(1, [ObservationReport(BAD, BLOCKED, 1)], now, "c") is not None
     known = member.known_members[name_hash("c")]
     known.state = MemberState.FAILED
@@ -341,7 +342,7 @@
     self.count("gaps")
 
 
-class DecisionWithoutHold(StandingDecision):
+class DecisionWithoutHold(ActiveDecision):
     def __init__(self, now, *rest):
         super().__init__(now, *rest)
         self.until = now
@@ -380,7 +381,7 @@
     },
     "a decision does not stand for a while": {
         "kinds": ("flaps",),
-        "changes": [(standing, "StandingDecision", DecisionWithoutHold)],
+        "changes": [(active_decisions, "ActiveDecision", DecisionWithoutHold)],
     },
     "a few are enough for the store": {"kinds": ("zone",), "config": replace(SHORT, store_quorum=0.05)},
     "one report is enough for a source": {
@@ -395,7 +396,7 @@
     "a node is ejected before others were heard": {
         "kinds": ("fail",),
         "seeds": range(8),
-        "changes": [(ConsensusStore, "acts_within", lambda self: 0)],
+        "changes": [(FleetDecisions, "acts_within", lambda self, member: 0)],
     },
     "the override received last stands": {
         "kinds": ("words",),
@@ -568,7 +569,7 @@
     config = consensus_config(check_settings(tree, "f"))
     assert config.report_lifetime == 20 * SECOND
     assert [problem.field for problem in config_warnings(config)] == ["count"]
-    errors = config_errors(replace(config, report_lifetime=SECOND, max_standing=1))
+    errors = config_errors(replace(config, report_lifetime=SECOND, max_hold_time=1))
     assert [error.field for error in errors] == ["life_ms", "hold_most_ms"]
     with pytest.raises(SettingsError) as wrong:
         check_settings({"verdicts": {"life_ms": 3000, "cuont": 2}}, "f")
