--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -15,8 +15,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
-from finchcart.fault_injection.key_lease_fault_run import play_seed
-from finchcart.fault_injection.key_lease_state_space import explore
+from finchcart.fault_injection.key_leases.fault_run import play_seed
+from finchcart.fault_injection.key_leases.state_space import explore
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import SECOND, KeyLeaseConfig
 from finchcart.key_leases.replica import KeyLeaseReplica
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 
 from benchmarks.membership_rules import RULES_COLUMNS, rule_rows
-from finchcart.fault_injection.membership_simulation import MembershipSimulation
-from finchcart.fault_injection.plan import Plan, PlannedAction
-from finchcart.fault_injection.process_run import play_on_processes
-from finchcart.fault_injection.script import Load, Script, StepKind
+from finchcart.fault_injection.membership.simulation import MembershipSimulation
+from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedAction
+from finchcart.fault_injection.scripted_runs.process_run import play_on_processes
+from finchcart.fault_injection.scripted_runs.script import Load, Script, StepKind
 from finchcart.membership import failure_detection, view
 from finchcart.membership.config import SECOND, MembershipConfig
 
--- a/benchmarks/membership_rules.py
+++ b/benchmarks/membership_rules.py
@@ -6,10 +6,10 @@
 import json
 from collections.abc import Collection, Mapping
 
-from finchcart.fault_injection.checker import check_plan
-from finchcart.fault_injection.plan import make_plan
-from finchcart.fault_injection.script import read_script
-from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.scripted_runs.checker import check_plan
+from finchcart.fault_injection.scripted_runs.plan import make_plan
+from finchcart.fault_injection.scripted_runs.script import read_script
+from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
 from finchcart.membership import failure_detection, view
 
 LOSSY_S = 120  # of the script `loss`
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -21,9 +21,9 @@
 from statistics import fmean
 
 from benchmarks.by_round import Rows, read_side_by_side, save_bars, side_by_side_table, total
-from finchcart.fault_injection.quota_fault_run import SeedResult, play_seed, seconds_to_follow_demand
-from finchcart.fault_injection.quota_simulation import QuotaSimulation
-from finchcart.fault_injection.quota_state_space import DRIFTS, explore
+from finchcart.fault_injection.quota.fault_run import SeedResult, play_seed, seconds_to_follow_demand
+from finchcart.fault_injection.quota.simulation import QuotaSimulation
+from finchcart.fault_injection.quota.state_space import DRIFTS, explore
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 
 MOST_PRINTED = 10  # breaches of seeds
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from benchmarks.by_round import Rows, read_side_by_side, save_bars, side_by_side_table, total
-from finchcart.fault_injection.consensus_fault_run import SeedResult, play_seed
-from finchcart.fault_injection.consensus_simulation import POLL_US, ConsensusSimulation
-from finchcart.fault_injection.consensus_view import is_down
+from finchcart.fault_injection.consensus.fault_run import SeedResult, play_seed
+from finchcart.fault_injection.consensus.simulation import POLL_US, ConsensusSimulation
+from finchcart.fault_injection.consensus.view import is_down
 from finchcart.membership.config import SECOND
 from finchcart.simulated_peers.client import Outcome
 from finchcart.simulated_peers.store import StoreState
--- a/finchcart/cli/commands.py
+++ b/finchcart/cli/commands.py
@@ -215,7 +215,7 @@
 @trial.command("list")
 def list_scripts() -> None:
     """The scripts that come with the program."""
-    from finchcart.fault_injection.script import shipped_scripts
+    from finchcart.fault_injection.scripted_runs.script import shipped_scripts
 
     for name, script in shipped_scripts():
         click.echo(f"{name:20} {script.about}")
@@ -257,7 +257,7 @@
     """Play a script: a table, a chart, and status 1 with the first breach."""
     import signal
 
-    from finchcart.fault_injection.runner import RunOptions, end_run, play
+    from finchcart.fault_injection.scripted_runs.runner import RunOptions, end_run, play
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, end_run)
@@ -272,7 +272,7 @@
 @click.option("--out", type=click.Path(), help="keeps logs and records here")
 def soak(first: int, count: int, jobs: int, plant: str | None, out: str | None) -> None:
     """Nodes as they ship, under faults of links, clocks, system calls, peers and signals."""
-    from finchcart.fault_injection.soak_report import play_and_report
+    from finchcart.fault_injection.soak.report import play_and_report
 
     sys.exit(play_and_report(range(first, first + count), jobs, plant, out, click.echo))
 
@@ -283,7 +283,7 @@
 @click.option("--jobs", default=4, show_default=True, help="nodes at once")
 def calls(start: bool, most: int, jobs: int) -> None:
     """Each system call of a node, failed in each documented way, at each count in turn."""
-    from finchcart.fault_injection.soak_report import sweep_and_report
+    from finchcart.fault_injection.soak.report import sweep_and_report
 
     sys.exit(sweep_and_report(start, most, jobs, click.echo))
 
@@ -294,7 +294,7 @@
 @click.option("--jobs", default=4, show_default=True, help="processes")
 def seeds(first: int, count: int, jobs: int) -> None:
     """Seeded runs of 12 members with all kinds of faults on the virtual clock."""
-    from finchcart.fault_injection.seed_sweep import play_seeds
+    from finchcart.fault_injection.membership.seed_sweep import play_seeds
 
     broken = 0
     for _, _, breach in play_seeds(first, count, jobs):
--- /dev/null
+++ b/finchcart/fault_injection/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Consensus of the fleet under faults, on the virtual clock."""
--- a/finchcart/fault_injection/consensus_fault_run.py
+++ b/finchcart/fault_injection/consensus/fault_run.py
@@ -7,10 +7,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from finchcart.fault_injection.consensus_round_kinds import RoundKind, Timing
-from finchcart.fault_injection.consensus_rounds import ConsensusRounds
-from finchcart.fault_injection.consensus_view import holds_nothing
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.consensus.round_kinds import RoundKind, Timing
+from finchcart.fault_injection.consensus.rounds import ConsensusRounds
+from finchcart.fault_injection.consensus.view import holds_nothing
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.config import SECOND
 from finchcart.simulated_peers.store import StoreState
 
--- a/finchcart/fault_injection/consensus_rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -9,9 +9,9 @@
 
 from finchcart.consensus import messages, subjects
 from finchcart.consensus.subjects import Restriction, StoreHealth
-from finchcart.fault_injection.consensus_round_kinds import RoundKind, Timing
-from finchcart.fault_injection.consensus_simulation import NEVER_POLL_US, ConsensusSimulation
-from finchcart.fault_injection.consensus_view import (
+from finchcart.fault_injection.consensus.round_kinds import RoundKind, Timing
+from finchcart.fault_injection.consensus.simulation import NEVER_POLL_US, ConsensusSimulation
+from finchcart.fault_injection.consensus.view import (
     NodeView,
     holds_itself_out,
     is_blocked,
--- a/finchcart/fault_injection/consensus_simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -15,9 +15,9 @@
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import StoreHealth
-from finchcart.fault_injection.consensus_view import NodeView, Predicate, is_down
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.membership_simulation import MemberFactory, MembershipSimulation
+from finchcart.fault_injection.consensus.view import NodeView, Predicate, is_down
+from finchcart.fault_injection.membership.simulation import MemberFactory, MembershipSimulation
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.membership.member import Member
 from finchcart.node.limiters import PROBE_DEMAND_PERIOD_US
--- /dev/null
+++ b/finchcart/fault_injection/key_leases/__init__.py
@@ -0,0 +1,1 @@
+"""Key leases under faults, on the virtual clock."""
--- a/finchcart/fault_injection/key_lease_fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -13,14 +13,14 @@
 
 import xxhash
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.key_lease_simulation import (
+from finchcart.fault_injection.key_leases.simulation import (
     TICK_US,
     Datagram,
     Key,
     KeyLeaseSimulation,
     is_replica,
 )
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig
 from finchcart.key_leases.messages import LeaseStatus
--- a/finchcart/fault_injection/key_lease_simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig
 from finchcart.key_leases.messages import LeaseStatus
--- a/finchcart/fault_injection/key_lease_state_space.py
+++ b/finchcart/fault_injection/key_leases/state_space.py
@@ -11,8 +11,8 @@
 
 import xxhash
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.key_lease_simulation import TICK_US, KeyLeaseSimulation, is_replica
+from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation, is_replica
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import SECOND
 
--- /dev/null
+++ b/finchcart/fault_injection/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Membership under faults, on the virtual clock."""
--- a/finchcart/fault_injection/membership_fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -10,8 +10,7 @@
 
 import xxhash
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.membership_faults import (
+from finchcart.fault_injection.membership.faults import (
     CUT_KINDS,
     INBOUND_CUTS,
     KINDS,
@@ -22,11 +21,12 @@
     CutKind,
     FaultKind,
 )
-from finchcart.fault_injection.membership_simulation import (
+from finchcart.fault_injection.membership.simulation import (
     FLEET_NAME,
     MemberFactory,
     MembershipSimulation,
 )
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership import messages
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.membership.member import Member
--- a/finchcart/fault_injection/seed_sweep.py
+++ b/finchcart/fault_injection/membership/seed_sweep.py
@@ -4,8 +4,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.membership_fault_run import SeededRun
+from finchcart.fault_injection.membership.fault_run import SeededRun
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 
 SEEDS_AT_ONCE = 4  # that a process is given
 
--- a/finchcart/fault_injection/membership_simulation.py
+++ b/finchcart/fault_injection/membership/simulation.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from finchcart.fault_injection.virtual_time import ProcessSimulation, SimulatedProcess
+from finchcart.fault_injection.virtual_time.driver import ProcessSimulation, SimulatedProcess
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.member import Member
 
--- a/finchcart/fault_injection/child_processes.py
+++ b/finchcart/fault_injection/processes/child_processes.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 END_TIMEOUT_S = 10
-CHILD_ENV = {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(Path(__file__).parents[2])}
+CHILD_ENV = {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(Path(__file__).parents[3])}
 CPU_FIELDS = slice(11, 13)  # of /proc/PID/stat behind the command: user and system time
 KB_PER_MB = 1024
 
--- a/finchcart/fault_injection/node_configuration.py
+++ b/finchcart/fault_injection/processes/node_configuration.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from finchcart.fault_injection.loopback_addresses import WORKER_POOL_PORT, LoopbackAddresses
+from finchcart.fault_injection.processes.loopback_addresses import WORKER_POOL_PORT, LoopbackAddresses
 
 EXAMPLE = {
     "seed": "1",
--- a/finchcart/fault_injection/quota_fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.quota_process import QuotaProcess, SharingMode
-from finchcart.fault_injection.quota_simulation import QuotaSimulation
+from finchcart.fault_injection.quota.process import QuotaProcess, SharingMode
+from finchcart.fault_injection.quota.simulation import QuotaSimulation
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 
 ELECTION_US = 12 * SECOND  # by then a planner shares out
--- a/finchcart/fault_injection/quota_process.py
+++ b/finchcart/fault_injection/quota/process.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from finchcart.fault_injection.virtual_time import SimulatedProcess
+from finchcart.fault_injection.virtual_time.driver import SimulatedProcess
 
 
 class SharingMode(StrEnum):
--- a/finchcart/fault_injection/quota_simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -8,10 +8,10 @@
 
 import xxhash
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.membership_simulation import FLEET_NAME, WALL_CLOCK_MS
-from finchcart.fault_injection.quota_process import IdleMachine, QuotaProcess, SharingMode, StoreCall
-from finchcart.fault_injection.virtual_time import ProcessSimulation
+from finchcart.fault_injection.membership.simulation import FLEET_NAME, WALL_CLOCK_MS
+from finchcart.fault_injection.quota.process import IdleMachine, QuotaProcess, SharingMode, StoreCall
+from finchcart.fault_injection.virtual_time.driver import ProcessSimulation
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.member import Member
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
--- a/finchcart/fault_injection/quota_state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership import codec
 from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
--- a/finchcart/fault_injection/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct
 
-from finchcart.fault_injection.plan import Plan, PlannedExpectation
-from finchcart.fault_injection.script import ExpectationKind
+from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedExpectation
+from finchcart.fault_injection.scripted_runs.script import ExpectationKind
 
 US_PER_S = 1e6
 INITIAL_STATES = {"left", "working", "in"}  # held of a subject that nothing was heard of
--- a/finchcart/fault_injection/fault_injecting_proxy.py
+++ b/finchcart/fault_injection/scripted_runs/fault_injecting_proxy.py
@@ -1,4 +1,4 @@
-"""The simulated network on loopback: `python -m finchcart.fault_injection.fault_injecting_proxy`.
+"""The simulated network on loopback, as a process: `python -m` with this module's name.
 
 One process for all links of a run. Owns one loopback address for each member, which that member advertises.
 A datagram that arrives there from another member's own address goes on, if the simulated network lets it,
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from queue import Empty, SimpleQueue
 
-from finchcart.fault_injection.simulated_network import Delivery, SimulatedNetwork
+from finchcart.fault_injection.virtual_time.simulated_network import Delivery, SimulatedNetwork
 from finchcart.net.clock import boot_clock
 
 RECEIVE_BUFFER_BYTES = 1 << 20
--- a/finchcart/fault_injection/fleet_options.py
+++ b/finchcart/fault_injection/scripted_runs/fleet_options.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from finchcart.fault_injection.script import Load, Script
+from finchcart.fault_injection.scripted_runs.script import Load, Script
 
 
 @dataclass(frozen=True)
--- a/finchcart/fault_injection/limit_bounds.py
+++ b/finchcart/fault_injection/scripted_runs/limit_bounds.py
@@ -1,6 +1,6 @@
 """The bounds of a script's limit, by the formulas of its settings."""
 
-from finchcart.fault_injection.script import Script
+from finchcart.fault_injection.scripted_runs.script import Script
 from finchcart.quota.limits import QuotaConfig
 
 
--- a/finchcart/fault_injection/plan.py
+++ b/finchcart/fault_injection/scripted_runs/plan.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from finchcart.fault_injection.script import Expect, MemberSet, Round, Script, Step, StepKind
+from finchcart.fault_injection.scripted_runs.script import Expect, MemberSet, Round, Script, Step, StepKind
 
 LEADER = "leader"  # in place of a name: the planner that leads when it comes to that
 
--- a/finchcart/fault_injection/processes.py
+++ b/finchcart/fault_injection/scripted_runs/process_fleet.py
@@ -14,12 +14,16 @@
 
 import json5
 
-from finchcart.fault_injection.child_processes import ChildProcesses, cpu_and_peak_memory
-from finchcart.fault_injection.fault_injecting_proxy import UP_LINE
-from finchcart.fault_injection.fleet_options import FleetOptions
-from finchcart.fault_injection.loopback_addresses import MEMBER_PORT, LoopbackAddresses
-from finchcart.fault_injection.node_configuration import fleet_settings, node_configuration, store_share
-from finchcart.fault_injection.script import Load
+from finchcart.fault_injection.processes.child_processes import ChildProcesses, cpu_and_peak_memory
+from finchcart.fault_injection.processes.loopback_addresses import MEMBER_PORT, LoopbackAddresses
+from finchcart.fault_injection.processes.node_configuration import (
+    fleet_settings,
+    node_configuration,
+    store_share,
+)
+from finchcart.fault_injection.scripted_runs.fault_injecting_proxy import UP_LINE
+from finchcart.fault_injection.scripted_runs.fleet_options import FleetOptions
+from finchcart.fault_injection.scripted_runs.script import Load
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.store import StoreState
 
@@ -125,7 +129,7 @@
     def _start_proxy(self) -> None:
         self.proxy = self._spawn_module(
             "relay",
-            "finchcart.fault_injection.fault_injecting_proxy",
+            "finchcart.fault_injection.scripted_runs.fault_injecting_proxy",
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/finchcart/fault_injection/process_run.py
+++ b/finchcart/fault_injection/scripted_runs/process_run.py
@@ -8,18 +8,18 @@
 from itertools import pairwise
 from pathlib import Path
 
-from finchcart.fault_injection.checker import events_from_logs
-from finchcart.fault_injection.fleet_options import FleetOptions
-from finchcart.fault_injection.plan import LEADER, Plan, PlannedAction
-from finchcart.fault_injection.processes import (
+from finchcart.fault_injection.scripted_runs.checker import events_from_logs
+from finchcart.fault_injection.scripted_runs.fleet_options import FleetOptions
+from finchcart.fault_injection.scripted_runs.plan import LEADER, Plan, PlannedAction
+from finchcart.fault_injection.scripted_runs.process_fleet import (
     EFFECTS_FILE,
     FLOOD_FILE,
     LOAD_FILE,
     TRUTH_FILE,
     ProcessFleet,
 )
-from finchcart.fault_injection.run_record import Facts, RunRecord
-from finchcart.fault_injection.script import Script, StepKind
+from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.script import Script, StepKind
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.membership.config import MS
 from finchcart.net.clock import boot_clock
--- a/finchcart/fault_injection/run_record.py
+++ b/finchcart/fault_injection/scripted_runs/run_record.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from finchcart.fault_injection.checker import Event
+from finchcart.fault_injection.scripted_runs.checker import Event
 
 Facts = dict  # written into results.json as it is
 
--- a/finchcart/fault_injection/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -7,9 +7,9 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
 
-from finchcart.fault_injection.checker import Event, EventKind, Result
-from finchcart.fault_injection.plan import Plan
-from finchcart.fault_injection.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.checker import Event, EventKind, Result
+from finchcart.fault_injection.scripted_runs.plan import Plan
+from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
 
 US_PER_S = 1e6
 US_PER_MS = 1000
--- a/finchcart/fault_injection/runner.py
+++ b/finchcart/fault_injection/scripted_runs/runner.py
@@ -14,12 +14,12 @@
 import click
 import msgspec
 
-from finchcart.fault_injection.checker import Result, check_plan
-from finchcart.fault_injection.limit_bounds import bucket_bound, overshoot_bound
-from finchcart.fault_injection.plan import Plan, make_plan
-from finchcart.fault_injection.process_run import play_on_processes
-from finchcart.fault_injection.run_record import RunRecord
-from finchcart.fault_injection.run_report import (
+from finchcart.fault_injection.scripted_runs.checker import Result, check_plan
+from finchcart.fault_injection.scripted_runs.limit_bounds import bucket_bound, overshoot_bound
+from finchcart.fault_injection.scripted_runs.plan import Plan, make_plan
+from finchcart.fault_injection.scripted_runs.process_run import play_on_processes
+from finchcart.fault_injection.scripted_runs.run_record import RunRecord
+from finchcart.fault_injection.scripted_runs.run_report import (
     call_rows,
     call_table,
     expectation_rows,
@@ -28,8 +28,8 @@
     use_rows,
     use_table,
 )
-from finchcart.fault_injection.script import Script, read_script
-from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.scripted_runs.script import Script, read_script
+from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
 
 US_PER_S = 1e6
 US_PER_MS = 1000
@@ -152,7 +152,9 @@
 
 def save_report(plan: Plan, record: RunRecord, report: Report, options: RunOptions, folder: Path) -> None:
     """Write table.md, results.json and timeline.png."""
-    from finchcart.fault_injection.timeline_chart import save_timeline  # matplotlib is slow to import
+    from finchcart.fault_injection.scripted_runs.timeline_chart import (
+        save_timeline,  # matplotlib is slow to import
+    )
 
     members = len(plan.first)
     head = f"`{options.script}`, seed {options.seed}, {members} members"
--- a/finchcart/fault_injection/timeline_chart.py
+++ b/finchcart/fault_injection/scripted_runs/timeline_chart.py
@@ -13,9 +13,9 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-from finchcart.fault_injection.checker import Event, EventKind
-from finchcart.fault_injection.plan import Plan, PlannedAction
-from finchcart.fault_injection.script import StepKind
+from finchcart.fault_injection.scripted_runs.checker import Event, EventKind
+from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedAction
+from finchcart.fault_injection.scripted_runs.script import StepKind
 
 STATE_COLOURS = {
     "alive": "#7fb77e",
--- a/finchcart/fault_injection/virtual_run.py
+++ b/finchcart/fault_injection/scripted_runs/virtual_run.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from random import Random
 
-from finchcart.fault_injection.checker import Event, EventKind
-from finchcart.fault_injection.membership_simulation import MemberFactory, MembershipSimulation
-from finchcart.fault_injection.plan import Plan, PlannedAction
-from finchcart.fault_injection.run_record import Facts, RunRecord
-from finchcart.fault_injection.script import StepKind
+from finchcart.fault_injection.membership.simulation import MemberFactory, MembershipSimulation
+from finchcart.fault_injection.scripted_runs.checker import Event, EventKind
+from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedAction
+from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.script import StepKind
 from finchcart.membership.config import MS, SECOND, MembershipConfig
 from finchcart.membership.member import Member
 
--- a/finchcart/fault_injection/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from finchcart.fault_injection.child_processes import CHILD_ENV
-from finchcart.fault_injection.loopback_addresses import own_address
-from finchcart.fault_injection.node_configuration import EXAMPLE
-from finchcart.fault_injection.process_shim import (
+from finchcart.fault_injection.processes.child_processes import CHILD_ENV
+from finchcart.fault_injection.processes.loopback_addresses import own_address
+from finchcart.fault_injection.processes.node_configuration import EXAMPLE
+from finchcart.fault_injection.processes.process_shim import (
     DOCUMENTED_ERRORS,
     Call,
     ProcessShim,
--- a/finchcart/fault_injection/soak_node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -14,14 +14,14 @@
 from contextlib import suppress
 from pathlib import Path
 
-from finchcart.fault_injection.child_processes import CHILD_ENV, cpu_and_peak_memory
-from finchcart.fault_injection.loopback_addresses import own_address
-from finchcart.fault_injection.node_configuration import EXAMPLE
-from finchcart.fault_injection.process_shim import ProcessShim
-from finchcart.fault_injection.recorded_rules import SLACK_S, NodeLife, Pause, Rules, breaches
-from finchcart.fault_injection.recording_client import RecordingClient, RpcRecord
-from finchcart.fault_injection.soak_plan import SoakPlan
-from finchcart.fault_injection.stream_relay import StreamRelay
+from finchcart.fault_injection.processes.child_processes import CHILD_ENV, cpu_and_peak_memory
+from finchcart.fault_injection.processes.loopback_addresses import own_address
+from finchcart.fault_injection.processes.node_configuration import EXAMPLE
+from finchcart.fault_injection.processes.process_shim import ProcessShim
+from finchcart.fault_injection.soak.plan import SoakPlan
+from finchcart.fault_injection.soak.recorded_rules import SLACK_S, NodeLife, Pause, Rules, breaches
+from finchcart.fault_injection.soak.recording_client import RecordingClient, RpcRecord
+from finchcart.fault_injection.soak.stream_relay import StreamRelay
 from finchcart.simulated_peers.client import Client
 from finchcart.simulated_peers.registry import Registry
 from finchcart.simulated_peers.worker_pool import WorkerPool
@@ -109,7 +109,7 @@
 
     def start(self, plant: str | None) -> None:
         """Start a process of the node, and wait until it answers."""
-        module = "finchcart.fault_injection.planted_defects" if plant else "finchcart"
+        module = "finchcart.fault_injection.soak.planted_defects" if plant else "finchcart"
         environment = {**os.environ, **CHILD_ENV, **self.shim.environment}
         environment |= {"ROUTER_CONFIG": str(self._config_path), "FINCHCART_PLANT": plant or ""}
         self._life_began = time.monotonic()
--- a/finchcart/fault_injection/soak_plan.py
+++ b/finchcart/fault_injection/soak/plan.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from finchcart.fault_injection.process_shim import Call
-from finchcart.fault_injection.recording_client import ClientLoad, MethodProfile
-from finchcart.fault_injection.stream_relay import LinkFaults
+from finchcart.fault_injection.processes.process_shim import Call
+from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile
+from finchcart.fault_injection.soak.stream_relay import LinkFaults
 
 HOUR_S = 3600
 CLOCK_OFFSETS_S = (HOUR_S, -HOUR_S, 2, -2, 0.3, 0)
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -1,4 +1,4 @@
-"""A node with a defect: `python -m finchcart.fault_injection.planted_defects`, to show that checks see it.
+"""A node with a defect, to show that checks see it: `python -m` with this module's name.
 
 Owns the defects, by the name in the environment variable FINCHCART_PLANT. It must never be started but by a
 run with faults: each defect breaks a rule.
--- a/finchcart/fault_injection/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from finchcart.fault_injection.recording_client import RpcRecord
+from finchcart.fault_injection.soak.recording_client import RpcRecord
 from finchcart.simulated_peers.client import Outcome
 from finchcart.simulated_peers.worker_pool import LoadSample, RunRecord, highest_mean
 
--- a/finchcart/fault_injection/soak_report.py
+++ b/finchcart/fault_injection/soak/report.py
@@ -10,8 +10,8 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from finchcart.fault_injection.call_sweep import CallFault, CallSweep, all_faults
-from finchcart.fault_injection.soak import SoakResult, play_seeds
+from finchcart.fault_injection.soak.call_sweep import CallFault, CallSweep, all_faults
+from finchcart.fault_injection.soak.run import SoakResult, play_seeds
 
 Echo = Callable[[str], None]
 
--- a/finchcart/fault_injection/soak.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from finchcart.fault_injection.loopback_addresses import own_address
-from finchcart.fault_injection.process_shim import ProcessShim, build_library
-from finchcart.fault_injection.soak_node import SoakNode
-from finchcart.fault_injection.soak_plan import LEAVE_AT_S, NodeEvent, SoakPlan, draw_plan
+from finchcart.fault_injection.processes.loopback_addresses import own_address
+from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
+from finchcart.fault_injection.soak.node import SoakNode
+from finchcart.fault_injection.soak.plan import LEAVE_AT_S, NodeEvent, SoakPlan, draw_plan
 from finchcart.simulated_peers.store import Store
 
 WATCH_INTERVAL_S = 0.02
@@ -220,7 +220,7 @@
     while waiting or running:
         while waiting and len(running) < jobs:
             seed = waiting.pop(0)
-            command = [sys.executable, "-m", "finchcart.fault_injection.soak"]
+            command = [sys.executable, "-m", "finchcart.fault_injection.soak.run"]
             arguments = [str(seed), str(folder), str(library), plant or ""]
             running[seed] = subprocess.Popen([*command, *arguments], stdout=subprocess.PIPE, text=True)
         for seed, child in list(running.items()):
--- /dev/null
+++ b/finchcart/fault_injection/virtual_time/__init__.py
@@ -0,0 +1,1 @@
+"""State machines of many processes on one simulated clock, and the network between them."""
--- a/finchcart/fault_injection/virtual_time.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -11,7 +11,7 @@
 from heapq import heappop, heappush
 from typing import Any, Generic, TypeVar
 
-from finchcart.fault_injection.simulated_network import Delivery, SimulatedNetwork
+from finchcart.fault_injection.virtual_time.simulated_network import Delivery, SimulatedNetwork
 
 START_US = 1_000_000  # the clock's reading when a simulation begins
 MAX_BUFFERED = 250  # datagrams that wait for a stopped process
--- a/tests/node_testbed.py
+++ b/tests/node_testbed.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from benchmarks.node_process import free_address
-from finchcart.fault_injection.process_shim import ProcessShim, build_library
+from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
 from finchcart.simulated_peers.client import Client
 from finchcart.simulated_peers.registry import Registry
 from finchcart.simulated_peers.store import Store
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -31,9 +31,9 @@
 from finchcart.decisions.interface import Outcome
 from finchcart.decisions.rpc_record import RpcState
 from finchcart.errors import SettingsError
-from finchcart.fault_injection.consensus_fault_run import SeededRun
-from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.consensus.fault_run import SeededRun
+from finchcart.fault_injection.consensus.simulation import ConsensusSimulation
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
--- a/tests/test_early_kill.py
+++ b/tests/test_early_kill.py
@@ -13,8 +13,8 @@
 import sys
 import time
 
-from finchcart.fault_injection.recorded_rules import NodeLife, Rules, breaches
-from finchcart.fault_injection.recording_client import ClientLoad, MethodProfile, RecordingClient
+from finchcart.fault_injection.soak.recorded_rules import NodeLife, Rules, breaches
+from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile, RecordingClient
 from tests.node_testbed import wait_until
 
 DEADLINE_S = 0.5
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,13 +9,13 @@
 
 from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
-from finchcart.fault_injection.checker import check_plan
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.membership_fault_run import SeededRun
-from finchcart.fault_injection.membership_simulation import MembershipSimulation
-from finchcart.fault_injection.plan import make_plan
-from finchcart.fault_injection.script import Script
-from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.membership.fault_run import SeededRun
+from finchcart.fault_injection.membership.simulation import MembershipSimulation
+from finchcart.fault_injection.scripted_runs.checker import check_plan
+from finchcart.fault_injection.scripted_runs.plan import make_plan
+from finchcart.fault_injection.scripted_runs.script import Script
+from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership import failure_detection, messages, view
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.codec import encode_value, name_hash, parse_address, xxh64_digest
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from finchcart.fault_injection.process_shim import build_library
-from finchcart.fault_injection.recorded_rules import highest_mean
-from finchcart.fault_injection.recording_client import ClientLoad, MethodProfile
-from finchcart.fault_injection.soak import SoakRun, play_seeds
-from finchcart.fault_injection.soak_plan import NodeEvent, draw_plan
-from finchcart.fault_injection.stream_relay import LinkFaults
+from finchcart.fault_injection.processes.process_shim import build_library
+from finchcart.fault_injection.soak.plan import NodeEvent, draw_plan
+from finchcart.fault_injection.soak.recorded_rules import highest_mean
+from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile
+from finchcart.fault_injection.soak.run import SoakRun, play_seeds
+from finchcart.fault_injection.soak.stream_relay import LinkFaults
 from finchcart.simulated_peers.worker_pool import LoadSample
 
 SEEDS = range(1, 13)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,8 +15,8 @@
 import threading
 from queue import SimpleQueue
 
-from finchcart.fault_injection.call_sweep import CallFault, CallSweep, all_faults
-from finchcart.fault_injection.process_shim import Call
+from finchcart.fault_injection.processes.process_shim import Call
+from finchcart.fault_injection.soak.call_sweep import CallFault, CallSweep, all_faults
 from finchcart.limits import Limits
 from finchcart.log_sink import LogSink
 from finchcart.net.listener import Listener
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -10,13 +10,13 @@
 import pytest
 
 from finchcart.cli.queries import query_members
-from finchcart.fault_injection.checker import Event, EventKind, History, check
-from finchcart.fault_injection.plan import Plan, PlannedExpectation, make_plan
-from finchcart.fault_injection.processes import ProcessFleet
-from finchcart.fault_injection.runner import RunOptions, play
-from finchcart.fault_injection.script import read_script, shipped_scripts
-from finchcart.fault_injection.simulated_network import SimulatedNetwork
-from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.scripted_runs.checker import Event, EventKind, History, check
+from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedExpectation, make_plan
+from finchcart.fault_injection.scripted_runs.process_fleet import ProcessFleet
+from finchcart.fault_injection.scripted_runs.runner import RunOptions, play
+from finchcart.fault_injection.scripted_runs.script import read_script, shipped_scripts
+from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
+from finchcart.fault_injection.virtual_time.simulated_network import SimulatedNetwork
 from finchcart.net.datagrams import DatagramEndpoint
 
 
--- a/tools/type_checks.py
+++ b/tools/type_checks.py
@@ -1,7 +1,7 @@
-"""Run the type checker, and keep its list of unfinished modules in pyproject.toml exact, so that it only shrinks.
+"""Run the type checker, and keep its list of unfinished modules exact, so that it only shrinks.
 
-The list stands between two marker lines in `[tool.mypy]`'s override with `ignore_errors`: the modules in which
-mypy finds errors. A module that is not listed, a new one above all, has to pass.
+The list stands in pyproject.toml, between two marker lines in the override with `ignore_errors`: the modules
+in which mypy finds errors. A module that is not listed, a new one above all, has to pass.
 
     python tools/type_checks.py             # status 1 where an unlisted module fails or a listed one passes
     python tools/type_checks.py --write     # make the list anew (`make unfinished`)
