--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -1,6 +1,6 @@
 """All decisions of a node: which RPCs it admits, runs, rejects and fails.
 
-How it is called (types and port: finchcart/decisions/interface.py; why: docs/design.md). A host makes one
+How it is called (the host's verbs: finchcart/decisions/port.py; why: docs/design.md). A host makes one
 `NodeController(port, settings, seed)` for each node and calls `start(now)`. `admit(now, ...)` takes an RPC
 that was read and returns its handle; what happens to it later is a call on the handle: `run_ended`,
 `caller_gone`, `awaiting_call`, `call_ended`. On the controller: `on_timer` (with gauges), `drain`,
@@ -9,7 +9,7 @@
 
 States: an RPC is QUEUED, then RUNNING, then COMPLETED. A run that needs the dependency is AWAITING_CALL, then
 CALLING, and RUNNING again; one that yields its core is PAUSED and queued again. A duplicate never runs, it is
-SHARING. Fields and what they mean: rpc_record.py (an RPC), node_record.py (the node), node_settings.py.
+SHARING. Fields and what they mean: rpc.py (an RPC), node_record.py (the node), node_settings.py.
 
 Reading order: constants, Method, RpcHandle (one RPC's way), NodeController (intake, queue,
 calls, control loop, drain).
@@ -19,11 +19,14 @@
 from math import log2
 from random import Random
 
+from finchcart.decisions.arrival import RpcArrival
+from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.histogram import Histogram
-from finchcart.decisions.interface import Gauges, Outcome, Port
 from finchcart.decisions.node_record import NodeRecord
 from finchcart.decisions.node_settings import MethodSettings, NodeSettings, order_by_criticality
-from finchcart.decisions.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
 QUEUED, RUNNING, AWAITING_CALL, CALLING, SHARING, PAUSED, COMPLETED = RpcState
@@ -208,7 +211,9 @@
             self.control.work_completed += self.expected_cost
         if not self.failed:
             total_time = spent + self.spent_before_pause
-            self.method.learn(self.cost_hint, max(1, total_time - self.time_at_calls), max(1, total_time))
+            self.method.learn(
+                self.service_time_hint, max(1, total_time - self.time_at_calls), max(1, total_time)
+            )
 
     def _call_failed(self, now: int, outcome: Outcome) -> None:
         """Repeats the call, leaves it out or fails the RPC. A call must not take effect twice, nor a failing
@@ -225,7 +230,7 @@
 
 
 class NodeController(NodeRecord):
-    """The decisions of one node. `settings`: see interface.py; `seed`: of all left to chance."""
+    """The decisions of one node. `settings`: see node_settings.py; `seed`: of all left to chance."""
 
     def __init__(self, port: Port, settings: Mapping[str, object], seed: int) -> None:
         super().__init__(NodeSettings.pick(settings, DEFAULTS))
@@ -249,7 +254,7 @@
         self.call_credit_at = now
         self.port.set_health(True, True)
         self.port.set_idle_timeout(MIN_IDLE_TIMEOUT)
-        self.port.set_timer(MAINTENANCE_INTERVAL, "sweep")
+        self.port.set_timer(MAINTENANCE_INTERVAL)
 
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
         """What runs the RPCs restarted, cold or warm; the ends of its runs are reported one by one."""
@@ -258,15 +263,13 @@
 
     # ---- Intake
 
-    def admit(
-        self, now: int, index: int, method: str, memory_kb: float, *, caller: object = None, **told: object
-    ) -> RpcHandle:
-        """An RPC has been read: queues it, rejects it, or shares a result. `told`: see `RpcRecord`."""
-        self.note_caller(now, caller, MAX_IDLE_TIMEOUT, RETURNING_SAMPLES)
-        rpc = RpcHandle(self, now, index, self.methods_by_name[method], memory_kb, **told)
+    def admit(self, now: int, index: int, arrival: RpcArrival) -> RpcHandle:
+        """An RPC has been read: queues it, rejects it, or shares a result."""
+        self.note_caller(now, arrival.caller, MAX_IDLE_TIMEOUT, RETURNING_SAMPLES)
+        rpc = RpcHandle(self, now, index, self.methods_by_name[arrival.method], arrival)
         self._forecast(now, rpc)
         self.active[index] = rpc
-        self.memory_used_kb += memory_kb
+        self.memory_used_kb += rpc.memory_kb
         if rpc.duplicate_of is not None:
             first = self.active.get(rpc.duplicate_of) or self.completed.get(rpc.duplicate_of)
             if not (first and not first.has_run and first.state is COMPLETED):
@@ -288,7 +291,7 @@
         method = rpc.method
         lost = min(MAX_RETRY_TIME_LOST, RETRY_TIME_LOST * self.retry_ratio) if rpc.is_retry else 0
         rpc.objective_at = min(rpc.due_at, rpc.reached_at + int(method.latency_objective * (1 - lost)))
-        rpc.expected_cost = method.expected_cost(rpc.cost_hint)
+        rpc.expected_cost = method.expected_cost(rpc.service_time_hint)
         # Not by criticality for the cost: of two equal methods, the one with longer runs would be starved.
         rpc.priority = (-method.criticality, rpc.objective_at - rpc.expected_cost)
         self.read_delay += (now - rpc.reached_at - self.read_delay) / READ_DELAY_SAMPLES
@@ -346,7 +349,7 @@
             return False
         part = IDLE_NODE_FIT if self.runs_on_cores * 2 < self.cores else FREE_CORE_FIT
         fits = rpc.expected_cost < part * (rpc.objective_at - now)
-        return fits or not rpc.cost_hint or self.random() < MISFIT_TRIES
+        return fits or not rpc.service_time_hint or self.random() < MISFIT_TRIES
 
     def _work_ahead(self, priority: tuple[float, float]) -> float:
         """Core time of the runs and queued RPCs that come before this priority."""
@@ -543,7 +546,7 @@
 
     # ---- Maintenance: gauges, what is due, slowness
 
-    def on_timer(self, now: int, name: str, gauges: Gauges) -> None:
+    def on_timer(self, now: int, gauges: Gauges) -> None:
         """Looks at the gauges and at what is due, and turns the control loop once."""
         lateness = now - self.last_maintenance - MAINTENANCE_INTERVAL - 2 * self.settings.tick
         self._set_timer_lateness(max(lateness, self.timer_lateness * 63 // 64, 0))  # fades in seconds
@@ -557,7 +560,7 @@
         self._run_control_loop(now)
         self.make_calls(now)
         self.start_queued(now)
-        self.port.set_timer(MAINTENANCE_INTERVAL, name)
+        self.port.set_timer(MAINTENANCE_INTERVAL)
 
     def _set_timer_lateness(self, lateness: int) -> None:
         """RPCs are answered a few ticks before they are due, and twice what stalls lately cost."""
--- a/finchcart/decisions/node_record.py
+++ b/finchcart/decisions/node_record.py
@@ -7,9 +7,9 @@
 from bisect import insort
 from heapq import heappop, heappush
 
-from finchcart.decisions.interface import Gauges
+from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.node_settings import NodeSettings
-from finchcart.decisions.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.rpc import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
 _, RUNNING, AWAITING_CALL, CALLING, _, PAUSED, COMPLETED = RpcState
--- a/finchcart/decisions/rpc_record.py
+++ b/finchcart/decisions/rpc.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from finchcart.decisions.arrival import RpcArrival
     from finchcart.decisions.controller import Method, NodeController
-    from finchcart.decisions.interface import FleetQuota
 
 
 class RpcState(Enum):
@@ -31,7 +31,6 @@
         "called_at",
         "caller_is_gone",
         "control",
-        "cost_hint",
         "due_at",
         "duplicate_of",
         "expected_cost",
@@ -48,6 +47,7 @@
         "priority",
         "quota",
         "reached_at",
+        "service_time_hint",
         "shed_rank",
         "spent_before_pause",
         "started_at",
@@ -68,32 +68,25 @@
         now: int,
         index: int,
         method: Method,
-        memory_kb: float,
-        *,
-        expires_at: int = 0,
-        waited: int = 0,
-        shed_rank: float | None = None,
-        cost_hint: int = 0,
-        is_retry: bool = False,
-        duplicate_of: int | None = None,
-        quota: FleetQuota | None = None,
+        arrival: RpcArrival,
     ) -> None:
-        """An RPC that was read `now`, `waited` microseconds after it reached the machine.
-
-        `expires_at`: its deadline, 0 where it is not told and the method's stands in.
-        """
+        """Record an RPC that was read `now`."""
         self.control = control
         self.index = index  # names the RPC at the port
         self.method = method
-        self.memory_kb = memory_kb  # held until it is completed
-        self.extra_run_kb = memory_kb * (control.settings.run_factor - 1)  # held besides by its run
-        self.reached_at = now - waited
-        self.due_at = expires_at or self.reached_at + method.deadline  # its answer is owed until then
-        self.shed_rank = shed_rank  # 0 to 1, of its user; the lowest are shed first
-        self.cost_hint = cost_hint  # what a run takes by the caller's estimate; 0: not told
-        self.is_retry = is_retry
-        self.duplicate_of = duplicate_of  # index of the first RPC of its key; -1: it is not known any more
-        self.quota = quota  # what is left here of the fleet's limits on it
+        self.memory_kb = arrival.memory_kb  # held until it is completed
+        self.extra_run_kb = self.memory_kb * (control.settings.run_factor - 1)  # held besides by its run
+        self.reached_at = now - arrival.waited
+        self.due_at = arrival.expires_at or self.reached_at + method.deadline  # its answer is owed until then
+        self.shed_rank = arrival.shed_rank  # 0 to 1, of its user; the lowest are shed first
+        self.service_time_hint = (
+            arrival.service_time_hint
+        )  # what a run takes by the caller's estimate; 0: not told
+        self.is_retry = arrival.is_retry
+        self.duplicate_of = (
+            arrival.duplicate_of
+        )  # index of the first RPC of its key; -1: it is not known any more
+        self.quota = arrival.quota  # what is left here of the fleet's limits on it
         self.state = RpcState.QUEUED
         self.answered = False
         self.caller_is_gone = False
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Gauges
+from finchcart.decisions.gauges import Gauges
 from finchcart.limits import Limits
 from finchcart.node import inputs
 from finchcart.node.effect_buffer import EffectBuffer
@@ -58,7 +58,7 @@
     """The state of one node. Times are whole microseconds.
 
     Arguments:
-        settings: of the decision module, see decisions/interface.py; `gauges` names the worker pool's
+        settings: of the decision module, see decisions/node_settings.py; `gauges` names the worker pool's
         readings. limits: sizes and times of the node. seed: of the decision module. name: by which the
         registry knows the node. addresses: of "pool", "store" (None: there is none) and "registry".
         make_frontends: from the core to its frontends by name. shadow: None, or the `settings` to watch and
@@ -334,8 +334,8 @@
         for rpc in lost:
             self.lifecycle.run_lost(rpc)
 
-    def timer_due(self, name: str, readings: Mapping[str, float]) -> None:
-        """A timer of the decision module is due; `readings`: the worker pool's gauges by name."""
+    def timer_due(self, readings: Mapping[str, float]) -> None:
+        """The timer of the decision module is due; `readings`: the worker pool's gauges by name."""
         gauges = Gauges.from_readings(readings)._replace(
             input_age=self._longest_wait_us, input_busy=self._input_busy
         )
@@ -343,7 +343,7 @@
         gauges = self.fleet.add_gauges(gauges, self.store)
         self.fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
         self.fleet.publish_evidence(self.control.own_level)
-        self.control.on_timer(self.turn.now, name, gauges)
+        self.control.on_timer(self.turn.now, gauges)
         self.registration.end_if_idle()
 
     # ---- Drain and end
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -7,7 +7,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from finchcart.decisions.interface import FleetQuota, Gauges, Outcome
+from finchcart.decisions.arrival import FleetQuota
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import PublishEvidence, PublishUsage
 from finchcart.node.methods import MethodInfo
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from finchcart.decisions.interface import FleetQuota
+from finchcart.decisions.arrival import FleetQuota
 from finchcart.node.limiters import (
     CallConcurrencyLimiter,
     CallPermit,
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -11,7 +11,8 @@
 
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.subjects import Restriction, StoreHealth, SubjectKind, make_subject, source_subject
-from finchcart.decisions.interface import FleetQuota, Outcome
+from finchcart.decisions.arrival import FleetQuota
+from finchcart.decisions.outcome import Outcome
 
 if TYPE_CHECKING:
     from finchcart.consensus.observations import Evidence
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -1,4 +1,4 @@
-"""What the decision module can do in a node: the implementation of `finchcart.decisions.interface.Port`.
+"""What the decision module can do in a node: the implementation of `finchcart.decisions.port.Port`.
 
 Owns no state. Each verb is carried out at once, in the order in which it is called; it must never decide.
 """
@@ -23,7 +23,7 @@
 
 
 class CorePort:
-    """The port of one node, see `finchcart.decisions.interface.Port`. Times are whole microseconds."""
+    """The port of one node, see `finchcart.decisions.port.Port`. Times are whole microseconds."""
 
     def __init__(
         self,
@@ -150,9 +150,9 @@
 
     # ---- Timers, log lines, the end of an RPC
 
-    def set_timer(self, delay: int, name: str) -> None:
+    def set_timer(self, delay: int) -> None:
         """Has the decision module's `on_timer` called with gauges after `delay`."""
-        self.turn.schedule(self.turn.now + delay, self.pool.request_gauges, name)
+        self.turn.schedule(self.turn.now + delay, self.pool.request_gauges)
 
     def log(self, text: str) -> None:
         """One line for the operators."""
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from finchcart.decisions.rpc_record import RpcRecord
+    from finchcart.decisions.rpc import RpcRecord
     from finchcart.node.frontend import Frontend
     from finchcart.node.idempotency import KeyEntry
     from finchcart.node.limiters import RpcConcurrencyLimiter
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -7,7 +7,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from finchcart.decisions.interface import FleetQuota, Outcome
+from finchcart.decisions.arrival import FleetQuota, RpcArrival
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import InvalidRpcError
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.fleet import FleetView
@@ -124,20 +125,19 @@
         if self.fleet.limits_rpcs and duplicate_of is None:
             fleet_quota, limiters = self.fleet.quota_for(rpc.method, attributes)
             quota = quota or fleet_quota
-        rpc.handle = self.control.admit(
-            now,
-            rpc.index,
+        arrival = RpcArrival(
             rpc.method,
             attributes.memory_kb,
+            attributes.caller,
+            attributes.expires_at,
             waited=now - attributes.arrived_at,
-            duplicate_of=duplicate_of,
-            expires_at=attributes.expires_at,
             shed_rank=attributes.shed_rank,
-            cost_hint=attributes.cost_hint_us,
+            service_time_hint=attributes.cost_hint_us,
             is_retry=attributes.is_retry,
-            caller=attributes.caller,
+            duplicate_of=duplicate_of,
             quota=quota,
         )
+        rpc.handle = self.control.admit(now, rpc.index, arrival)
         if rpc.answer_owed:
             for limiter in limiters:
                 limiter.try_acquire(rpc)
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -16,9 +16,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
 
+from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Gauges, Outcome, Port
-from finchcart.decisions.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import RpcRecord, RpcState
 
 # What is counted, in the words of the log line.
 ADMITTED_WOULD_REJECT = "taken, would be pushed back"
@@ -191,9 +194,9 @@
         """See `NodeController`."""
         self.tell_both(self.active, self.shadow, "drain", now, kill_at)
 
-    def on_timer(self, now: int, name: str, gauges: Gauges) -> None:
+    def on_timer(self, now: int, gauges: Gauges) -> None:
         """See `NodeController`; also counts what is published otherwise, and logs the counts each period."""
-        self.tell_both(self.active, self.shadow, "on_timer", now, name, gauges)
+        self.tell_both(self.active, self.shadow, "on_timer", now, gauges)
         self.counts[FEEDBACK] += self.port.feedback != self.shadow_port.feedback
         self.counts[HEALTH] += self.port.healthy != self.shadow_port.healthy
         if self.shadow and now - self.logged_at >= self.period_us:
@@ -203,11 +206,11 @@
             self.counts = Counter()
             self.rpcs_seen = 0
 
-    def admit(self, now: int, index: int, *arguments: object, **keywords: object) -> ShadowedHandle:
+    def admit(self, now: int, index: int, arrival: RpcArrival) -> ShadowedHandle:
         """See `NodeController`."""
-        handle = ShadowedHandle(self, self.active.admit(now, index, *arguments, **keywords))
+        handle = ShadowedHandle(self, self.active.admit(now, index, arrival))
         if self.shadow:
-            handle.shadow = self._guarded(self.shadow.admit, now, index, *arguments, **keywords)
+            handle.shadow = self._guarded(self.shadow.admit, now, index, arrival)
         if self.shadow:
             self.rpcs_seen += 1
             self.handles[index] = handle
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Read, Send, SendBefore
--- a/finchcart/node/unknown_runs.py
+++ b/finchcart/node/unknown_runs.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.rpc import NodeRpc
 
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Log, Read, Send
@@ -54,8 +54,8 @@
     def worker_pool_restarted(self, cold: bool) -> None:
         """It has lost all runs."""
 
-    def timer_due(self, name: str, readings: Mapping[str, float]) -> None:
-        """A timer of the decision module, with the worker pool's gauges by name; none where it is late."""
+    def timer_due(self, readings: Mapping[str, float]) -> None:
+        """The timer of the decision module, with the worker pool's gauges by name; none where it is late."""
 
 
 class LinkState(Enum):
@@ -107,7 +107,7 @@
         self.cursor = 0  # number of the last notice
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}  # by index
         self.unknown_runs = UnknownRuns(turn, self._unknown_run_expired)
-        self.pending_timers: dict[str, str] = {}  # ticket of a poll -> name of the timer that waits for it
+        self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
         self.settle_ticket: str | None = None  # of the poll after a new connection
         self._write_blocked = False
         self._last_ticket = 0
@@ -168,14 +168,14 @@
         self.unconfirmed.pop(rpc.index, None)
         self.unknown_runs.discard(rpc)
 
-    def request_gauges(self, timer: str) -> None:
-        """A timer of the decision module is due: the gauges are asked for, and waited for a little."""
+    def request_gauges(self) -> None:
+        """The timer of the decision module is due: the gauges are asked for, and waited for a little."""
         if self.state is LinkState.BOUND and not self._write_blocked:
             ticket = self._poll()
-            self.pending_timers[ticket] = timer
+            self.pending_timers.add(ticket)
             self.turn.schedule(self.turn.now + self.limits.gauges_timeout, self._complete_timer, ticket, {})
         else:
-            self.listener.timer_due(timer, {})
+            self.listener.timer_due({})
 
     def _send(self, data: bytes) -> None:
         """Written where there is a connection; what is lost with one is settled once the next is bound."""
@@ -429,6 +429,6 @@
         self.runs.run_ended(rpc, *(first_end or RunEnd(Outcome.STOPPED, 0, b"")))
 
     def _complete_timer(self, ticket: str, readings: Mapping[str, float]) -> None:
-        timer = self.pending_timers.pop(ticket, None)
-        if timer is not None:
-            self.listener.timer_due(timer, readings)
+        if ticket in self.pending_timers:
+            self.pending_timers.remove(ticket)
+            self.listener.timer_due(readings)
--- a/finchcart/protocol/line_protocol.py
+++ b/finchcart/protocol/line_protocol.py
@@ -12,7 +12,7 @@
 from math import isfinite
 from typing import Any, NamedTuple
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.protocol.framing import Codec
 
--- a/finchcart/wire.py
+++ b/finchcart/wire.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from finchcart import settings
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 
 OUTCOMES = {
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -12,19 +12,21 @@
 from typing import TextIO
 
 from finchcart import wire
+from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController, RpcHandle
-from finchcart.decisions.interface import Gauges
+from finchcart.decisions.gauges import Gauges
 from finchcart.wire import WireError
 
 UNKNOWN_INDEX = -1  # of the first RPC of a key, where that one is released
 MAX_FAULT_TEXT = 120  # characters of a fault that are reported
 EXIT_BAD_INPUT = 2
+TIMER_NAME = "sweep"  # of the one timer, in the protocol
 
 Fields = dict[str, object]
 
 
 class Node:
-    """One instance with its identifiers; the `Port` of its decision module (see decisions/interface.py)."""
+    """One instance with its identifiers; the `Port` of its decision module (see decisions/port.py)."""
 
     def __init__(self, who: int, output: list[str], settings: Fields, seed: int) -> None:
         self.who = who  # the instance, in the protocol
@@ -92,9 +94,9 @@
         """Close connections that are idle for `timeout` microseconds."""
         self.send("IDLE_LIMIT", keepFor=timeout)
 
-    def set_timer(self, delay: int, name: str) -> None:
+    def set_timer(self, delay: int) -> None:
         """Ask for a timer event after `delay` microseconds."""
-        self.send("NOTIFY_ME", fromNow=delay, name=name)
+        self.send("NOTIFY_ME", fromNow=delay, name=TIMER_NAME)
 
     def log(self, text: str) -> None:
         """Write a line for the operators."""
@@ -112,7 +114,7 @@
             self._admit(now, fields)
         elif message == "WAKE":
             gauges = Gauges.from_readings(fields.get("feedback", {}))
-            self.control.on_timer(now, fields["name"], gauges)
+            self.control.on_timer(now, gauges)
         elif message == "DRAIN":
             self.control.drain(now, fields["expires"])
         else:
@@ -127,19 +129,18 @@
         self.next_index += 1
         self.identifiers[index] = identifier
         self.rpcs[identifier] = index, None
-        rpc = self.control.admit(
-            now,
-            index,
+        arrival = RpcArrival(
             fields["profile"],
             fields["footprint"],
             expires_at=fields.get("expires", 0),
             waited=fields.get("backlogTime", 0),
             shed_rank=fields.get("place"),
-            cost_hint=fields.get("estimate", 0),
+            service_time_hint=fields.get("estimate", 0),
             is_retry=fields.get("againByClient", False),
             caller=fields.get("neighbour"),
             duplicate_of=None if first is None else self.rpcs.get(first, (UNKNOWN_INDEX, None))[0],
         )
+        rpc = self.control.admit(now, index, arrival)
         if identifier in self.rpcs:
             self.rpcs[identifier] = index, rpc
 
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -6,7 +6,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node import effects
 from finchcart.node.core import Core
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -2,9 +2,11 @@
 
 from dataclasses import dataclass
 
+from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController, RpcHandle
-from finchcart.decisions.interface import Gauges, Outcome
-from finchcart.decisions.rpc_record import RpcState
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rpc import RpcState
 
 KINDS = ("idempotent", "keyed", "non_idempotent")
 MS = 1000
@@ -235,8 +237,8 @@
         assert timeout >= 10 * MS
         self.idle_timeout = timeout
 
-    def set_timer(self, delay, name):
-        self.timers.append((self.now + delay, name))
+    def set_timer(self, delay):
+        self.timers.append(self.now + delay)
 
     def log(self, text):
         self.lines.append(text)
@@ -266,9 +268,7 @@
             due_at=max(self.now, expires_at or reached_at + deadline) + self.settings["slack"],
             memory_kb=memory_kb,
         )
-        rpc.handle = self.control.admit(
-            self.now,
-            index,
+        arrival = RpcArrival(
             f"m{method}",
             memory_kb,
             expires_at=expires_at,
@@ -276,6 +276,7 @@
             duplicate_of=duplicate_of,
             **more,
         )
+        rpc.handle = self.control.admit(self.now, index, arrival)
         return index
 
     def find_first(self, first, reached_at):
@@ -344,12 +345,12 @@
             for rpc in self.open.values():
                 rpc.stalled_until = max(rpc.stalled_until, self.now)
             return
-        due = [name for ring_at, name in self.timers if ring_at <= self.now]
-        self.timers = [timer for timer in self.timers if timer[0] > self.now]
+        due = [ring_at for ring_at in self.timers if ring_at <= self.now]
+        self.timers = [ring_at for ring_at in self.timers if ring_at > self.now]
         core_use = min(1.0, on_cores / self.settings["cores"])
         gauges = Gauges(core_use=core_use, on_cores=on_cores + self.waiting_reads, **self.fleet_gauges)
-        for name in due:
-            self.control.on_timer(self.now, name, gauges)
+        for _ in due:
+            self.control.on_timer(self.now, gauges)
         self.keys = {first: stored for first, stored in self.keys.items() if stored[0] > self.now}
 
     # ---- The rules that are not checked as the module acts
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -10,7 +10,7 @@
 
 from finchcart.consensus import messages as consensus
 from finchcart.consensus import subjects
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.key_leases import messages as key_leases
 from finchcart.limits import Limits
 from finchcart.membership import codec
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -3,8 +3,9 @@
 Pinned words are those of the adapter's wire, and a few more for what the wire does not carry.
 """
 
+from finchcart.decisions.arrival import FleetQuota, RpcArrival
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import FleetQuota, Gauges
+from finchcart.decisions.gauges import Gauges
 from finchcart.settings import from_pairs
 from finchcart.wire import OUTCOMES
 from tests.pins.adapter import as_text
@@ -24,7 +25,7 @@
     "set_shed_level": ("HINT_OUT", "x"),
     "set_credit": ("CREDIT", "x"),
     "set_idle_timeout": ("IDLE_LIMIT", "keepFor"),
-    "set_timer": ("NOTIFY_ME", "fromNow", "name"),
+    "set_timer": ("NOTIFY_ME", "fromNow"),
     "log": ("TRACE", "what"),
     "release": ("RELEASE", "call"),
 }
@@ -38,11 +39,12 @@
     "intakeUse": "input_busy",
     "intakeAge": "input_age",
 }
+TIMER_NAME = "sweep"  # pinned name of the one timer
 ARRIVAL = {  # pinned field of an arrival -> present keyword
     "expires": "expires_at",
     "backlogTime": "waited",
     "place": "shed_rank",
-    "estimate": "cost_hint",
+    "estimate": "service_time_hint",
     "againByClient": "is_retry",
     "neighbour": "caller",
 }
@@ -61,6 +63,8 @@
 
         def record(*values):
             fields = {key: as_text(value) for key, value in zip(value_names, values, strict=True)}
+            if name == "NOTIFY_ME":
+                fields["name"] = TIMER_NAME
             if "call" in fields:
                 fields["call"] = self.identifiers[values[0]]
             if name == "RELEASE":
@@ -86,7 +90,7 @@
         elif message == "WAKE":
             readings = fields["feedback"].items()
             gauges = Gauges(**{GAUGES[word]: value for word, value in readings if word in GAUGES})
-            self.control.on_timer(now, fields["name"], gauges)
+            self.control.on_timer(now, gauges)
         elif message == "DRAIN":
             self.control.drain(now, fields["expires"])
         elif message == "RESTARTED":
@@ -111,6 +115,7 @@
             keywords["duplicate_of"] = self.rpcs.get(fields["repeats"], (-1, None))[0]
         if "room" in fields:
             keywords["quota"] = FleetQuota(*fields["room"])
-        rpc = self.control.admit(now, index, fields["profile"], fields["footprint"], **keywords)
+        arrival = RpcArrival(fields["profile"], fields["footprint"], **keywords)
+        rpc = self.control.admit(now, index, arrival)
         if identifier in self.rpcs:
             self.rpcs[identifier] = index, rpc
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -6,7 +6,7 @@
 import pytest
 
 from finchcart import settings
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -28,8 +28,8 @@
     StoreHealth,
     SubjectKind,
 )
-from finchcart.decisions.interface import Outcome
-from finchcart.decisions.rpc_record import RpcState
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rpc import RpcState
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.consensus_fault_run import SeededRun
 from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from finchcart.decisions.interface import Gauges, Outcome
-from finchcart.decisions.rpc_record import RpcState
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rpc import RpcState
 from tests.harness import MS, Node, draw_settings
 
 PLAIN = {
@@ -84,7 +85,7 @@
             time_left=rng.randint(1, 3000) * MS,
             memory_kb=rng.uniform(1, 60),
             shed_rank=rng.choice((None, rng.random())),
-            cost_hint=rng.choice((0, 100 * MS)),
+            service_time_hint=rng.choice((0, 100 * MS)),
         )
 
 
@@ -354,7 +355,7 @@
     node = Node(PLAIN)
     node.control.retry_ratio = 0.5
     first, retry = node.arrive(0), node.arrive(0, is_retry=True)
-    late = node.arrive(0, is_retry=True, waited=450 * MS, cost_hint=400 * MS)
+    late = node.arrive(0, is_retry=True, waited=450 * MS, service_time_hint=400 * MS)
     times_left = [node.rpcs[index].handle.objective_at - node.now for index in (first, retry)]
     assert times_left == [1000 * MS, 500 * MS] and node.rpcs[late].state is RpcState.COMPLETED
 
@@ -411,7 +412,7 @@
     for _ in range(times):
         node.now += 40 * MS
         node.timers = []
-        node.control.on_timer(node.now, "sweep", gauges)
+        node.control.on_timer(node.now, gauges)
 
 
 def test_a_node_slower_than_its_worker_pool_cuts_intake_by_the_same_loop_and_recovers():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.inputs import AddressesChanged, AllocationGranted, Drain
 from finchcart.node.limiter_set import LimiterSet
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -15,7 +15,7 @@
 import random
 import threading
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.inputs import TimersDue
 from finchcart.simulated_peers.worker_pool import WorkerPool
 from tests.core_harness import MS, CoreHarness
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -10,7 +10,7 @@
 
 from finchcart import settings
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ConfigError
 from finchcart.node import shadow
 from finchcart.node.inputs import LoadMeasured
