--- a/finchcart/fault_injection/quota_state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet import codec
 from finchcart.fleet.effects import SendDatagram
 from finchcart.fleet.inputs import DatagramReceived, Tick
