--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -118,7 +118,7 @@
         self.last_turn_at = now
         self._receive_overrides(now, member)
         self.publisher.publish(now, member, self._own_reports(now), self.overrides)
-        is_alone = member.isolated or member.yielded
+        is_alone = member.isolated or member.has_stepped_down
         reports = self.collect_reports(now, member, is_alone=is_alone)
         self.decisions.update(now, member, reports, is_alone=is_alone)
         self._hand_out(member)
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -179,7 +179,7 @@
     def _check_duplicate(self, name: str) -> None:
         """Check that of two processes of one name the younger stands."""
         pair = [self.fleet.processes[each].machine for each in (name, DUPLICATE)]
-        standing = [member for member in pair if not member.yielded]
+        standing = [member for member in pair if not member.has_stepped_down]
         if len(standing) != 1:
             self._fail(f"{len(standing)} of two processes stand under the name {name}")
         youngest = max(member.record.seniority for member in pair)
--- a/finchcart/membership/anti_entropy.py
+++ b/finchcart/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: what gossip left out is found by comparing digests of records, and sent.
+"""Anti-entropy: find the records that gossip left out by comparing digests, and send them.
 
 Owns the three steps of the comparison: digests by bucket, pages of versions of a bucket that differs, whole
 records. Each step is one datagram or a few, so that a loss is healed by the next heartbeat whose digest
@@ -21,7 +21,7 @@
 from finchcart.membership.records import MemberTable
 
 MEMBERS_PER_BUCKET = 16
-BUCKETS_AT_ONCE = 2  # that differ, compared after one message
+BUCKETS_AT_ONCE = 2  # differing ones that are compared after one message
 VERSIONS_PER_PAGE = 40
 RECORD_DATAGRAMS_AT_ONCE = 4  # sent for one page
 LAST_ID = 2**64 - 1
@@ -46,7 +46,7 @@
         self._started_at = 0
 
     def on_heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
-        """Begins a comparison where the sender's digest differs, twice a period at most."""
+        """Begin a comparison where the sender's digest differs, twice a period at most."""
         if heartbeat.digest == self.table.digest or now - self._started_at < self.config.period // 2:
             return
         self._started_at = now
@@ -58,7 +58,7 @@
         self.outbox.send(address, BucketDigests(self.table.own_record, digests))
 
     def on_digests(self, message: BucketDigests) -> None:
-        """Pages of some buckets that differ, chosen by chance."""
+        """Send pages of some buckets that differ, chosen at random."""
         count = len(message.digests)
         digests, ids = self._buckets(count)
         different = [bucket for bucket in range(count) if digests[bucket] != message.digests[bucket]]
@@ -66,7 +66,7 @@
             self._send_page(message.record, count, bucket, sorted(ids[bucket]))
 
     def on_page(self, message: BucketPage) -> None:
-        """Sends what is newer here, and asks with a page of its own for what is newer there."""
+        """Send what is newer here, and request what is newer there with a page of the own versions."""
         theirs = {one: (incarnation, version) for one, incarnation, version in message.versions}
         ids = sorted(one for one in self.table.members if self._is_covered(one, message))
         gone = {one for one in ids if not self.table.members[one].is_in_digest}
@@ -84,7 +84,7 @@
             )
 
     def _buckets(self, count: int) -> tuple[list[int], list[list[int]]]:
-        """Digest and ids of each bucket, of those in the fleet."""
+        """Return digest and ids of each bucket, of the members in the fleet."""
         digests = [0] * count
         ids: list[list[int]] = [[] for _ in range(count)]
         for member_id, known in self.table.members.items():
@@ -104,7 +104,7 @@
         first_id: int = 0,
         last_id: int = LAST_ID,
     ) -> None:
-        """Versions of the sorted `ids`, or of as many as fit in a page, from a place chosen by chance."""
+        """Send the versions of the sorted `ids`, or a page of them that begins at random."""
         if len(ids) > VERSIONS_PER_PAGE:
             first = self.random.randrange(len(ids) - VERSIONS_PER_PAGE + 1)
             end = first + VERSIONS_PER_PAGE
@@ -118,7 +118,7 @@
     def _send_newer(
         self, receiver: MemberRecord, ids: list[int], gone: set[int], theirs: dict[int, VersionPair]
     ) -> None:
-        """Records that the receiver lacks; of those gone only where it holds an older one."""
+        """Send records that the receiver lacks; of those gone only where it holds an older one."""
         newer = [
             self.table.members[one].record
             for one in ids
--- a/finchcart/membership/config.py
+++ b/finchcart/membership/config.py
@@ -37,33 +37,31 @@
     forget_after: int = 600 * SECOND  # a failed or left member is forgotten after this
     revive: int = 8  # failed members and seeds sent a heartbeat in a period
     max_members: int = 4096  # records kept; when full, failed ones go first, then new ones are refused
-    max_pending_updates: int = (
-        256  # changed records that wait to be gossiped; the rest is left to anti-entropy
-    )
+    max_pending_updates: int = 256  # changed records to be gossiped; the rest is left to anti-entropy
     max_datagrams: int = 400  # sent in one period at most; what is over waits for the next tick
     max_clock_ahead_ms: int = 24 * 3600 * 1000  # past the own wall clock: a later incarnation is impossible
     max_lateness_allowance: int = 5 * SECOND  # a late member's patience grows by no more
 
     @classmethod
     def from_settings(cls, settings: Mapping[str, Any]) -> "MembershipConfig":
-        """The configuration of settings by key (without its unit); times are microseconds."""
+        """Return the configuration of settings by key (without its unit); times are microseconds."""
         return cls(**{FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()})
 
     @property
     def tick(self) -> int:
-        """Microseconds between two ticks."""
+        """Return the microseconds between two ticks."""
         return self.period // self.ticks_per_period
 
     @property
     def clock_gap(self) -> int:
-        """Microseconds without an input that mean a suspension: nothing believed before it counts."""
+        """Return the microseconds without an input that mean a suspension of this process."""
         return self.period + self.tick
 
     def patience_periods(self, loss: float) -> int:
-        """Patience in periods where the part `loss` (0 to 1) of messages is lost.
+        """Return the patience in periods where the part `loss` (0 to 1) of messages is lost.
 
-        A link of `n` periods has n tries there and back, taken in turn: all fail by chance with a probability
-        of (n (1 - p) + 1) p^n or less.
+        In n periods a link has n attempts there and back, in turn: at a loss of p all fail by chance with a
+        probability of (n (1 - p) + 1) p^n or less.
         """
         for periods in range(self.patience, self.patience_most):
             if loss <= 0 or (periods * (1 - loss) + 1) * loss**periods <= self.link_error_rate:
@@ -71,7 +69,7 @@
         return self.patience_most
 
     def link_timeout(self, loss: float = 0.0, lateness: int = 0) -> int:
-        """Microseconds without two-way contact after which a link is down.
+        """Return the microseconds without two-way contact after which a link is down.
 
         Arguments:
             loss: part of messages lost, 0 to 1.
@@ -81,7 +79,7 @@
         return self.patience_periods(loss) * self.period + allowance
 
     def dissemination_time(self, count: int, loss: float = 0.0) -> int:
-        """Microseconds until an update is known to all of `count` connected members.
+        """Return the microseconds until an update is known to all of `count` connected members.
 
         Each step takes a tick to go out, and a period more for each retransmission, of which there are so
         many that at most one member in a hundred fleets lacks it.
@@ -93,14 +91,14 @@
         return steps * 2 * self.tick + retransmissions * self.period
 
     def detection_bound(self, count: int, loss: float = 0.0, lateness: int = 0) -> int:
-        """Microseconds from a member's death until all of `count` members hold it to be failed."""
+        """Return the microseconds from a member's failure until all of `count` members know it."""
         timeout = self.link_timeout(loss, lateness)
         return timeout + 2 * self.tick + self.dissemination_time(count, loss) + self.suspect + 2 * lateness
 
     def staleness_bound(self, count: int, loss: float = 0.0, lateness: int = 0) -> int:
-        """Microseconds that what a view says of a member can be old, whatever failed between them."""
+        """Return the greatest age, in microseconds, of what a view says of a member, whatever failed."""
         return self.detection_bound(count, loss, lateness) + self.period
 
     def retransmissions(self, count: int) -> int:
-        """How often each member that has a changed record gossips it, in a fleet of `count`."""
+        """Return how often each member that has a changed record gossips it, in a fleet of `count`."""
         return 3 * max(1, ceil(log2(count + 1)))
--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -1,18 +1,20 @@
 """Failure detection: from links that are down to members that are suspected, failed and alive again.
 
 Owns the links to the members that this one watches, the graph of who watches whom and the times for which a
-verdict must stand before it counts, as in SWIM with Lifeguard's doubt of itself first: who runs late is more
-patient, and who was suspended accuses nobody until there was time for contact. Who is connected is worked out
-by view.py, the states are kept in records.py.
+suspicion must last before a member has failed, as in SWIM with Lifeguard's local health: a member that runs
+late is more patient, and one that was suspended accuses nobody until there was time for contact. It must
+never decide who is connected (view.py), nor keep the states (records.py).
 """
 
+from collections.abc import Set
+
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.links import LossEstimate, PeerLink, record_heartbeat
 from finchcart.membership.messages import DeclaredStatus, Heartbeat
 from finchcart.membership.records import GONE, KnownMember, MemberState, MemberTable, state_in_contact
 from finchcart.membership.view import Graph, connected_members, watch_graph
 
-QUIET_LINK_PERIODS = 10  # a link beside the graph is dropped once nothing came for so long
+QUIET_LINK_PERIODS = 10  # a link that is not watched is dropped once nothing came for so long
 LATENESS_DECAY = 16  # the part of the lateness that goes with each tick is one in so many
 
 
@@ -29,7 +31,7 @@
         self.table = table
         self.config = config
         self.links: dict[int, PeerLink] = {}
-        self.graph: Graph = {table.own_id: frozenset()}
+        self.graph: Graph = {table.own_id: set()}
         self.connected = {table.own_id}
         self.excluded: frozenset[int] = frozenset()
         self.loss = LossEstimate()
@@ -39,24 +41,24 @@
         table.on_forget.append(lambda member_id: self.links.pop(member_id, None))
 
     @property
-    def own_neighbours(self) -> frozenset[int] | set[int]:
-        """ids of the members that this one watches."""
+    def own_neighbours(self) -> Set[int]:
+        """The ids of the members that this one watches."""
         return self.graph[self.table.own_id]
 
     def link_to(self, now: int, member_id: int) -> PeerLink:
-        """The link to a member, opened where there is none."""
+        """Return the link to a member, opened where there is none."""
         if member_id not in self.links:
             self.links[member_id] = PeerLink(now)
         return self.links[member_id]
 
     def link_timeout(self) -> int:
-        """Microseconds without contact after which a link is down, at the measured loss."""
+        """Return the microseconds without contact after which a link is down, at the measured loss."""
         return self.config.link_timeout(self.loss.value)
 
     # ---- inputs
 
     def on_clock_gap(self, now: int) -> None:
-        """This process was suspended: contact has to be proven anew, and there is time for it."""
+        """Require new proof of contact after a suspension of this process, and allow time for it."""
         self.quiet_until = now + self.link_timeout() + self.config.period
         self.lateness = 0
         self._last_tick_at = now
@@ -65,10 +67,14 @@
             link.is_down = False
             link.heartbeat_due = now
         for known in self.table.members.values():
-            known.turning_since = None
+            known.pending_change_since = None
 
     def on_heartbeat(self, now: int, member_id: int, heartbeat: Heartbeat) -> int | None:
-        """Takes a heartbeat into its link; the longest that it can have been under way, None: not known."""
+        """Take a heartbeat into its link.
+
+        Returns:
+            The microseconds that it can have been in transit at most; None where that is not known.
+        """
         link = self.link_to(now, member_id)
         link.follow_session(now, heartbeat.record.session)
         record_heartbeat(link, self.loss, now, heartbeat, self.config.period)
@@ -80,7 +86,7 @@
         return None if echoed_at is None else now - echoed_at
 
     def on_tick(self, now: int) -> None:
-        """Measures how late the own ticks run."""
+        """Measure how late the own ticks run."""
         late = max(0, now - self._last_tick_at - self.config.tick)
         self.lateness = max(late, self.lateness - self.lateness // LATENESS_DECAY)
         self._last_tick_at = now
@@ -88,13 +94,15 @@
     # ---- once a tick
 
     def review(self, now: int) -> None:
-        """Draws the view from links and records, and sets the states that follow."""
+        """Derive the view from links and records, and set the states that follow; once a tick."""
         table = self.table
         self.loss.update()
         if table.is_graph_outdated:
             self._update_graph()
         self._review_links(now)
-        if table.is_changed or any(known.turning_since is not None for known in table.members.values()):
+        if table.is_changed or any(
+            known.pending_change_since is not None for known in table.members.values()
+        ):
             self._review_members(now)
 
     def _update_graph(self) -> None:
@@ -105,7 +113,7 @@
         table.is_changed = True
 
     def _review_links(self, now: int) -> None:
-        """The own record declares which links are down."""
+        """Judge the own links, and declare in the own record which are down."""
         timeout = self.config.link_timeout(self.loss.value, self.lateness)
         unreachable = []
         may_judge = now >= self.quiet_until
@@ -147,64 +155,68 @@
             table.is_changed = True
 
     def _review_member(self, now: int, member_id: int, may_accuse: bool) -> bool:
-        """Whether the member is excluded from now on."""
+        """Set the state of a member; return whether it is excluded from now on."""
         known = self.table.members[member_id]
         is_failed = known.state == MemberState.FAILED
-        if member_id in self.connected and (not is_failed or self._gave_a_sign(member_id, known)):
+        if member_id in self.connected and (not is_failed or self._has_shown_life(member_id, known)):
             return self._recover(now, known)
         if is_failed:
-            known.turning_since = None
+            known.pending_change_since = None
             return True
         if may_accuse:
             return self._accuse(now, known)
-        known.turning_since = None
+        known.pending_change_since = None
         if now < self.quiet_until:
             self.table.is_changed = True  # was suspended lately: looks again
         return False
 
     def _recover(self, now: int, known: KnownMember) -> bool:
-        """The member is connected; whether it is still excluded."""
+        """Take a member for connected; return whether it is still excluded."""
         if known.state == MemberState.FAILED:
-            if known.turning_since is None:
-                known.turning_since = now
-            if now - known.turning_since < self.config.rise:
+            if known.pending_change_since is None:
+                known.pending_change_since = now
+            if now - known.pending_change_since < self.config.rise:
                 return True
             self.table.set_state(now, known, state_in_contact(known.record))
         elif known.state == MemberState.SUSPECT:
             self.table.set_state(now, known, state_in_contact(known.record))
         else:
-            known.turning_since = None
+            known.pending_change_since = None
         return False
 
     def _accuse(self, now: int, known: KnownMember) -> bool:
-        """The member is not connected; whether it has been so for long enough to have failed."""
+        """Take a member for not connected; return whether it has been so for long enough to have failed."""
         if known.state != MemberState.SUSPECT:
             self.table.set_state(now, known, MemberState.SUSPECT)
-            known.turning_since = now
-        elif known.turning_since is None:
-            known.turning_since = now
-        elif now - known.turning_since >= self.config.suspect:
+            known.pending_change_since = now
+        elif known.pending_change_since is None:
+            known.pending_change_since = now
+        elif now - known.pending_change_since >= self.config.suspect:
             self.table.set_state(now, known, MemberState.FAILED)
             return True
         return False
 
-    def _gave_a_sign(self, member_id: int, known: KnownMember) -> bool:
-        """Whether a failed member gave a sign of life since. Guards against links that look up because those
-        who declared them down have forgotten the member already."""
-        if known.record.precedence > known.failed_precedence:
+    def _has_shown_life(self, member_id: int, known: KnownMember) -> bool:
+        """Whether a failed member has shown life since: by a newer record, or by contact.
+
+        Guards against links that look up because the members that declared them down have forgotten it.
+        """
+        if known.failed_precedence is None or known.record.precedence > known.failed_precedence:
             return True
         link = self.links.get(member_id)
-        return link is not None and link.confirmed_at is not None and link.confirmed_at > known.since
+        return link is not None and link.confirmed_at is not None and link.confirmed_at > known.state_since
 
-    # ---- bounds as things are
+    # ---- bounds, as measured
 
     def staleness_bound(self) -> int:
-        """Microseconds that what the view says of a member can be old, at the measured loss and lateness."""
+        """Return the greatest age, in microseconds, of what the view says, at the measured loss."""
         return self.config.staleness_bound(len(self.graph), self.loss.value, self.lateness)
 
     def view_age(self, now: int, member_id: int) -> int:
-        """Microseconds that what is known of a member can be old. Of a watched one: since the last contact
-        that is proven. Of others: what their watchers would have told by now."""
+        """Return the microseconds that what is known of a member can be old.
+
+        Of a watched member: since the last proven contact. Of others: as long as gossip can take.
+        """
         if member_id == self.table.own_id:
             return 0
         link = self.links.get(member_id)
@@ -212,5 +224,5 @@
             return now - link.confirmed_at
         known = self.table.members[member_id]
         if known.state in GONE:
-            return now - known.since + self.staleness_bound()
+            return now - known.state_since + self.staleness_bound()
         return self.staleness_bound()
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -14,7 +14,7 @@
 from finchcart.membership.records import MemberTable
 
 MAX_RELAYED_IN_HEARTBEAT = 12  # entries of others
-RELAYS_WHERE_ALL_HEAR_ALL = 2  # times that an entry is passed on where all exchange heartbeats
+RELAYS_IN_FULL_MESH = 2  # times that an entry is relayed where all exchange heartbeats
 
 EntryKey = tuple[int, int]  # (member id, topic)
 Counters = list[tuple[int, int, int]]
@@ -30,12 +30,13 @@
         self.written_at = written_at
 
     def raise_written_at(self, written_at: int | None) -> None:
-        """Takes another bound on its age where it is the better: of two that hold, the younger is."""
+        """Take another bound on its age where it is the tighter one, the later time."""
         if written_at is not None and (self.written_at is None or written_at > self.written_at):
             self.written_at = written_at
 
     def as_sent(self, now: int) -> GossipEntry:
-        """The entry with its age at `now`; of an entry whose age is known."""
+        """Return the entry with its age at `now`; its age has to be known."""
+        assert self.written_at is not None, "an entry of unknown age is not sent"
         return msgspec.structs.replace(self.entry, age_us=max(0, now - self.written_at))
 
 
@@ -50,24 +51,27 @@
         table.on_forget.append(self._forget)
 
     def publish(self, now: int, topic: int, counters: Counters, payload: bytes = b"") -> bool:
-        """Sets what goes with each heartbeat from now on; False where counters alone say the same again."""
+        """Set the own entry of a topic; return whether it is a new one."""
         held = self.own.get(topic)
-        previous = held.entry if held else None
         incarnation = self.table.own_record.incarnation
-        is_same = previous and previous.counters == counters and previous.incarnation == incarnation
-        if is_same and not payload and not previous.payload:
-            return False
-        sequence = previous.sequence + 1 if previous else 0
+        sequence = 0
+        if held is not None:
+            previous = held.entry
+            is_same = previous.counters == counters and previous.incarnation == incarnation
+            if is_same and not payload and not previous.payload:
+                return False
+            sequence = previous.sequence + 1
         entry = GossipEntry(self.table.own_id, topic, incarnation, sequence, 0, counters, payload)
         self.own[topic] = DatedEntry(entry, now)
         return True
 
     def receive(self, now: int, entry: GossipEntry, transit_us: int | None) -> None:
-        """Takes an entry where it is newer than what is held, or its age where that is better known.
+        """Take an entry that is newer than the one held, or a better bound on the age of the same.
 
         Arguments:
-            now: boot clock, microseconds. entry: of any member. transit_us: how long it can have been under
-            way here; None: nothing tells, so its age is not known.
+            now: boot clock, microseconds.
+            entry: of any member.
+            transit_us: how long it can have been in transit at most; None: not known, nor is its age.
         """
         if entry.member_id == self.table.own_id or entry.member_id not in self.table.members:
             return
@@ -82,14 +86,14 @@
             held.raise_written_at(written_at)
 
     def _relays(self) -> int:
-        """So often that few are left out by chance, where not all exchange heartbeats."""
+        """Return how often an entry is relayed: few are left out by chance."""
         count = len(self.table.members)
         if count <= self.table.config.watch + 1:
-            return RELAYS_WHERE_ALL_HEAR_ALL
+            return RELAYS_IN_FULL_MESH
         return count.bit_length() + 1
 
     def take(self, now: int, receiver_id: int, max_bytes: int) -> list[GossipEntry]:
-        """The own entries, and some that are to be passed on, as many as there is room for."""
+        """Return the own entries, and as many of those to be relayed as fit."""
         entries = [held.as_sent(now) for _, held in sorted(self.own.items())]
         max_bytes -= len(encode_value(entries))
         for key in list(self.relays_left)[:MAX_RELAYED_IN_HEARTBEAT]:
--- a/finchcart/membership/heartbeats.py
+++ b/finchcart/membership/heartbeats.py
@@ -1,6 +1,6 @@
-"""Sends heartbeats: to the watched members in turn, and to failed ones and seeds by chance.
+"""Send heartbeats: to the watched members in turn, and to failed ones and seeds at random.
 
-Owns when a heartbeat goes and what is piggybacked on it. It must never look at what came back: links.py does.
+Owns when a heartbeat goes and what is piggybacked on it. It must never judge what came back: links.py does.
 """
 
 from random import Random
@@ -45,7 +45,7 @@
         self.random = random
 
     def on_tick(self, now: int) -> None:
-        """Sends what is due."""
+        """Send what is due."""
         neighbours = self.detector.own_neighbours
         links = self.detector.links
         for member_id in list(neighbours) + [one for one in links if one not in neighbours]:
@@ -53,7 +53,7 @@
             if link.heartbeat_due <= now and self._is_sent_to(now, member_id, link):
                 self._send_due(now, member_id, link)
         if self.random.randrange(self.config.ticks_per_period) == 0:
-            self.look_for_lost(now)
+            self.probe_lost(now)
 
     def _is_sent_to(self, now: int, member_id: int, link: PeerLink) -> bool:
         known = self.table.members.get(member_id)
@@ -69,12 +69,12 @@
             return
         link.heartbeat_due = max(link.heartbeat_due, now - period) + period
         if link.sent_sequence <= SPREAD_HEARTBEATS:
-            # A tick early at times: heartbeats to all would else go out in one tick, whenever all began at
-            # once.
+            # A random number of ticks early: else heartbeats to all go out in one tick where all links were
+            # opened at once.
             link.heartbeat_due -= self.random.randrange(self.config.ticks_per_period) * self.config.tick
 
-    def look_for_lost(self, now: int) -> None:
-        """Heartbeats to failed members and seeds, a few by chance: so halves find each other again."""
+    def probe_lost(self, now: int) -> None:
+        """Send heartbeats to a few random failed members and seeds: so partitions find each other again."""
         members = self.table.members
         failed = [one for one, known in members.items() if known.state == MemberState.FAILED]
         for member_id in self.random.sample(failed, min(self.config.revive, len(failed))):
@@ -89,14 +89,14 @@
         self.table.forget_expired(now)
 
     def send_farewell(self, now: int) -> None:
-        """Heartbeats to all links at once: what is lost is left to the receivers' failure detection."""
+        """Send heartbeats on all links at once; a lost one is left to the receiver's failure detection."""
         members = self.table.members
         for member_id, link in self.detector.links.items():
             if member_id in members and members[member_id].state in IN_FLEET:
                 self.send(now, member_id, link)
 
     def send(self, now: int, member_id: int, link: PeerLink) -> bool:
-        """One heartbeat with what is piggybacked; False where the bound on datagrams is reached."""
+        """Send one heartbeat with what is piggybacked; return False at the bound on datagrams."""
         table = self.table
         max_bytes = MAX_RECORD_BYTES - len(encode_value(table.own_record))
         # An own record that declares many links down leaves no room for entries.
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Whether this process takes part in the fleet, or is isolated from it.
+"""Isolation: whether this process takes part in the fleet.
 
 Owns that state and the times for which contact must be there, or missing, before it changes. It must never
 say anything of other members.
@@ -11,14 +11,16 @@
 
 
 class IsolationMonitor:
-    """Isolated: nobody is known to be connected both ways, or the connected ones hold this one to be
-    excluded; after a suspension too, until half of the watched ones were heard both ways.
+    """Tells whether this process is isolated.
+
+    It is while no member is known to be in two-way contact, or while those in contact exclude this one; after
+    a suspension too, until half of the watched ones are in two-way contact.
 
     Arguments:
         table: the records and states of all members.
         detector: the links and the view drawn from them.
         config: the times that contact has to stand.
-        has_seeds: others are named in the settings, so alone is not where it should be.
+        has_seeds: the settings name others: being alone is isolation.
         now: boot clock, microseconds.
     """
 
@@ -40,19 +42,19 @@
         self._contact_since: int | None = None
 
     def set_isolated(self, is_isolated: bool, reason: str) -> None:
-        """Changes the state, where it differs, and tells the driver."""
+        """Change the state, where it differs, and tell the driver."""
         if is_isolated != self.is_isolated:
             self.is_isolated = is_isolated
             self.table.outbox.emit(IsolationChanged(is_isolated, reason))
 
     def on_clock_gap(self, now: int) -> None:
-        """This process was suspended: it is isolated until contact is proven anew."""
+        """Stay isolated after a suspension until contact is proven anew."""
         self.is_resuming = True
         self._alone_since = now
         self._contact_since = None
 
     def review(self, now: int) -> None:
-        """Draws the state from the links, once a tick."""
+        """Derive the state from the links, once a tick."""
         detector = self.detector
         others = [one for one in detector.own_neighbours if self.table.members[one].state in IN_FLEET]
         contacts = sum(map(self._is_in_contact, others))
@@ -77,7 +79,7 @@
         self._alone_since = None
         if self._contact_since is None:
             self._contact_since = now
-        # Others take as long to hold it to be alive again.
+        # Others take as long until this one is alive in their view again.
         if now - self._contact_since >= self.config.rise:
             self.set_isolated(False, "contact")
 
@@ -89,4 +91,4 @@
         if has_contacts or not is_connected:
             patience += self.config.period
         if now - self._alone_since >= patience:
-            self.set_isolated(True, "others hold it to be out" if has_contacts else "no contact")
+            self.set_isolated(True, "excluded by others" if has_contacts else "no contact")
--- a/finchcart/membership/links.py
+++ b/finchcart/membership/links.py
@@ -1,4 +1,4 @@
-"""Links to other processes: two-way contact as it is proven by echoed heartbeats, and the loss on the way.
+"""Links to other processes: two-way contact, proven by echoed heartbeats, and the loss of heartbeats.
 
 Owns what is measured of each link. It must never judge a member: failure_detection.py does.
 """
@@ -8,14 +8,14 @@
 from finchcart.membership.messages import Heartbeat
 
 REMEMBERED_HEARTBEATS = 32  # send times kept for each link
-MIN_LOSS_SAMPLES = 20  # fewer tell nothing of the loss
+MIN_LOSS_SAMPLES = 20  # with fewer the loss counts as 0
 MAX_LOSS_SAMPLES = 64  # where more are counted all are halved, so that old ones fade
-SILENT_PERIODS = 2  # without a heartbeat, after which the next is answered at once
-LOSS_SAMPLE_PERIODS = 8  # heartbeats further apart tell of a suspension, not of loss
+SILENT_PERIODS = 2  # without a heartbeat, after which the next one is answered at once
+LOSS_SAMPLE_PERIODS = 8  # a longer gap between heartbeats is a suspension, not loss
 
 
 class PeerLink:
-    """The link to one process, known by its session, so that a successor starts with nothing."""
+    """The link to one process, identified by its session: a successor starts anew."""
 
     __slots__ = (
         "confirmed_at",
@@ -41,17 +41,17 @@
         self.heartbeat_due = now
 
     def contact_since(self) -> int:
-        """When contact was last proven, or began to be looked for."""
+        """Return when contact was last proven, or the link was opened."""
         return self.opened_at if self.confirmed_at is None else max(self.opened_at, self.confirmed_at)
 
     def reset(self, now: int) -> None:
-        """Contact has to be proven anew: after a suspension, or with a successor."""
+        """Require new proof of contact: after a suspension, or with a successor."""
         self.opened_at = now
         self.confirmed_at = None
         self.sent_at.clear()
 
     def follow_session(self, now: int, session: int) -> None:
-        """Starts with nothing where another process than before sent a heartbeat."""
+        """Start anew where another process than before sent a heartbeat."""
         if self.session != session:
             self.session = session
             self.received_sequence = 0
@@ -59,13 +59,13 @@
             self.reset(now)
 
     def record_sent(self, now: int) -> int:
-        """Counts a heartbeat that is sent now; its sequence."""
+        """Count a heartbeat that is sent now; return its sequence."""
         self.sent_sequence += 1
         self.sent_at.append((self.sent_sequence, now))
         return self.sent_sequence
 
     def record_echo(self, echo_sequence: int) -> tuple[int | None, bool]:
-        """(when the echoed heartbeat was sent, whether contact is proven later than before)."""
+        """Return (when the echoed heartbeat was sent, whether contact is proven later than before)."""
         for sequence, sent_at in reversed(self.sent_at):
             if sequence <= echo_sequence:
                 is_later = self.confirmed_at is None or sent_at > self.confirmed_at
@@ -88,12 +88,12 @@
         self.value = 0.0  # 0 to 1, as of the last tick
 
     def add(self, missed: int) -> None:
-        """One heartbeat came, and so many before it did not."""
+        """Count a heartbeat that came, and so many before it that did not."""
         self.missed += missed
         self.received += 1
 
     def update(self) -> None:
-        """Works `value` out; once a tick."""
+        """Compute `value`, once a tick."""
         if self.missed + self.received > MAX_LOSS_SAMPLES:
             self.missed /= 2
             self.received /= 2
@@ -102,7 +102,7 @@
 
 
 def record_heartbeat(link: PeerLink, loss: LossEstimate, now: int, heartbeat: Heartbeat, period: int) -> None:
-    """Takes the sequence of a heartbeat into its link and into the loss.
+    """Take the sequence of a heartbeat into its link and into the loss.
 
     Arguments:
         link: to its sender.
@@ -118,5 +118,5 @@
         loss.add(heartbeat.sequence - link.received_sequence - 1)
     link.received_sequence = heartbeat.sequence
     if not link.was_heard_within(now, SILENT_PERIODS * period):
-        link.heartbeat_due = min(link.heartbeat_due, now)  # it is heard again: answered with the next tick
+        link.heartbeat_due = min(link.heartbeat_due, now)  # after a silence: answered with the next tick
     link.last_received_at = now
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -1,8 +1,9 @@
 """One member: the state machine that joins records, links, gossip and anti-entropy.
 
-Owns the dispatch of inputs and messages; each concern has an owner of its own (records.py, links.py,
-failure_detection.py, isolation.py, name_contest.py, gossip.py, anti_entropy.py, heartbeats.py). `reduce(now,
-event)` takes one input and returns effects (effects.py); it must never do I/O, read a clock or take a lock.
+Owns the dispatch of inputs; each concern has an owner of its own (records.py, links.py, failure_detection.py,
+isolation.py, name_contest.py, gossip.py, anti_entropy.py, heartbeats.py; messages that come in: receiver.py).
+`reduce(now, event)` takes one input and returns effects (effects.py); it must never do I/O, read a clock or
+take a lock.
 
 Inputs: those of finchcart/fleet/inputs.py and inputs.py. A driver logs changes too. `now` is the boot clock
 in whole microseconds, which counts suspension: a gap between two inputs is a suspension of this process, and
@@ -17,7 +18,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from finchcart.fleet.codec import DatagramError, HostPort, name_hash, parse_address
+from finchcart.fleet.codec import HostPort
 from finchcart.fleet.effects import Effect
 from finchcart.fleet.inputs import CommonInput, DatagramReceived, Leave, Shutdown, Tick
 from finchcart.membership.anti_entropy import AntiEntropy
@@ -28,20 +29,12 @@
 from finchcart.membership.inputs import MembershipConfigChanged, PiggybackInput
 from finchcart.membership.isolation import IsolationMonitor
 from finchcart.membership.messages import (
-    CODEC,
-    BucketDigests,
-    BucketPage,
     DeclaredStatus,
-    Heartbeat,
     MemberRecord,
-    MemberRecords,
-    Message,
-    NameTaken,
-    ViewPage,
-    ViewRequest,
 )
 from finchcart.membership.name_contest import NameContest
 from finchcart.membership.outbox import Outbox
+from finchcart.membership.receiver import MessageReceiver
 from finchcart.membership.records import ExtrapolatedWallClock, MemberState, MemberTable, Reception
 from finchcart.membership.view import Graph
 from finchcart.membership.view_report import ViewReport
@@ -52,7 +45,7 @@
 class PiggybackClient(Protocol):
     """A state machine whose gossip entries are piggybacked on a member's heartbeats."""
 
-    def reduce(self, now: int, event: Any) -> Sequence[Effect]:  # the driver knows whose input it is
+    def reduce(self, now: int, event: tuple[Any, ...]) -> Sequence[Effect]:
         """Take one input; return its effects."""
 
     def turn(self, now: int, member: "Member") -> Sequence[Effect]:
@@ -74,7 +67,7 @@
 
     Attributes:
         own_id: the id of this member.
-        known_members: id -> what is held of each member, this one included.
+        known_members: id -> what is known of each member, this one included.
         links: id -> the link to that member.
     """
 
@@ -110,13 +103,21 @@
         self.gossip = GossipEntryStore(self.table)
         self.anti_entropy = AntiEntropy(self.table, config, random)
         self.heartbeats = HeartbeatSender(self.table, self.detector, self.gossip, config, other_seeds, random)
-        self.report = ViewReport(self.table, self.detector, self.isolation)
+        self.receiver = MessageReceiver(
+            fleet,
+            self.table,
+            self.detector,
+            self.contest,
+            self.gossip,
+            self.anti_entropy,
+            ViewReport(self.table, self.detector, self.isolation),
+        )
 
     # ---- what others read
 
     @property
     def tick(self) -> int:
-        """Microseconds between two ticks."""
+        """The microseconds between two ticks."""
         return self.config.tick
 
     @property
@@ -126,7 +127,7 @@
 
     @property
     def graph(self) -> Graph:
-        """id -> ids that it exchanges heartbeats with."""
+        """The ids that each id exchanges heartbeats with."""
         return self.detector.graph
 
     @property
@@ -136,7 +137,7 @@
 
     @property
     def lateness(self) -> int:
-        """Microseconds by which the own ticks run late."""
+        """The microseconds by which the own ticks run late."""
         return self.detector.lateness
 
     @property
@@ -150,25 +151,25 @@
         return self.isolation.is_resuming
 
     @property
-    def yielded(self) -> bool:
-        """Whether another process stands under this name."""
-        return self.contest.has_yielded
+    def has_stepped_down(self) -> bool:
+        """Whether another process has this name, so that this one takes no part in the fleet."""
+        return self.contest.has_stepped_down
 
     @property
     def counts(self) -> dict[str, int]:
-        """Counters by reason."""
+        """The counters by reason."""
         return self.outbox.counts
 
     def count(self, reason: str) -> None:
-        """Adds one to the counter of a reason."""
+        """Add one to the counter of a reason."""
         self.outbox.count(reason)
 
     def view_age(self, now: int, member_id: int) -> int:
-        """Microseconds that what is known of a member can be old."""
+        """Return the microseconds that what is known of a member can be old."""
         return self.detector.view_age(now, member_id)
 
     def staleness_bound(self) -> int:
-        """Microseconds that what the view says of any member can be old."""
+        """Return the microseconds that what the view says of any member can be old."""
         return self.detector.staleness_bound()
 
     # ---- inputs
@@ -197,21 +198,23 @@
         return effects
 
     def _on_clock_gap(self, now: int, gap: int) -> None:
-        """This process was suspended. Others may hold it to be failed, and rightly; what it last heard of
-        them is of before: it declares that it resumed, waits for contact anew and accuses nobody until there
-        was time."""
+        """Start anew after a suspension of this process.
+
+        It may rightly have failed in the view of others, and what it knows of them is outdated: it declares a
+        new incarnation, requires new proof of contact and accuses nobody until there was time for that.
+        """
         self.outbox.count("gaps")
         self.detector.on_clock_gap(now)
         self.isolation.on_clock_gap(now)
         self.table.update_own_record(incarnation=self.record.incarnation + 1, unreachable=[])
-        self.isolation.set_isolated(True, "woke")
+        self.isolation.set_isolated(True, "suspended")
         quiet_ms = (self.detector.quiet_until - now) // 1000
-        self.outbox.log("woke from a pause", gap_ms=gap // 1000, quiet_ms=quiet_ms)
+        self.outbox.log("resumed after a suspension", gap_ms=gap // 1000, quiet_ms=quiet_ms)
 
     def _on_tick(self, now: int) -> None:
         self.detector.on_tick(now)
         self.outbox.on_tick()
-        if self.ended or self.yielded:
+        if self.ended or self.has_stepped_down:
             return
         self.detector.review(now)
         self.isolation.review(now)
@@ -255,14 +258,14 @@
     def publish(
         self, now: int, topic: int, counters: Counters, payload: bytes = b"", *, is_urgent: bool = False
     ) -> None:
-        """Sets the own gossip entry of a topic, which goes with each heartbeat from now on.
+        """Set the own gossip entry of a topic, which goes with each heartbeat from now on.
 
         Arguments:
             now: boot clock, microseconds.
             topic: see `GossipTopic`.
             counters: up to 16 triples of numbers.
             payload: up to 600 bytes.
-            is_urgent: goes to all watched members with this tick.
+            is_urgent: send it to all watched members with this tick.
         """
         if not self.gossip.publish(now, topic, counters, payload) or not is_urgent:
             return
@@ -273,76 +276,8 @@
     # ---- messages
 
     def learn(self, now: int, record: MemberRecord, is_direct: bool = False) -> Reception:
-        """Takes a record that came from others; `is_direct`: from the member that it is of."""
-        if name_hash(record.name) == self.own_id:
-            return self.contest.receive(now, record)
-        return self.table.receive(now, record, is_direct)
+        """Take a record that came from others; `is_direct`: from the member that it is of."""
+        return self.receiver.learn(now, record, is_direct)
 
     def _on_datagram(self, now: int, address: HostPort, data: bytes) -> None:
-        self.outbox.count("received")
-        try:
-            message = CODEC.decode(self.fleet, data)
-        except DatagramError as error:
-            self.outbox.count(str(error))
-            return
-        if isinstance(message, ViewRequest):
-            self._on_view_request(now, address, message)
-        elif isinstance(message, ViewPage):
-            self.outbox.count("not asked for")
-        elif not self.yielded:
-            self._on_member_message(now, message)
-
-    def _on_member_message(self, now: int, message: Message) -> None:
-        if isinstance(message, MemberRecords):
-            for record in message.records:
-                self.learn(now, record)
-        elif isinstance(message, NameTaken):
-            self.contest.on_name_taken(now, message.record)
-        elif self._accepts_sender(now, message.record):
-            self._on_peer_message(now, message)
-
-    def _accepts_sender(self, now: int, sender: MemberRecord) -> bool:
-        """Whether the sender is the process that stands under its name, as far as known here."""
-        if self.learn(now, sender, is_direct=True) is Reception.UNUSABLE:
-            return False  # counted: what it says besides is not used either
-        member_id = name_hash(sender.name)
-        if member_id == self.own_id or member_id not in self.known_members:
-            return False
-        standing = self.known_members[member_id].record
-        if standing.session == sender.session:
-            return True
-        # Guards against one that was suspended while its name was started elsewhere, and against one that was
-        # started with its clock set back: neither would hear of the other record from anybody.
-        reply = NameTaken(standing) if self._is_in_contact(now, member_id) else MemberRecords([standing])
-        self.outbox.send(parse_address(sender.address), reply)
-        return False
-
-    def _is_in_contact(self, now: int, member_id: int) -> bool:
-        link = self.links.get(member_id)
-        if link is None or not link.confirmed_at:
-            return False
-        return now - link.confirmed_at < self.detector.link_timeout()
-
-    def _on_peer_message(self, now: int, message: Heartbeat | BucketDigests | BucketPage) -> None:
-        if isinstance(message, Heartbeat):
-            self._on_heartbeat(now, message)
-        elif isinstance(message, BucketDigests):
-            self.anti_entropy.on_digests(message)
-        else:
-            self.anti_entropy.on_page(message)
-
-    def _on_heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
-        transit_us = self.detector.on_heartbeat(now, name_hash(heartbeat.record.name), heartbeat)
-        for record in heartbeat.updates:
-            self.learn(now, record)
-        for entry in heartbeat.entries:
-            self.gossip.receive(now, entry, transit_us)
-        self.anti_entropy.on_heartbeat(now, heartbeat)
-
-    def _on_view_request(self, now: int, address: HostPort, request: ViewRequest) -> None:
-        """Answered to where it came from."""
-        answer = self.report.answer(now, request)
-        if answer is None:
-            self.outbox.count("no such page")
-        else:
-            self.outbox.send(address, answer)
+        self.receiver.receive(now, address, data)
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -53,7 +53,7 @@
     name: NodeName
     address: Address
     session: Unsigned64  # drawn at start: tells two processes of one name apart
-    started_ms: Unsigned53  # wall clock at start: of two processes of one name the younger stands
+    started_ms: Unsigned53  # wall clock at start: of two processes of one name the later keeps it
     incarnation: Unsigned53  # equal at first; raised over what others remember, and after a suspension
     version: Unsigned53
     status: Annotated[int, Meta(ge=DeclaredStatus.ALIVE.value, le=DeclaredStatus.LEFT.value)]
@@ -61,16 +61,16 @@
 
     @property
     def precedence(self) -> Version:
-        """Orders the records of one name: the higher is the newer."""
+        """The order of the records of one name: the higher is the newer."""
         return self.incarnation, self.version, self.session
 
     @property
     def seniority(self) -> tuple[int, int]:
-        """Orders two processes of one name: the higher started later."""
+        """The order of two processes of one name: the higher started later."""
         return self.started_ms, self.session
 
     def digest(self) -> int:
-        """One record's part in the digest of many, which is their exclusive or."""
+        """Return the record's part in the digest of many, which is their exclusive or."""
         text = f"{self.name} {self.incarnation} {self.version} {self.session}"
         return xxh3_64_intdigest(text.encode())
 
@@ -88,7 +88,7 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Orders the entries of one member and topic: the higher is the newer."""
+        """The order of the entries of one member and topic: the higher is the newer."""
         return self.incarnation, self.sequence
 
 
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -1,4 +1,4 @@
-"""What one input of a member comes to: its effects, the counters, and the bound on datagrams.
+"""The outbox of a member: the effects of one input, the counters, and the bound on datagrams.
 
 Owns the list of effects of the current input and the counters by reason. It must never decide what is sent.
 """
@@ -25,29 +25,29 @@
         self.sent_in_period = 0
 
     def begin_input(self) -> list[Effect]:
-        """A new list, which the effects of this input are added to."""
+        """Begin an input; return the list that its effects are added to."""
         self.effects = []
         return self.effects
 
     def on_tick(self) -> None:
-        """A tick later, a tick's part of the period's datagrams may be sent again."""
+        """Free a tick's part of the datagrams that may be sent in a period."""
         freed = self.config.max_datagrams // self.config.ticks_per_period
         self.sent_in_period = max(0, self.sent_in_period - freed)
 
     def count(self, reason: str, by: int = 1) -> None:
-        """Adds to the counter of a reason."""
+        """Add to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + by
 
     def emit(self, effect: Effect) -> None:
-        """Adds an effect."""
+        """Add an effect."""
         self.effects.append(effect)
 
     def log(self, text: str, **fields: object) -> None:
-        """One line for the operators."""
+        """Add a log line for the operators."""
         self.emit(LogLine(text, fields))
 
     def send(self, address: HostPort, message: Message) -> bool:
-        """Sends a message; False where this period's datagrams are used up or the message is too long."""
+        """Send a message; return False at the bound of the period, or where the message is too long."""
         if self.sent_in_period >= self.config.max_datagrams:
             self.count("over the bound of datagrams")
             return False
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -1,7 +1,7 @@
-"""The records of all members as one process holds them, with the state that each has in its view.
+"""The member table: the records of all members, with the state that each has in this process's view.
 
 Owns the table of known members, the tombstones of forgotten ones and the digest of all records. It must never
-judge who is connected: failure_detection.py sets the states.
+decide who is connected: failure_detection.py sets the states.
 """
 
 from collections import OrderedDict
@@ -19,7 +19,7 @@
 
 
 class MemberState(StrEnum):
-    """What a process holds a member to be."""
+    """The state of a member in the view of one process."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -35,22 +35,22 @@
 class Reception(Enum):
     """What became of a record that was received."""
 
-    NEWER = auto()
+    NEWER = auto()  # taken
     KNOWN = auto()  # no newer than what is held, or not worth remembering
     UNUSABLE = auto()  # counted by reason; nothing else in its message is used
 
 
 class KnownMember:
-    """One member: its newest record and the state it has here."""
+    """One member: its newest record and its state in this view."""
 
-    __slots__ = ("digest", "failed_precedence", "record", "since", "state", "turning_since")
+    __slots__ = ("digest", "failed_precedence", "record", "state", "state_since", "pending_change_since")
 
     def __init__(self, record: MemberRecord, now: int) -> None:
         self.record = record
         self.digest = record.digest()
         self.state = MemberState.ALIVE
-        self.since = now  # of the state
-        self.turning_since: int | None = None  # since when its links say otherwise than the state
+        self.state_since = now
+        self.pending_change_since: int | None = None  # since when its links contradict the state
         self.failed_precedence: Version | None = None  # of the record by which it failed
 
     @property
@@ -60,7 +60,7 @@
 
 
 class ExtrapolatedWallClock:
-    """The wall clock as it was at start, carried on by the boot clock.
+    """The wall clock as it was at start, extrapolated by the boot clock.
 
     Arguments:
         start_ms: wall clock at start, milliseconds.
@@ -72,15 +72,15 @@
         self._started_at = now
 
     def now_ms(self, now: int) -> int:
-        """Milliseconds at the boot clock's `now`."""
+        """Return the milliseconds at the boot clock's `now`."""
         return self.start_ms + (now - self._started_at) // 1000
 
 
 class MemberTable:
     """Bounded by `config.max_members`, with as many tombstones; failed and left members go first when full.
 
-    Failed and left members are no news for newcomers, who would pass them on for ever: the digest leaves them
-    out, and their records go only to those who hold an older one.
+    Failed and left members are not gossiped to new members, who would relay them for ever: the digest leaves
+    them out, and their records go only to members that have an older one.
     """
 
     def __init__(
@@ -99,8 +99,8 @@
         self.tombstones: OrderedDict[int, Version] = OrderedDict()  # id -> precedence of its last record
         self.updates = UpdateQueue(config)
         self.digest = self.members[self.own_id].digest  # exclusive or of all records in the fleet
-        self.is_changed = True  # the view has to be drawn anew
-        self.is_graph_outdated = True  # who watches whom has to be worked out anew
+        self.is_changed = True  # the view has to be derived anew
+        self.is_graph_outdated = True  # who watches whom has to be computed anew
         self.on_forget: list[Callable[[int], object]] = []  # called with the id of each forgotten member
 
     @property
@@ -111,24 +111,24 @@
     # ---- the own record
 
     def update_own_record(self, **changes: object) -> None:
-        """Declares something new of this process."""
+        """Declare something new of this process."""
         old = self.own_record
         record = msgspec.structs.replace(old, version=old.version + 1, **changes)
         self._replace(self.own_id, record)
 
     def raise_incarnation_over(self, incarnation: int) -> None:
-        """Declares an incarnation above the own one and that one."""
+        """Declare an incarnation above the own one and the given one."""
         self.update_own_record(incarnation=max(self.own_record.incarnation, incarnation) + 1)
 
     # ---- records of others
 
     def receive(self, now: int, record: MemberRecord, is_direct: bool = False) -> Reception:
-        """Takes a record of another member for its newest, where it is.
+        """Take a record of another member, where it is newer than the one known.
 
         Arguments:
             now: boot clock, microseconds.
             record: of another member.
-            is_direct: it came from the member itself, so it is no old news on its way.
+            is_direct: it came from the member itself, so it is no outdated gossip.
         """
         member_id = name_hash(record.name)
         reason = self._reason_against(now, member_id, record, is_direct)
@@ -150,7 +150,7 @@
         return Reception.NEWER
 
     def _reason_against(self, now: int, member_id: int, record: MemberRecord, is_direct: bool) -> str | None:
-        """Why a record cannot be used. Makes room where the member is new and the table is full."""
+        """Return why a record cannot be used; make room where the member is new and the table is full."""
         try:
             parse_address(record.address)
         except DatagramError as error:
@@ -167,7 +167,7 @@
         return None
 
     def is_impossible(self, now: int, incarnation: int) -> bool:
-        """Guards against an incarnation that no process could ever raise its own over."""
+        """Whether an incarnation is so far ahead that no process could ever raise its own over it."""
         return incarnation > self.clock.now_ms(now) + self.config.max_clock_ahead_ms
 
     def _follow_declared_status(self, now: int, known: KnownMember) -> None:
@@ -182,7 +182,7 @@
     # ---- the table
 
     def put(self, member_id: int, record: MemberRecord, now: int) -> None:
-        """Takes a record for the newest of its member, and gossips it."""
+        """Take a record as the newest of its member, and gossip it."""
         if member_id in self.members:
             self._replace(member_id, record)
         else:
@@ -212,13 +212,13 @@
         self.is_changed = True
 
     def set_state(self, now: int, known: KnownMember, state: MemberState) -> None:
-        """Gives a member another state from `now` on."""
+        """Give a member another state from `now` on."""
         if known.state == state:
             return
         was_in_digest = known.is_in_digest
         known.state = state
-        known.since = now
-        known.turning_since = None
+        known.state_since = now
+        known.pending_change_since = None
         if known.is_in_digest != was_in_digest:
             self.digest ^= known.digest
         if state == MemberState.FAILED:
@@ -227,14 +227,14 @@
         self.outbox.emit(MemberChanged(known.record.name, state, known.record.incarnation))
 
     def forget(self, member_id: int) -> None:
-        """Takes a member out of the table and leaves its tombstone."""
+        """Take a member out of the table and leave its tombstone."""
         known = self.members.pop(member_id)
         if known.is_in_digest:
             self.digest ^= known.digest
         self.updates.discard(member_id)
         for listener in self.on_forget:
             listener(member_id)
-        # Guards against records that others still pass on: a forgotten member would be alive once more.
+        # Others may still relay its records: without a tombstone it would be alive once more.
         self.tombstones[member_id] = known.record.precedence
         while len(self.tombstones) > self.config.max_members:
             self.tombstones.popitem(last=False)
@@ -242,23 +242,25 @@
         self.is_changed = True
 
     def _make_room(self) -> bool:
-        """Forgets the member that has been failed or left the longest; False where there is none."""
-        gone = [(known.since, member_id) for member_id, known in self.members.items() if known.state in GONE]
+        """Forget the member that has been failed or left the longest; return whether there was one."""
+        gone = [
+            (known.state_since, member_id) for member_id, known in self.members.items() if known.state in GONE
+        ]
         if gone:
             self.forget(min(gone)[1])
         return bool(gone)
 
     def forget_expired(self, now: int) -> None:
-        """Forgets the members that have been failed or left for longer than `config.forget_after`."""
+        """Forget the members that have been failed or left for longer than `config.forget_after`."""
         expired = [
             member_id
             for member_id, known in self.members.items()
-            if known.state in GONE and now - known.since > self.config.forget_after
+            if known.state in GONE and now - known.state_since > self.config.forget_after
         ]
         for member_id in expired:
             self.forget(member_id)
 
 
 def state_in_contact(record: MemberRecord) -> MemberState:
-    """The state of a member that is connected."""
+    """Return the state of a member that is connected."""
     return MemberState.LEAVING if record.status == DeclaredStatus.LEAVING else MemberState.ALIVE
--- a/finchcart/membership/update_queue.py
+++ b/finchcart/membership/update_queue.py
@@ -25,24 +25,24 @@
         return len(self._remaining)
 
     def clear(self) -> None:
-        """Gossips nothing of what changed until now."""
+        """Drop all updates."""
         self._remaining.clear()
 
     def push(self, member_id: int, member_count: int) -> None:
-        """A record changed, in a fleet of `member_count`: it goes first."""
+        """Queue a changed record first, in a fleet of `member_count`."""
         self._remaining[member_id] = self.config.retransmissions(member_count)
         self._remaining.move_to_end(member_id, last=False)
         while len(self._remaining) > self.config.max_pending_updates:
             self._remaining.popitem()
 
     def discard(self, member_id: int) -> None:
-        """Gossips that member's record no more."""
+        """Drop a member's update."""
         self._remaining.pop(member_id, None)
 
     def take(
         self, excluded: tuple[int, ...], record_of: Callable[[int], MemberRecord], max_bytes: int
     ) -> list[MemberRecord]:
-        """The records that go with one heartbeat.
+        """Return the records that go with one heartbeat.
 
         Arguments:
             excluded: ids of members whose records are of no use to the receiver.
--- a/finchcart/membership/view.py
+++ b/finchcart/membership/view.py
@@ -1,7 +1,7 @@
-"""Which members are connected, drawn from what each says of its links.
+"""The view: which members are connected, derived from what each declares of its links.
 
-Owns who watches whom and who is held to be connected. Pure: the same records give the same result at
-everybody who is connected with the same part. It must never hold a time or remember a result.
+Owns who watches whom and who counts as connected. Pure: the same records give the same result at all members
+that are connected with the same part. It must never hold a time or remember a result.
 
 A link counts as down where either end says so. A member is connected where it can be reached from here over
 links that are up, and where at least half of its links into that set are up. So one link, or a few, exclude
@@ -9,7 +9,7 @@
 linked to a minority of a connected set is excluded for all of it, itself included.
 """
 
-from collections.abc import Callable, Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Iterable, Mapping, Set
 from functools import lru_cache
 from heapq import heapify, heappop, heappush
 
@@ -18,18 +18,18 @@
 STAY_FRACTION = 0.5  # of links that has to be up to stay connected
 RETURN_FRACTION = 0.6  # of links that has to be up to be connected again
 
-Graph = dict[int, frozenset[int]] | dict[int, set[int]]  # id -> ids it is linked to, symmetric
+Graph = Mapping[int, Set[int]]  # id -> ids it is linked to, symmetric
 
 
 @lru_cache(maxsize=8192)
 def ring_positions(member_id: int, rings: int) -> tuple[int, ...]:
-    """Where a member stands on each ring."""
+    """Return the position of a member on each ring."""
     data = member_id.to_bytes(8, "big")
     return tuple(xxh3_64_intdigest(data, ring) for ring in range(rings))
 
 
 def watch_graph(ids: Iterable[int], degree: int) -> Graph:
-    """id -> ids that it exchanges heartbeats with, symmetric.
+    """Return id -> ids that it exchanges heartbeats with, symmetric.
 
     All watch all where they are few; else each watches its neighbours on `degree` / 2 rings, each ring in an
     order of its own.
@@ -38,7 +38,7 @@
     if len(ids) <= degree + 1:
         everybody = frozenset(ids)
         return {member_id: everybody - {member_id} for member_id in ids}
-    graph = {member_id: set() for member_id in ids}
+    graph: dict[int, set[int]] = {member_id: set() for member_id in ids}
     rings = max(1, degree // 2)
     positions = {member_id: ring_positions(member_id, rings) for member_id in ids}
     for ring in range(rings):
@@ -55,11 +55,11 @@
     graph: Graph,
     excluded_before: Collection[int] = frozenset(),
 ) -> set[int]:
-    """ids that are connected.
+    """Return the ids that are connected.
 
     Arguments:
-        own_id: of the member that asks; it may be missing from the result: it is excluded itself.
-        unreachable: id -> ids it says it has no two-way contact with.
+        own_id: of this member; it may be missing from the result: then it is excluded itself.
+        unreachable: id -> ids that it declares to have no two-way contact with.
         graph: who watches whom, see `watch_graph`.
         excluded_before: those excluded until now, who need more links to come back.
     """
@@ -80,7 +80,7 @@
 def _drop_minorities(
     connected: set[int], up_links: Graph, graph: Graph, required: Callable[[int], float]
 ) -> set[int]:
-    """Takes out who has too few links up into the set; its going may take others with it."""
+    """Take out members with too few links up into the set, again for those that lose links by that."""
     total = {one: len(graph[one] & connected) for one in connected}
     up_count = {one: len(up_links[one] & connected) for one in connected}
     heap = [(up_count[one] / total[one], one) for one in connected if total[one]]
@@ -100,7 +100,7 @@
 
 
 def _cut_links(unreachable: Mapping[int, Collection[int]], graph: Graph) -> dict[int, set[int]]:
-    """id -> ids to which its link is down, by the word of either end."""
+    """Return id -> ids to which its link is down, as either end declares."""
     cut_links: dict[int, set[int]] = {}
     for one in graph:
         for other in unreachable.get(one, ()):
--- a/finchcart/membership/view_report.py
+++ b/finchcart/membership/view_report.py
@@ -1,4 +1,4 @@
-"""What a member tells the command line of its view, page by page.
+"""The answer to the command line's question for the view, page by page.
 
 Owns the fields that an operator sees; their names are those of docs/operate/members.md.
 """
@@ -22,7 +22,7 @@
         self.isolation = isolation
 
     def members(self, now: int) -> list[dict[str, Any]]:
-        """All members by name."""
+        """Return all members, in the order of their names."""
         in_order = sorted(self.table.members.items(), key=lambda item: item[1].record.name)
         return [
             {
@@ -36,7 +36,7 @@
         ]
 
     def summary(self) -> dict[str, Any]:
-        """This process, and how old its view can be."""
+        """Return what concerns this process, and how old its view can be."""
         own = self.table.own_record
         return {
             "name": own.name,
@@ -46,7 +46,7 @@
         }
 
     def answer(self, now: int, request: ViewRequest) -> ViewPage | None:
-        """The page asked for, the first with the counters; None where there is no such page."""
+        """Return the page asked for, the first with the counters; None where there is no such page."""
         members = self.members(now)
         page_count = 1 + -(-len(members) // MEMBERS_PER_PAGE)
         if request.page >= page_count:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -274,7 +274,7 @@
     fleet.start("twin", member_name="n2")
     fleet.run(fleet.now + 5 * SECOND)
     old, new = fleet.processes["n2"].machine, fleet.processes["twin"].machine
-    return [] if old.yielded and old.isolated and not new.yielded else ["both stand"]
+    return [] if old.has_stepped_down and old.isolated and not new.has_stepped_down else ["both stand"]
 
 
 def suspended_while_replaced():
@@ -291,7 +291,7 @@
     fleet.resume("n2")
     fleet.run(fleet.now + 2 * SECOND)
     old, new = fleet.processes["n2"].machine, fleet.processes["twin"].machine
-    return [] if old.yielded and not new.yielded else ["it stands"]
+    return [] if old.has_stepped_down and not new.has_stepped_down else ["it stands"]
 
 
 def forged_incarnation():
@@ -438,15 +438,15 @@
         clock_set_back,
         [(MemberTable, "raise_incarnation_over", do_nothing)],
     ),
-    "two of one name: none yields": (two_of_one_name, [(NameContest, "give_way", do_nothing)]),
+    "two of one name: none yields": (two_of_one_name, [(NameContest, "step_down", do_nothing)]),
     "one that was suspended is not told that its name is taken": (
         suspended_while_replaced,
-        [(NameContest, "give_way", do_nothing)],
+        [(NameContest, "step_down", do_nothing)],
     ),
     "trusts what it believed before a suspension": (STOP, [(Member, "_on_clock_gap", do_nothing)]),
     "a clock that does not count suspension": (STOP, [(Member, "reduce", reduce_without_suspended_time)]),
     "isolation is not reported": (DEAF, [(IsolationMonitor, "set_isolated", do_nothing)]),
-    "failed ones are not looked for": (HALVES, [(HeartbeatSender, "look_for_lost", do_nothing)]),
+    "failed ones are not looked for": (HALVES, [(HeartbeatSender, "probe_lost", do_nothing)]),
     "updates never age": (
         bytes_when_calm,
         [(UpdateQueue, "take", updates_never_age), (UpdateQueue, "push", push_and_remember_id)],
