--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -107,7 +107,7 @@
 def size_row(count: int) -> str:
     """Return the row of a fleet of so many nodes."""
     limit = Limit("store", CALLS_A_NODE * count, 1)
-    quota = QuotaConfig(limits=(limit,), most=count + 10, holders=2 * count)
+    quota = QuotaConfig(limits=(limit,), max_processes=count + 10, max_holders=2 * count)
     fleet = CountingSimulation(1, holders=count, quota=quota)
     for name in fleet.processes:
         fleet.start(name)
--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -75,7 +75,7 @@
 def _strict_limit_lines(quota: QuotaConfig, limit: Limit) -> Iterator[str]:
     yield (
         f"  limit {limit.name}: {limit.amount} in hand, {limit.floor} each node's own, "
-        f"{limit.shareable(quota.most)} shared among at most {quota.most};"
+        f"{limit.shareable(quota.max_processes)} shared among at most {quota.max_processes};"
     )
     yield (
         f"    over by one call for each process stopped at the write, for "
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -141,7 +141,7 @@
         """Return the limiters of all limits that this node is held to; new ones wait for the next start."""
         if not self._quota:
             return None
-        limiters = LimiterSet(self._quota.limits, self._quota.slack, self._quota.most)
+        limiters = LimiterSet(self._quota.limits, self._quota.write_slack, self._quota.max_processes)
         consensus = consensus_config(self._settings)
         if consensus:
             limiters.recovery_step_us = consensus.recovery_step
--- a/finchcart/cli/settings_schema.py
+++ b/finchcart/cli/settings_schema.py
@@ -152,10 +152,10 @@
     """Return the limits and how they are shared out; None where no limits are set."""
     if settings.quota is UNSET or not settings.limits:
         return None
-    return quota.QuotaConfig(
-        limits=tuple(_quota_limit(limit) for limit in settings.limits),
-        planners=tuple(settings.quota.planners),
-        **_in_microseconds(settings.quota, ("planners",)),
+    return quota.QuotaConfig.from_settings(
+        tuple(_quota_limit(limit) for limit in settings.limits),
+        tuple(settings.quota.planners),
+        _in_microseconds(settings.quota, ("planners",)),
     )
 
 
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -246,7 +246,7 @@
             other.demand = ELSEWHERE_DEMAND
             self.add_process(other)
         running = sum(node.machine is not None for node in self.nodes)
-        if other.machine is None and running < self.quota.most:
+        if other.machine is None and running < self.quota.max_processes:
             self.start(other_name)
             self.schedule(self.now + ELSEWHERE_US, self.kill, other_name)
 
@@ -290,7 +290,7 @@
     loose = mode == SharingMode.LOOSE
     kind = SharingMode.LOOSE if loose else SharingMode.STRICT
     limit = Limit("store", 48, 0 if loose else 1, mode=str(kind))
-    quota = QuotaConfig(limits=(limit,), most=holders + 4)
+    quota = QuotaConfig(limits=(limit,), max_processes=holders + 4)
     fleet = QuotaSimulation(1, holders=holders, mode=mode, quota=quota)
     for name in fleet.processes:
         fleet.start(name)
@@ -303,7 +303,7 @@
     node = nodes[3]
     node.demand = fleet.limit.amount
     began = fleet.now
-    enough = 0.9 * min(node.demand, fleet.limit.shareable(fleet.quota.most))
+    enough = 0.9 * min(node.demand, fleet.limit.shareable(fleet.quota.max_processes))
     while fleet.now < began + 20 * SECOND:
         fleet.run(fleet.now + 50_000, fleet.after_step)
         if len(node.calls) >= enough:
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -59,7 +59,7 @@
         self.make = make or {}
         names = [f"p{number}" for number in range(planners)] + [f"n{number}" for number in range(holders)]
         addresses = [f"10.0.{number // 250}.{number % 250 + 1}:7401" for number in range(len(names))]
-        quota = quota or QuotaConfig(limits=(self._default_limit(holders, per),), most=holders + 2)
+        quota = quota or QuotaConfig(limits=(self._default_limit(holders, per),), max_processes=holders + 2)
         self.quota = QuotaConfig(**{**quota.__dict__, "planners": tuple(addresses[:planners])})
         self.limit = self.quota.limits[0]
         self.is_rate = self.limit.per == "rate"
@@ -115,7 +115,7 @@
 
     def _make_limiter(self) -> CallConcurrencyLimiter | RateLimiter:
         kind = self.make.get("meter") or (RateLimiter if self.is_rate else CallConcurrencyLimiter)
-        return kind(self.limit, self.quota.slack, self.quota.most)
+        return kind(self.limit, self.quota.write_slack, self.quota.max_processes)
 
     def _make_node(self, process: QuotaProcess, random: Random, own_time: int) -> object:
         if self.mode == SharingMode.LOOSE:
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -1,77 +1,25 @@
-"""The leading planner's book: which leases of which limits it granted to whom, and how the rest is allocated.
+"""The allocator of the leading planner: which leases it granted to whom, and what it grants next.
 
-Owns what is known of each lease holder and the leases granted in this term. It must never grant more than
-what no other lease may still use, nor know how a leader is elected. `now` is the boot clock in whole
-microseconds.
+Owns the records of the lease holders and the leases granted in this term. It must never grant what another
+lease may still use, nor know how a leader is elected. `now` is the boot clock in whole microseconds.
 
-Why a strict limit is never over: the leader counts a lease from after it answered, widened, its holder from
-before it asked (see finchcart/fleet/leases.py). Of several leases that may be out at one holder the greatest
-counts, until the holder says which it holds or they expire. A new leader waits for the longest lease; until
-then it only renews to a holder what that says it holds. So what holders may use together is never more than
-what is counted here.
+Why a strict limit is never exceeded: the leader counts a lease from after its answer, widened, the holder
+from before its request (see finchcart/fleet/leases.py). Where a holder may have one of several leases, the
+greatest counts until the holder reports which it has, or they expire. A new leader waits for the longest
+lease; until then it only renews what a holder reports to have. So holders together never use more than what
+is counted here.
 
-Bounds: `holders` records, `MAX_GRANTED` leases of a limit in each; a record ends with its last lease, once
-the holder asks no more.
+Bounds: `max_holders` records, `MAX_GRANTED` leases of a limit in each; a record ends with its last lease,
+once its holder requests nothing any more.
 """
 
-from typing import NamedTuple
-
 from finchcart.fleet.message_endpoint import MessageRejectedError
-from finchcart.fleet.units import MS
-from finchcart.quota.fair_share import prioritized_shares
+from finchcart.quota.allocation_targets import AllocationTargets
+from finchcart.quota.holder_records import GrantedLease, HolderKey, HolderRecord, LimitRecord
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
-TARGETS_LIFETIME_US = 50 * MS  # targets are not worked out again for so long
-MAX_GRANTED = 8  # leases of a limit out at one holder: no more until it says which it holds
-
-
-class HolderKey(NamedTuple):
-    """Names one process of a node: a restarted one is another."""
-
-    node: str
-    session: int
-
-
-class GrantedLease:
-    """A lease that its holder may use until `expires_at`."""
-
-    __slots__ = ("number", "sequence", "amount", "expires_at")
-
-    def __init__(self, number: int, sequence: int, amount: int, expires_at: int) -> None:
-        self.number = number
-        self.sequence = sequence  # of the request that it answered
-        self.amount = amount
-        self.expires_at = expires_at
-
-
-class LimitRecord:
-    """What is known of one limit at one holder."""
-
-    def __init__(self) -> None:
-        self.granted: list[GrantedLease] = []
-        self.demand = 0
-        self.reported_demand = 0  # by the last request; `demand` may be that of the one before
-        self.priority_demand = 0
-        self.weight = 1.0
-        self.extra_floor = 0  # beyond the floor that the configuration sets aside
-
-    def expire(self, now: int) -> None:
-        """Drop the leases that are over."""
-        self.granted = [lease for lease in self.granted if lease.expires_at > now]
-
-
-NO_DEMAND = LimitRecord()  # of a holder that has not asked for a limit
-
-
-class HolderRecord:
-    """What is known of one process of a node."""
-
-    def __init__(self) -> None:
-        self.limits: dict[str, LimitRecord] = {}
-        self.requested_at = 0
-        self.sequence = 0
-        self.is_leaving = False
+MAX_GRANTED = 8  # leases of a limit at one holder: no more until it reports which it has
 
 
 class Allocator:
@@ -87,69 +35,68 @@
         self.leads_since = 0
         self.holders: dict[HolderKey, HolderRecord] = {}
         self.last_number = 0
-        self.targets: dict[str, dict[HolderKey, int]] = {}  # by limit
-        self.targets_at = 0
+        self.targets = AllocationTargets(quota)
 
     def set_config(self, quota: QuotaConfig) -> None:
         """Take a new configuration."""
         self.quota = quota
-        self.targets_at = 0
+        self.targets.set_config(quota)
 
     def begin_term(self, term: int, now: int) -> None:
-        """Lead from now on, with an empty book."""
+        """Lead from now on, without records."""
         self.term = term
         self.leads_since = now
         self.holders = {}
         self.last_number = 0
 
     def end_term(self) -> None:
-        """Lead no more."""
+        """Drop all records: this planner does not lead any more."""
         self.holders = {}
 
     # ---- holders
 
     def register(self, now: int, request: LeaseRequest) -> HolderRecord:
-        """The record of a request's holder.
+        """Return the record of a request's holder.
 
         Raises:
-            MessageRejectedError: there is no room for another holder, or the request was overtaken or is a
-                copy, and its answer went out.
+            MessageRejectedError: the table of holders is full, or the request is a copy or was overtaken by a
+                later one.
         """
         key = HolderKey(request.node, request.session)
         holder = self.holders.get(key)
         if holder is None:
-            if len(self.holders) >= self.quota.holders:
-                raise MessageRejectedError("no room for a holder")
+            if len(self.holders) >= self.quota.max_holders:
+                raise MessageRejectedError("no capacity for a holder")
             holder = self.holders[key] = HolderRecord()
         if request.sequence <= holder.sequence:
-            raise MessageRejectedError("asked before")
+            raise MessageRejectedError("requested before")
         holder.sequence = request.sequence
         holder.requested_at = now
         holder.is_leaving = request.is_leaving
         return holder
 
     def expire(self, now: int) -> None:
-        """Drop leases that are over, and holders that have none and ask no more."""
+        """Drop expired leases, and holders that have none and request nothing any more."""
         for key, holder in list(self.holders.items()):
             for record in holder.limits.values():
                 record.expire(now)
             has_lease = any(record.granted for record in holder.limits.values())
-            if not has_lease and now - holder.requested_at > self.quota.life:
+            if not has_lease and now - holder.requested_at > self.quota.lease_duration:
                 del self.holders[key]
 
     def committed(self, holder: HolderRecord, limit: str) -> int:
-        """The most that a holder may use of a limit beyond its floor."""
+        """Return the most that a holder may use of a limit beyond its floor."""
         record = holder.limits.get(limit)
         if record is None:
             return 0
         return max((lease.amount for lease in record.granted), default=0)
 
     def granted_total(self, limit: str) -> int:
-        """What all holders may use of a limit beyond their floors."""
+        """Return what all holders may use of a limit beyond their floors."""
         return sum(self.committed(holder, limit) for holder in self.holders.values())
 
     def lease_count(self, limit: str) -> int:
-        """Holders that have a lease of a limit."""
+        """Return the number of holders that have a lease of a limit."""
         records = [holder.limits.get(limit) for holder in self.holders.values()]
         return sum(record is not None and bool(record.granted) for record in records)
 
@@ -165,10 +112,10 @@
             limit: the limit as this planner has it.
             holder: the record that `register` returned.
             request: the whole request.
-            line: what the request says of the limit.
+            line: what the request reports of the limit.
 
         Returns:
-            The new lease; None where too many are out at the holder.
+            The new lease; None where the holder may have too many already.
         """
         record = holder.limits.setdefault(limit.name, LimitRecord())
         self._end_unused(now, holder, record, request, line)
@@ -179,12 +126,12 @@
         amount = self._amount(now, limit, HolderKey(request.node, request.session), line)
         expires_at = now + self.quota.takeover_wait
         record.granted.append(GrantedLease(self.last_number, request.sequence, amount, expires_at))
-        return LimitLease(limit.name, self.last_number, amount, self.quota.life, limit.amount)
+        return LimitLease(limit.name, self.last_number, amount, self.quota.lease_duration, limit.amount)
 
     def _end_unused(
         self, now: int, holder: HolderRecord, record: LimitRecord, request: LeaseRequest, line: LimitDemand
     ) -> None:
-        """End the leases that the holder can't use any more, by what it says that it holds."""
+        """End the leases that the holder cannot use any more, by what it reports to have."""
         committed = self.committed(holder, line.limit)
         record.expire(now)
         held_number = line.number if line.term == self.term else None
@@ -199,14 +146,14 @@
         ]
         for lease in record.granted:
             if lease.number == held_number:
-                # The amount that it holds, or what is still in use of a greater one.
+                # The amount of that lease, or what is still in use of a greater one.
                 lease.amount = min(line.in_use, committed)
 
     def _take_demand(
         self, limit: Limit, holder: HolderRecord, record: LimitRecord, line: LimitDemand
     ) -> None:
-        # The greater of the last two reports counts, but for a holder that leaves: else allocations would go
-        # to and fro between two whose demand alternates.
+        # The greater of the last two reports counts, but for a holder that leaves: else allocations would
+        # oscillate between two holders whose demand alternates.
         previous = record.reported_demand
         record.reported_demand = line.demand
         record.demand = line.demand if holder.is_leaving else max(line.demand, previous)
@@ -217,53 +164,23 @@
     # ---- amounts
 
     def _amount(self, now: int, limit: Limit, key: HolderKey, line: LimitDemand) -> int:
-        """What of a limit a holder may use beyond its floor."""
-        shareable = limit.shareable(self.quota.most)
+        """Return what of a limit a holder may use beyond its floor."""
+        shareable = limit.shareable(self.quota.max_processes)
         committed = self.committed(self.holders[key], limit.name)
         if now < self.leads_since + self.quota.takeover_wait:
-            # Others may hold all the rest from an earlier term: what this one holds is renewed, and no more.
+            # Others may have all the rest from an earlier term: what this one has is renewed, and no more.
             held = line.in_use if line.term < self.term else committed
             return min(held, shareable)
-        step = max(1, int(shareable * self.quota.step))
+        step = max(1, int(shareable * self.quota.max_step))
         free = shareable - self._committed_total(limit)
-        return min(self._target(now, limit, key), committed + max(0, min(free, step)))
+        target = self.targets.target(now, limit, key, self.holders)
+        return min(target, committed + max(0, min(free, step)))
 
     def _committed_total(self, limit: Limit) -> int:
-        """What all holders may use, with what their floors are higher than those set aside."""
+        """Return what all holders may use, with the part of their floors that was not set aside."""
         extra_floors = sum(
             holder.limits[limit.name].extra_floor
             for holder in self.holders.values()
             if limit.name in holder.limits
         )
         return self.granted_total(limit.name) + extra_floors
-
-    def _target(self, now: int, limit: Limit, key: HolderKey) -> int:
-        """What a holder is to have in the end; worked out now and then, as each request moves it little."""
-        is_stale = now - self.targets_at >= TARGETS_LIFETIME_US
-        if is_stale or key not in self.targets.get(limit.name, ()):
-            self.targets = {each.name: self._targets_of(each) for each in self.quota.strict}
-            self.targets_at = now
-        return self.targets[limit.name].get(key, 0)
-
-    def _targets_of(self, limit: Limit) -> dict[HolderKey, int]:
-        """The fair shares of all holders; a part is kept free for holders that come."""
-        shareable = limit.shareable(self.quota.most)
-        records = {key: self._demand_record(holder, limit) for key, holder in self.holders.items()}
-        demands = {
-            key: record.demand
-            for key, record in records.items()
-            if record.demand or not self.holders[key].is_leaving
-        }
-        demanded = sum(demands.values())
-        reserve = int(shareable * self.quota.room) if demanded >= shareable else 0
-        priority_demands = {key: records[key].priority_demand for key in demands}
-        weights = {key: records[key].weight for key in demands}
-        shares = prioritized_shares(shareable - reserve, demands, priority_demands, weights)
-        if demanded >= shareable:
-            return shares
-        # Nobody goes short: half of the rest is spread, so that a jump of demand finds something at once.
-        spare = (shareable - demanded) // (2 * max(1, len(demands)))
-        return {key: share + spare for key, share in shares.items()}
-
-    def _demand_record(self, holder: HolderRecord, limit: Limit) -> LimitRecord:
-        return holder.limits.get(limit.name, NO_DEMAND)
--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -1,7 +1,7 @@
 """The lease of one limit, as its holder keeps it.
 
-Owns what is held, in use and demanded of the limit. It must never decide whether a lease is taken: that is
-lease_holder.py's. Times are microseconds on the boot clock.
+Owns what is held, in use and demanded of the limit, and which leases are newer. It must never send anything.
+Times are microseconds on the boot clock.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class LeaseId(NamedTuple):
-    """Orders the leases of one limit: the higher is the newer."""
+    """Identifies a lease of one limit; the higher is the newer."""
 
     term: int
     number: int
@@ -21,15 +21,22 @@
 
 
 class Allowance(NamedTuple):
-    """What of a limit was handed out last."""
+    """What of a limit may be used, as it was emitted last."""
 
     floor: int
     amount: int
     until: int
 
 
+class PendingRequest(NamedTuple):
+    """A request whose answer is still taken."""
+
+    sent_at: int
+    held: dict[str, LeaseId]  # limit -> the lease that was held when it was sent
+
+
 class HeldLease:
-    """The lease of one limit; times are microseconds on the boot clock."""
+    """The lease of one limit."""
 
     def __init__(self, limit: Limit) -> None:
         self.limit = limit
@@ -49,9 +56,33 @@
         return now < self.expires_at
 
     def active_amount(self, now: int) -> int:
-        """What may be used of it beyond the floor."""
+        """Return what may be used of it beyond the floor."""
         return self.amount if self.is_active(now) else 0
 
+    def reason_against(
+        self, now: int, lease_id: LeaseId, lease: LimitLease, request: PendingRequest
+    ) -> str | None:
+        """Return why a lease is not taken in place of this one; None where it is.
+
+        Arguments:
+            now: microseconds on the boot clock.
+            lease_id: of the lease.
+            lease: as it was granted.
+            request: that it answers.
+        """
+        if lease_id.term < self.id.term:
+            return "of an earlier term"
+        if lease_id <= self.id:
+            return "of an earlier number"
+        if now >= request.sent_at + lease.duration_us:
+            return "expired when it came"
+        has_grown = lease.amount > self.active_amount(now)
+        if lease_id.term > self.id.term and has_grown and request.held.get(lease.limit) != self.id:
+            # A new leader took a late request for what is held now: meanwhile the earlier leader may have
+            # given the difference to another.
+            return "of what was held before"
+        return None
+
     def take(self, lease_id: LeaseId, lease: LimitLease, requested_at: int) -> None:
         """Hold a newer lease."""
         self.id = lease_id
@@ -68,7 +99,7 @@
         self.demand = 0
 
     def report(self, now: int) -> LimitDemand:
-        """What is reported to the planner."""
+        """Return what is reported to the planner."""
         is_active = self.is_active(now)
         return LimitDemand(
             limit=self.limit.name,
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -1,6 +1,6 @@
 """The election of the leading planner: leases by majority, without a disk.
 
-Owns this planner's votes (`Acceptor`) and its candidature (`LeaderElection`). It must never send anything
+Owns this planner's candidature; its votes are those of acceptor.py. It must never send anything
 itself: messages are collected in `outbox`. `now` is the boot clock in whole microseconds.
 
 The protocol is PaxosLease (M. Trencseni, A. Gazso and H. Reinhardt, "PaxosLease: Diskless Paxos for Leases",
@@ -19,10 +19,10 @@
 from finchcart.fleet import leases
 from finchcart.fleet.codec import HostPort, name_hash, parse_address
 from finchcart.fleet.message_endpoint import MessageRejectedError
+from finchcart.quota.acceptor import Acceptor
 from finchcart.quota.limits import QuotaConfig
 from finchcart.quota.messages import (
     Accept,
-    AcceptedLease,
     Ballot,
     ElectionMessage,
     Prepare,
@@ -31,8 +31,6 @@
     Reject,
 )
 
-NO_BALLOT = Ballot(0, 0)
-
 
 class Outgoing(NamedTuple):
     """A message to another planner."""
@@ -41,49 +39,6 @@
     message: ElectionMessage
 
 
-class Acceptor:
-    """One vote of the election.
-
-    Arguments:
-        quota: the configuration.
-        now: microseconds on the boot clock.
-    """
-
-    def __init__(self, quota: QuotaConfig, now: int) -> None:
-        self.quota = quota
-        self.votes_from = now + quota.startup_quiet_period
-        self.promised = NO_BALLOT
-        self.accepted: AcceptedLease | None = None
-        self.accepted_until = 0
-
-    def may_vote(self, now: int) -> bool:
-        """Whether any lease that an earlier process of this place voted for is over."""
-        return now >= self.votes_from
-
-    def current_lease(self, now: int) -> AcceptedLease | None:
-        """The lease that it voted for, unless it is over."""
-        if self.accepted is not None and now >= self.accepted_until:
-            self.accepted = None
-        return self.accepted
-
-    def on_prepare(self, now: int, ballot: Ballot) -> Promise | Reject:
-        """Promise a ballot, unless a greater one was promised."""
-        if ballot < self.promised:
-            return Reject(ballot, self.promised)
-        self.promised = ballot
-        return Promise(ballot, self.current_lease(now))
-
-    def on_propose(self, now: int, proposal: Propose) -> Accept | Reject:
-        """Vote for a lease, unless a greater ballot was promised."""
-        if proposal.ballot < self.promised:
-            return Reject(proposal.ballot, self.promised)
-        self.promised = proposal.ballot
-        # Counted from after the vote, and widened: for longer than the owner counts it.
-        self.accepted = AcceptedLease(proposal.ballot, proposal.owner)
-        self.accepted_until = now + self.quota.widened(self.quota.lease)
-        return Accept(proposal.ballot)
-
-
 class Candidature:
     """A proposer's attempt to be elected: first promises are counted, then votes."""
 
@@ -139,19 +94,19 @@
         self.timing_digest = name_hash(quota.timing_text())
 
     def drain(self) -> list[Outgoing]:
-        """The messages collected since the last call."""
+        """Return the messages collected since the last call."""
         outgoing = self.outbox
         self.outbox = []
         return outgoing
 
     def leader(self, now: int) -> str:
-        """The address of the planner that leads, as far as known, or empty."""
+        """Return the address of the planner that leads, as far as known, or an empty text."""
         if self.is_leader:
             return self.address
         return self.other_leader if now < self.other_leader_until else ""
 
     def observe_term(self, term: int) -> None:
-        """Continue from a term that a message names: all planners may have been restarted."""
+        """Continue from a term that a message names: all planners may have been restarted since."""
         self.highest_term = max(self.highest_term, term)
 
     # ---- time
@@ -165,7 +120,7 @@
         if now < self.next_candidature_at:
             return
         if self.is_leader:
-            if now >= self.leads_until - self.quota.lease // 2:
+            if now >= self.leads_until - self.quota.leader_lease_duration // 2:
                 self.next_candidature_at = now + self.quota.election_retry
                 self.campaign(now)
         elif self.acceptor.may_vote(now):
@@ -174,7 +129,7 @@
                 self.campaign(now)
 
     def step_down(self, now: int) -> None:
-        """Lead no more."""
+        """Give up leadership."""
         self.is_leader = False
         self.candidature = None
         self._delay_candidature(now)
@@ -187,7 +142,7 @@
 
     @property
     def quorum(self) -> int:
-        """Promises or votes that a candidature needs, the own counted."""
+        """The number of promises or votes that a candidature needs, the own included."""
         return leases.quorum(len(self.others) + 1)
 
     def campaign(self, now: int) -> None:
@@ -221,12 +176,12 @@
         candidature.voters.add(sender)
         if len(candidature.voters) >= self.quorum:
             self.candidature = None
-            until = candidature.proposed_at + self.quota.lease
+            until = candidature.proposed_at + self.quota.leader_lease_duration
             if now < until:
                 self.lead(candidature.ballot, until)
 
     def on_reject(self, now: int, sender: HostPort, reject: Reject) -> None:
-        """Give the candidature up: a greater ballot is known."""
+        """Abandon the candidature: a greater ballot is known."""
         self.observe_term(reject.promised.number)
         if self.candidature is not None and reject.ballot == self.candidature.ballot:
             self.candidature = None
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -4,21 +4,21 @@
 what may be used is handed out as `LimitAllowance`.
 
 A lease counts from before it was requested (see finchcart/fleet/leases.py). One that is for less than what is
-in use binds new calls at once; until the old ones have ended, the holder reports as in use what they need.
+in use limits new calls immediately; until the old ones have ended, the holder reports what they use.
 
 Bounds: one lease for each strict limit, `MAX_PENDING_REQUESTS` requests.
 """
 
 from collections.abc import Callable
 from random import Random
-from typing import Any, NamedTuple
+from typing import Any
 
 from finchcart.fleet.codec import HostPort, parse_address
 from finchcart.fleet.inputs import CommonInput, Leave
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.fleet.units import MS
 from finchcart.quota.effects import LimitAllowance
-from finchcart.quota.held_lease import Allowance, HeldLease, LeaseId
+from finchcart.quota.held_lease import Allowance, HeldLease, LeaseId, PendingRequest
 from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 from finchcart.quota.limit_table import reconcile
 from finchcart.quota.limits import QuotaConfig
@@ -35,14 +35,7 @@
 
 MAX_PENDING_REQUESTS = 8  # whose answers are still taken
 MIN_REQUEST_INTERVAL_US = 100 * MS
-SILENT_ROUNDS = 2  # without an answer, after which another planner is asked
-
-
-class PendingRequest(NamedTuple):
-    """A request whose answer is still taken."""
-
-    sent_at: int
-    held: dict[str, LeaseId]  # limit -> the lease that was held when it was sent
+MAX_UNANSWERED_INTERVALS = 2  # of requests, after which another planner gets them
 
 
 def _no_local_limits(now: int) -> list[dict[str, Any]]:
@@ -72,7 +65,7 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.planners = [parse_address(address) for address in quota.planners]
-        self.leader = random.randrange(max(1, len(self.planners)))  # index of the planner that is asked
+        self.leader = random.randrange(max(1, len(self.planners)))  # index of the planner that gets requests
         self.sequence = 0
         self.pending: dict[int, PendingRequest] = {}  # by sequence
         self.next_request_at = now
@@ -85,14 +78,14 @@
     # ---- inputs
 
     def on_tick(self) -> None:
-        """Hand out what changed by time alone, and request leases once a round."""
+        """Emit allowances that changed by time alone, and request leases once an interval."""
         for held in self.held.values():
             self.update_allowance(held)
         if self.held and self.now >= self.next_request_at and not self.ended:
             self._request()
 
     def on_input(self, event: CommonInput | UsageReported | QuotaConfigChanged) -> None:
-        """Take an input of the node's."""
+        """Take an input of the node."""
         match event:
             case UsageReported():
                 self.on_usage(event)
@@ -120,20 +113,20 @@
         if held is None:
             return
         has_jumped = usage.demand > held.amount and usage.demand > held.demand
-        has_given_way = held.in_use > held.amount >= usage.in_use
+        has_released = held.in_use > held.amount >= usage.in_use
         held.in_use = usage.in_use
         held.demand = usage.demand
         held.priority_demand = usage.priority_demand
-        if has_jumped or has_given_way:
+        if has_jumped or has_released:
             self._request_soon()
 
     def on_config(self, quota: QuotaConfig) -> None:
-        """Take a new configuration: new limits begin at their floor, removed ones are handed out as such."""
+        """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
         self.effects += reconcile(self.held, quota.strict, HeldLease)
         self.quota = quota
 
     def on_shutdown(self) -> None:
-        """Give all leases back: no answer to an earlier request is taken any more."""
+        """Give all leases back; take no answer to an earlier request any more."""
         self.is_leaving = True
         for held in self.held.values():
             held.give_back()
@@ -147,7 +140,10 @@
     # ---- requests
 
     def _request(self) -> None:
-        if self.pending and self.now - self.answered_at > SILENT_ROUNDS * self.quota.round:
+        if (
+            self.pending
+            and self.now - self.answered_at > MAX_UNANSWERED_INTERVALS * self.quota.request_interval
+        ):
             self.leader = (self.leader + 1) % len(self.planners)
         self.sequence += 1
         held_now = {name: held.id for name, held in self.held.items()}
@@ -155,7 +151,7 @@
         while len(self.pending) > MAX_PENDING_REQUESTS:
             del self.pending[min(self.pending)]
         self.last_request_at = self.now
-        self.next_request_at = self.now + self.quota.round
+        self.next_request_at = self.now + self.quota.request_interval
         request = LeaseRequest(
             node=self.name,
             session=self.session,
@@ -171,7 +167,7 @@
         self.next_request_at = min(self.next_request_at, soon)
 
     def on_redirect(self, redirect: Redirect) -> None:
-        """Ask the planner that leads, or the next one where none is known."""
+        """Send requests to the planner that leads, or to the next one where none is known."""
         if redirect.session != self.session or redirect.sequence != self.sequence:
             return
         planners = list(self.quota.planners)
@@ -187,37 +183,26 @@
     # ---- grants
 
     def on_grant(self, grant: LeaseGrant) -> None:
-        """Take the leases of an answer, as far as each is newer than the one held."""
+        """Take the leases of an answer, each where it is newer than the one held."""
         if grant.session != self.session:
             raise MessageRejectedError("of another process")
         request = self.pending.get(grant.sequence)
         if request is None:
-            raise MessageRejectedError("not asked for any more")
+            raise MessageRejectedError("not requested any more")
         self.answered_at = self.now
         for lease in grant.leases:
-            reason = self._refusal(LeaseId(grant.term, lease.number), lease, request)
+            reason = self._reason_against(LeaseId(grant.term, lease.number), lease, request)
             if reason:
                 self.count(reason)
             else:
                 self._take(LeaseId(grant.term, lease.number), lease, request)
 
-    def _refusal(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
-        """Why a lease is not taken; None where it is."""
+    def _reason_against(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
+        """Return why a lease is not taken; None where it is."""
         held = self.held.get(lease.limit)
         if held is None:
             return "of an unknown limit"
-        if lease_id.term < held.id.term:
-            return "of an earlier term"
-        if lease_id <= held.id:
-            return "of an earlier number"
-        if self.now >= request.sent_at + lease.duration_us:
-            return "over when it came"
-        has_grown = lease.amount > held.active_amount(self.now)
-        if lease_id.term > held.id.term and has_grown and request.held.get(lease.limit) != held.id:
-            # A new leader took a late request for what is held now: meanwhile the earlier leader may have
-            # given the difference to another.
-            return "of what was held before"
-        return None
+        return held.reason_against(self.now, lease_id, lease, request)
 
     def _take(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> None:
         held = self.held[lease.limit]
@@ -225,12 +210,12 @@
             self.log(f"limit {lease.limit}: term {lease_id.term}", limit=lease.limit, term=lease_id.term)
         held.take(lease_id, lease, request.sent_at)
         if held.handed_out is not None and held.amount < held.handed_out.amount:
-            # Reports at once what it holds now, so that another may have the rest.
+            # Reports soon what it has now, so that another may have the rest.
             self._request_soon()
         self.update_allowance(held)
 
     def update_allowance(self, held: HeldLease) -> None:
-        """Hand out what may be used, where that differs from what was handed out last."""
+        """Emit what may be used, where that changed."""
         if not held.is_active(self.now):
             held.amount = 0
         allowance = Allowance(held.limit.floor, held.amount, held.expires_at)
@@ -245,7 +230,7 @@
     def _log_state(self, held: HeldLease) -> None:
         name = held.limit.name
         self.log(
-            f"limit {name}: {'down to the floor, no grant' if held.is_at_floor else 'shared again'}",
+            f"limit {name}: {'no lease, down to the floor' if held.is_at_floor else 'leased again'}",
             limit=name,
             fallen=held.is_at_floor,
             floor=held.limit.floor,
@@ -255,7 +240,7 @@
     # ---- status
 
     def status(self) -> dict[str, Any]:
-        """What operators see; the keys are those of docs/operate/quota.md."""
+        """Return what operators see; the keys are those of docs/operate/quota.md."""
         return {
             "name": self.name,
             "limits": [self._limit_status(held) for held in self.held.values()] + self.local_status(self.now),
--- a/finchcart/quota/limit_table.py
+++ b/finchcart/quota/limit_table.py
@@ -1,4 +1,4 @@
-"""What a process keeps of each limit, brought in line with a new configuration.
+"""Reconciliation of the table that a process keeps of limits with a new configuration.
 
 Owns nothing: the tables are their users'. It must never change what is kept of a limit that stays.
 """
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -1,4 +1,4 @@
-"""Loose limits: there on every side of a partition, as each node takes its part by its own view of the fleet.
+"""Local limits: available on each side of a partition, as each node takes its part by its own view.
 
 Owns the loose limits of this process: usage and demand, which are piggybacked on the members' heartbeats, and
 its allocation of each. It must never count calls, send anything itself, or take more at the cost of a member
@@ -33,13 +33,13 @@
     from finchcart.membership.config import MembershipConfig
     from finchcart.membership.member import Member
 
-ALLOWANCE_DURATION_US = 2 * SECOND  # a node whose members' thread ends falls back to its floor after this
+ALLOWANCE_DURATION_US = 2 * SECOND  # a node whose fleet thread ends falls back to its floor after this
 RENEWAL_INTERVAL_US = SECOND // 2  # of an allowance that did not change
 IN_USE_PUBLICATIONS = 2  # there and back: others receive the demand, and this node what they had by then
 
 
 def freshness_bound(membership: "MembershipConfig", member_count: int, loss: float) -> int:
-    """Microseconds that the report of a member in contact can be old, and that new demand takes to reach all.
+    """Return the microseconds within which new demand reaches all, and reports of members in contact.
 
     Arguments:
         membership: the configuration of membership.
@@ -83,13 +83,13 @@
         self.handed_out_at = 0
 
     def publish(self, now: int, keep_for: int) -> None:
-        """Note that the present demand is published; forget what is older than `keep_for` microseconds."""
+        """Record that the present demand is published; forget what is older than `keep_for` microseconds."""
         self.published.append(PublishedDemand(now, self.demand))
         while len(self.published) > 1 and self.published[1].at <= now - keep_for:
             self.published.popleft()
 
     def settled_demand(self) -> int:
-        """The least demand published lately: what all others know of."""
+        """Return the least demand published lately: what all others have received."""
         return min(published.demand for published in self.published)
 
 
@@ -121,11 +121,11 @@
         return []
 
     def turn(self, now: int, member: "Member") -> list[LimitAllowance]:
-        """Publish the demand and work out the allocations, with each tick of the member; returns effects."""
+        """Publish the demand and compute the allocations, with each tick of the member; return effects."""
         self.observe(now, member)
         counters = [(each.id, each.in_use, each.demand) for each in self.allocations.values()]
         member.publish(now, GossipTopic.QUOTA, counters)
-        effects = []
+        effects: list[LimitAllowance] = []
         for allocation in self.allocations.values():
             trips = IN_USE_PUBLICATIONS if allocation.limit.per == "in_hand" else 1
             allocation.publish(now, trips * self.age)
@@ -141,12 +141,12 @@
             allocation.demand = max(in_use, demand)
 
     def on_config(self, quota: QuotaConfig) -> list[LimitAllowance]:
-        """Take a new configuration: new limits begin at their floor, removed ones are handed out as such."""
+        """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
         self.quota = quota
         return reconcile(self.allocations, quota.loose, LocalAllocation)
 
     def _allowances(self, now: int, allocation: LocalAllocation) -> Iterable[LimitAllowance]:
-        """The allowance, where it is new or has to be renewed."""
+        """Yield the allowance, where it is new or has to be renewed."""
         amount = allocation.amount
         if amount == allocation.handed_out and now - allocation.handed_out_at < RENEWAL_INTERVAL_US:
             return
@@ -159,19 +159,19 @@
     # ---- the view of the fleet
 
     def observe(self, now: int, member: "Member") -> None:
-        """Sort the members by contact, and work out which part of the fleet is seen."""
+        """Sort the members by contact, and compute which part of the fleet is seen."""
         self.age = freshness_bound(member.config, len(member.known_members), member.loss)
         failed = self._sort_members(now, member)
         if member.isolated or member.is_resuming:
-            # What it knows of others is of before: it is a side of its own.
+            # What it knows of others is outdated: it is a side of its own.
             failed += len(self.connected) + len(self.unconfirmed)
             self.connected = []
             self.unconfirmed = []
         elif self.joined_at is None:
             self.joined_at = now
         seen = 1 + len(self.connected) + len(self.unconfirmed)
-        # While two sides come together, both may count the same member: the least part that was seen lately
-        # counts, until all see alike.
+        # While two sides merge, both may count the same member: the least part that was seen lately counts,
+        # until all have the same view.
         self.recent_views.append(PartitionView(now, seen, seen + failed))
         oldest = now - self.age - member.config.rise
         while self.recent_views[0].at < oldest:
@@ -179,7 +179,7 @@
         self.view = min(self.recent_views, key=lambda view: view.fraction)
 
     def _sort_members(self, now: int, member: "Member") -> int:
-        """Set `connected` and `unconfirmed`; returns how many have failed."""
+        """Set `connected` and `unconfirmed`; return how many have failed."""
         self.connected = []
         self.unconfirmed = []
         failed = 0
@@ -200,10 +200,10 @@
     # ---- the allocation
 
     def share(self, now: int, member: "Member", allocation: LocalAllocation) -> int:
-        """What this node may use of a limit."""
+        """Return what this node may use of a limit."""
         limit = allocation.limit
         if self.joined_at is None or now - self.joined_at < self.age:
-            return limit.floor  # the others don't know of it yet
+            return limit.floor  # the others do not know of it yet
         allowance = self.quota.partition_allowance(limit, self.view.seen, self.view.known)
         demands = {member.own_id: allocation.settled_demand()}
         demands |= dict.fromkeys(self.unconfirmed, allowance)
@@ -213,7 +213,7 @@
             in_use[member_id] = used
         shares = max_min_shares(allowance, demands)
         share = shares[member.own_id]
-        # Calls that outlast a share that fell are left to their node, and the rest is divided.
+        # Calls beyond a share that fell are left to their node, and the rest is divided.
         excess = 0
         if limit.per == "in_hand":
             excess = sum(max(0, used - shares[member_id]) for member_id, used in in_use.items())
@@ -221,14 +221,14 @@
             return max_min_shares(allowance - excess, demands)[member.own_id]
         demanded = sum(demands.values())
         if demanded < allowance:
-            # Nobody goes short: the rest is spread, so that a jump of demand finds something at once.
+            # All demand is met: the rest is spread, so that a jump of demand finds something at once.
             share += (allowance - demanded) // (1 + len(self.connected) + len(self.unconfirmed))
         return share
 
     def received_demands(
         self, member: "Member", allocation: LocalAllocation
     ) -> Iterable[tuple[int, int, int]]:
-        """(id of a member in contact, in use, demand) of a limit."""
+        """Yield (id of a member in contact, in use, demand) of a limit."""
         for member_id in self.connected:
             published = member.gossip.received.get((member_id, GossipTopic.QUOTA))
             if published is None:
@@ -240,7 +240,7 @@
     # ---- status
 
     def status(self, now: int) -> list[dict[str, Any]]:
-        """What operators see; the keys are those of docs/operate/quota.md."""
+        """Return what operators see; the keys are those of docs/operate/quota.md."""
         return [self._limit_status(allocation) for allocation in self.allocations.values()]
 
     def _limit_status(self, allocation: LocalAllocation) -> dict[str, Any]:
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -1,7 +1,8 @@
 """The messages between lease holders and planners, and between planners.
 
 Owns their fields and limits. It must never act on a message. The order of the fields and the tags are the
-wire format: they stay, whatever the fields are called."""
+wire format: they stay, whatever the fields are called.
+"""
 
 from typing import Annotated, NamedTuple
 
@@ -71,12 +72,12 @@
 
 
 class LimitDemand(Struct, array_like=True, frozen=True):
-    """What a lease holder says of one limit; amounts are beyond its floor."""
+    """What a lease holder reports of one limit; amounts are beyond its floor."""
 
     limit: NodeName
     term: Unsigned53  # of the lease that it holds
     number: Unsigned53  # of that lease; 0 for none
-    in_use: Amount  # of that lease, or what is still in hand of an earlier one
+    in_use: Amount  # of that lease, or what is still in use of an earlier one
     demand: Amount
     floor: Amount
     priority_demand: Amount = 0  # the part of `demand` that matters more than the rest
@@ -89,7 +90,7 @@
     node: NodeName
     session: Unsigned64  # drawn at the holder's start: tells two processes of one name apart
     sequence: Unsigned53
-    oldest_sequence: Unsigned53  # of the requests whose answer the holder would still take
+    oldest_sequence: Unsigned53  # of the requests whose answer the holder still takes
     is_leaving: bool
     limits: Annotated[list[LimitDemand], Meta(max_length=MAX_LIMITS)]
 
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -2,7 +2,7 @@
 
 Owns the election's and the allocator's place on the network: reads messages, hands them on, sends what comes
 of it. It must never decide on a vote (leader_election.py) or on an amount (allocator.py). Nothing is kept on
-a disk: a planner that starts is quiet until any lease that an earlier process of its place may have granted
+a disk: a planner that starts is quiet until any lease that an earlier process at its address may have granted
 is over.
 
 Bounds: those of `LeaderElection` and `Allocator`.
@@ -62,12 +62,12 @@
     # ---- inputs
 
     def before_input(self) -> None:
-        """Lead no longer than the lease."""
+        """Step down once the own lease is over."""
         if self.election.has_expired(self.now):
-            self.step_down("its lease is over")
+            self.step_down("its lease has expired")
 
     def on_tick(self) -> None:
-        """Stand for election or renew the lease; while it leads, drop what is over."""
+        """Stand for election or renew the lease; while it leads, drop what has expired."""
         was_leader = self.election.is_leader
         self.election.on_tick(self.now)
         self._after_election_step(was_leader)
@@ -108,11 +108,13 @@
             self.send(address, message)
         if self.election.is_leader and not was_leader:
             self.allocator.begin_term(self.election.term, self.now)
-            self.log("shares out", term=self.election.term, wait_ms=self.quota.takeover_wait // MS)
+            self.log(
+                "leadership won: allocates", term=self.election.term, wait_ms=self.quota.takeover_wait // MS
+            )
 
     def step_down(self, reason: str) -> None:
-        """Lead no more, and say why."""
-        self.log("shares out no more", term=self.election.term, why=reason)
+        """Give up leadership, and log why."""
+        self.log("leadership lost: allocates no longer", term=self.election.term, why=reason)
         self.election.step_down(self.now)
         self.allocator.end_term()
 
@@ -148,7 +150,7 @@
     # ---- status
 
     def status(self) -> dict[str, Any]:
-        """What operators see; the keys are those of docs/operate/quota.md."""
+        """Return what operators see; the keys are those of docs/operate/quota.md."""
         is_leader = self.election.is_leader
         return {
             "planner": self.address,
@@ -163,7 +165,7 @@
         return {
             "name": limit.name,
             "limit": limit.amount,
-            "shared": limit.shareable(self.quota.most),
+            "shared": limit.shareable(self.quota.max_processes),
             "granted": self.allocator.granted_total(limit.name),
             "holders": self.allocator.lease_count(limit.name),
         }
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -23,13 +23,14 @@
 from finchcart.net.clock import boot_clock
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota import local_limits, messages
-from finchcart.quota.allocator import Allocator, HolderKey
+from finchcart.quota.allocator import Allocator
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.fair_share import max_min_shares, prioritized_shares
-from finchcart.quota.held_lease import NO_LEASE, LeaseId
+from finchcart.quota.held_lease import NO_LEASE, LeaseId, PendingRequest
+from finchcart.quota.holder_records import HolderKey
 from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.leader_election import LeaderElection
-from finchcart.quota.lease_holder import LeaseHolder, PendingRequest
+from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig, config_errors
 from finchcart.quota.local_limits import LocalLimits
 from finchcart.quota.messages import Ballot
@@ -97,7 +98,7 @@
 
 
 def test_bounds_are_formulas_of_the_settings():
-    quota, limit = QuotaConfig(over=0.5, drift=0.01), Limit("a", 100, mode="loose")
+    quota, limit = QuotaConfig(partition_overshoot=0.5, drift=0.01), Limit("a", 100, mode="loose")
     assert quota.partition_allowance(limit, 5, 10) == 75 and quota.partition_allowance(limit, 9, 10) == 100
     chance = random.Random(1)
     for _ in range(300):
@@ -114,7 +115,10 @@
     assert quota.window_bound(Limit("r", 100, per="rate", burst=80), SECOND) == 80 + 104
     assert (
         quota.recovery_bound()
-        == quota.startup_quiet_period + 4 * quota.election_retry + quota.takeover_wait + quota.round
+        == quota.startup_quiet_period
+        + 4 * quota.election_retry
+        + quota.takeover_wait
+        + quota.request_interval
     )
 
 
@@ -293,7 +297,7 @@
     """Loose limits with demand that jumps; `cut`: the members of one side of a partition, from 10 to 25 s;
     `start`: those that start later; `takes`: microseconds of a call. Raises where it is beyond the bound."""
     limit = Limit("store", 48, mode="loose", per=per, burst=20 if per == "rate" else 0)
-    quota = QuotaConfig(limits=(limit,), most=holders + 2, over=over)
+    quota = QuotaConfig(limits=(limit,), max_processes=holders + 2, partition_overshoot=over)
     fleet = QuotaSimulation(seed, 0, holders, quota, make, mode="loose", per=per)
     fleet.call_us = takes
     chance = random.Random(f"demand {seed}")
@@ -472,7 +476,7 @@
 
 
 def test_what_is_shared_follows_demand_and_comes_back_within_its_bounds():
-    fleet = QuotaSimulation(1, holders=6, quota=QuotaConfig(limits=(Limit("store", 60, 1),), most=8))
+    fleet = QuotaSimulation(1, holders=6, quota=QuotaConfig(limits=(Limit("store", 60, 1),), max_processes=8))
     for name in fleet.processes:
         fleet.start(name)
     fleet.run(fleet.now + fleet.quota.recovery_bound(), fleet.after_step)
@@ -600,7 +604,7 @@
 
 
 def holds_without_end(self, held):
-    held.expires_at = self.now + self.quota.life if held.amount else held.expires_at
+    held.expires_at = self.now + self.quota.lease_duration if held.amount else held.expires_at
     LeaseHolder.update_allowance(self, held)
 
 
@@ -608,7 +612,9 @@
 
 PLACES = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
 TWO, THREE, NODE = (parse_address(PLACES[1]), parse_address(PLACES[2]), ("10.0.0.9", 7400))
-SHARED = QuotaConfig(limits=(Limit("store", 40),), planners=PLACES, most=4, step=1.0, room=0.0)
+SHARED = QuotaConfig(
+    limits=(Limit("store", 40),), planners=PLACES, max_processes=4, max_step=1.0, reserve=0.0
+)
 
 
 def got(message, address=TWO):
@@ -646,9 +652,9 @@
 
 
 def accept_comes_late(make):
-    leader, proposed = elected(make, SHARED.lease // 2)
+    leader, proposed = elected(make, SHARED.leader_lease_duration // 2)
     leads_until = leader.election.leads_until
-    return [leads_until] if leads_until > proposed + SHARED.lease else []
+    return [leads_until] if leads_until > proposed + SHARED.leader_lease_duration else []
 
 
 def holder_is_restarted(make):
@@ -672,7 +678,7 @@
 
 def grant(lease_holder, now, term, sequence, number, amount):
     """What a holder has after an answer."""
-    lease = messages.LimitLease("store", number, amount, SHARED.life, 40)
+    lease = messages.LimitLease("store", number, amount, SHARED.lease_duration, 40)
     lease_holder.reduce(now, got(messages.LeaseGrant(term, lease_holder.session, sequence, [lease])))
     return lease_holder.held["store"].amount
 
@@ -705,7 +711,7 @@
     """An answer that took 2 s leaves 1 s of a lease of 3."""
     lease_holder = holding(make)
     grant(lease_holder, 2 * SECOND, 5, 1, 1, 10)
-    return ["longer"] if lease_holder.held["store"].expires_at > SHARED.life else []
+    return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
 
 
 def seeds(count):
@@ -731,7 +737,7 @@
     """An acceptor that restarts answers nothing while a lease that it voted for may last."""
     acceptor = started(make)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
-    return promises(sent(acceptor.reduce(SHARED.lease - 1, got(prepare))))
+    return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, got(prepare))))
 
 
 def lesser_ballot(make):
