--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -103,7 +103,7 @@
 
 def print_state_bytes() -> None:
     """Print the bytes of a replica that holds many keys with results, and the claims it takes a second."""
-    replica = KeyLeaseReplica("f", KeyLeaseConfig(keepers=("10.0.0.1:1",)), STARTED_US)
+    replica = KeyLeaseReplica("f", KeyLeaseConfig(replicas=("10.0.0.1:1",)), STARTED_US)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     fill(replica, BYTES_KEYS)
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -156,7 +156,7 @@
     def key_lease_factory(self) -> Callable[[EffectBuffer], KeyLeaseGate] | None:
         """Return what makes the core's part that gets key leases, where there are any."""
         key_leases = key_lease_config(self._settings)
-        return (lambda turn: KeyLeaseGate(turn, key_leases.life)) if key_leases else None
+        return (lambda turn: KeyLeaseGate(turn, key_leases.lease_duration)) if key_leases else None
 
     def reducer(self, core: Core) -> Reduce:
         """Return the core's `reduce`, with the boot clock set before each input."""
--- a/finchcart/cli/settings_rules.py
+++ b/finchcart/cli/settings_rules.py
@@ -87,7 +87,7 @@
         return
     if settings.fleet is UNSET:
         yield Mistake("fleet", "is missing: claims are asked for by its address")
-    yield from _address_mistakes("claims.keepers", config.keepers)
+    yield from _address_mistakes("claims.keepers", config.replicas)
     for path, reason in key_leases.config_errors(config):
         yield Mistake(f"claims.{path}", reason)
 
--- a/finchcart/cli/settings_schema.py
+++ b/finchcart/cli/settings_schema.py
@@ -185,8 +185,8 @@
     """Return the configuration of key leases; None where none is set."""
     if settings.claims is UNSET:
         return None
-    return KeyLeaseConfig(
-        keepers=tuple(settings.claims.keepers), **_in_microseconds(settings.claims, ("keepers",))
+    return KeyLeaseConfig.from_settings(
+        tuple(settings.claims.keepers), _in_microseconds(settings.claims, ("keepers",))
     )
 
 
--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -74,7 +74,7 @@
     ) -> None:
         self.chance = Random(f"claims {seed}")
         self.seed = seed
-        config = config or KeyLeaseConfig(life=LIFE_US)
+        config = config or KeyLeaseConfig(lease_duration=LIFE_US)
         names = [f"k{number}" for number in range(replicas)] + [f"h{number}" for number in range(clients)]
         clock_rates = {name: 1 + self.chance.choice((-1, 0, 1)) * config.drift for name in names}
         super().__init__(replicas, clients, config, make, clock_rates)
@@ -147,7 +147,7 @@
         self._schedule(self.chance.randrange(10 * MS, 400 * MS), self._new_key)
 
     def _claim(self, name: str, key: Key) -> None:
-        self.feed(name, AcquireKeyLeases([KeyToLease(key, BODY_HASH, self.config.life)]))
+        self.feed(name, AcquireKeyLeases([KeyToLease(key, BODY_HASH, self.config.lease_duration)]))
 
     def on_answer(self, name: str, key: Key, answer: int, result: bytes, by: int) -> None:
         """Note what a client answers for a key, and command a granted one after a while."""
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -62,7 +62,7 @@
         clock_rates: dict[str, float] | None = None,
     ) -> None:
         addresses = tuple(f"10.0.{REPLICA_NET}.{number + 1}:1" for number in range(replicas))
-        self.config = KeyLeaseConfig(**{**(config or KeyLeaseConfig()).__dict__, "keepers": addresses})
+        self.config = KeyLeaseConfig(**{**(config or KeyLeaseConfig()).__dict__, "replicas": addresses})
         self.make = make or {}
         self.now = 0
         self.lives = 0
--- a/finchcart/fault_injection/key_leases/state_space.py
+++ b/finchcart/fault_injection/key_leases/state_space.py
@@ -55,7 +55,7 @@
 
 def process_faults(simulation: KeyLeaseSimulation) -> Iterator[Choice]:
     """Yield the faults that are not of a message."""
-    yield Choice("time, long", True, ("time", simulation.config.command))
+    yield Choice("time, long", True, ("time", simulation.config.command_timeout))
     for name in simulation.machines:
         yield Choice(f"{name} anew", True, ("start", name))
     busy = {client for client, _ in (*simulation.granted, *simulation.running)}
--- a/finchcart/fault_injection/scripted_runs/process_run.py
+++ b/finchcart/fault_injection/scripted_runs/process_run.py
@@ -211,8 +211,8 @@
 def run_spacing(script: Script) -> int:
     """Return the microseconds within which a key may run once."""
     claims = script.claims or {}
-    fields = {name: claims[f"{name}_ms"] * MS for name in ("life", "command") if f"{name}_ms" in claims}
-    return KeyLeaseConfig(**fields).run_spacing_bound()
+    settings = {name: claims[f"{name}_ms"] * MS for name in ("life", "command") if f"{name}_ms" in claims}
+    return KeyLeaseConfig.from_settings((), settings).run_spacing_bound()
 
 
 def effect_counts(folder: Path, answered: Iterable[str], spacing: int) -> dict:
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -1,20 +1,19 @@
 """A node's side of key leases: acquires a lease before a run is commanded, and reports how the run ended.
 
-Owns the attempts of this process and the outcomes that not all replicas have acknowledged. It must never
-answer that a key is its own without the votes of a quorum for one attempt, all asked for less than `command`
-ago, nor begin another attempt for a key before it released the earlier one.
+Owns the attempts and the leases of this process. It must never answer that a lease is granted without the
+votes of a quorum for one attempt, proposed less than `command_timeout` ago, nor begin another attempt for a
+key before it released the earlier one.
 
-Bounds: attempts and held leases together `entries`; an attempt ends with its answer, a delivery with the last
-acknowledgement or after `MAX_TRANSMISSIONS`.
+Bounds: attempts and acquired leases together `max_leases`; an attempt ends with its answer.
 """
 
 from collections.abc import Iterable
 from random import Random
-from typing import NamedTuple
 
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, HostPort, parse_address, take_fitting
 from finchcart.fleet.inputs import CommonInput
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
+from finchcart.key_leases.attempts import AcquiredLease, Attempt
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.key_leases.effects import LeaseAnswer
 from finchcart.key_leases.inputs import (
@@ -37,63 +36,22 @@
     ReportOutcomes,
     Votes,
 )
+from finchcart.key_leases.outcome_deliveries import OutcomeDeliveries
 
-MAX_TRANSMISSIONS = 40  # of one outcome to replicas that do not acknowledge it
-MAX_BACKOFF = 8  # retransmission intervals between two transmissions of one outcome
 OUTCOMES_OVERHEAD_BYTES = 160  # of a datagram, for all but the outcomes in it
 
 ANSWER_COUNTERS = {
-    LeaseStatus.GRANTED: "mine",
-    LeaseStatus.HELD: "elsewhere",
-    LeaseStatus.COMPLETED: "ended",
-    LeaseStatus.FAILED: "failed",
-    LeaseStatus.UNAVAILABLE: "no majority",
-    LeaseStatus.PAYLOAD_MISMATCH: "another body",
+    LeaseStatus.GRANTED: "granted",
+    LeaseStatus.HELD: "held elsewhere",
+    LeaseStatus.COMPLETED: "completed elsewhere",
+    LeaseStatus.FAILED: "failed elsewhere",
+    LeaseStatus.UNAVAILABLE: "no quorum",
+    LeaseStatus.PAYLOAD_MISMATCH: "payload mismatch",
 }
 
 
-class Attempt:
-    """One attempt to acquire the lease of a key. Times are microseconds on the boot clock."""
-
-    def __init__(self, number: int, key: bytes, payload_digest: int, duration_us: int, now: int) -> None:
-        self.number = number
-        self.key = key
-        self.payload_digest = payload_digest
-        self.duration_us = duration_us
-        self.started_at = now  # of the first attempt in a row for this key
-        self.asked_at = now
-        self.transmit_at = now
-        self.votes: dict[int, LeaseStatus] = {}  # by index of the replica
-
-    def proposal(self) -> LeaseProposal:
-        """Return what is proposed to the replicas."""
-        return LeaseProposal(self.key, self.payload_digest, self.number, self.duration_us)
-
-    def granted_votes(self) -> int:
-        """Replicas that voted for it."""
-        return list(self.votes.values()).count(LeaseStatus.GRANTED)
-
-
-class HeldKey(NamedTuple):
-    """A lease that this process holds, until its run has ended or the lease has expired everywhere."""
-
-    attempt: int
-    payload_digest: int
-    expires_at: int
-
-
-class OutcomeDelivery:
-    """An outcome, and the replicas that have not acknowledged it."""
-
-    def __init__(self, outcome: LeaseReport, replica_count: int, now: int) -> None:
-        self.outcome = outcome
-        self.unacknowledged = set(range(replica_count))
-        self.transmit_at = now
-        self.transmissions = 0
-
-
 class KeyLeaseClient(MessageEndpoint[Message, ClientInput]):
-    """A holder's state machine; see `MessageEndpoint` and `ClientInput` for its inputs.
+    """The state machine of a node; see `MessageEndpoint` and `ClientInput` for its inputs.
 
     Arguments:
         name: of this node.
@@ -111,11 +69,11 @@
         self.config = config
         self.random = random
         self.session = random.getrandbits(64)
-        self.replicas = [parse_address(address) for address in config.keepers]
+        self.replicas = [parse_address(address) for address in config.replicas]
         self.attempts: dict[bytes, Attempt] = {}
-        self.held: dict[bytes, HeldKey] = {}
+        self.held: dict[bytes, AcquiredLease] = {}
         self.last_attempt = 0
-        self.deliveries: dict[tuple[bytes, int], OutcomeDelivery] = {}  # by key and attempt
+        self.deliveries = OutcomeDeliveries(config, len(self.replicas))
 
     def on_input(self, event: CommonInput | ClientInput) -> None:
         """Take an input of the core's."""
@@ -135,7 +93,7 @@
         """Send all that is due, many to a message."""
         self._drop_expired()
         proposals = self._due_proposals()
-        outcomes = self._due_outcomes()
+        outcomes = self.deliveries.take_due(self.now)
         if not proposals and not outcomes:
             return
         for replica, address in enumerate(self.replicas):
@@ -148,8 +106,8 @@
         """Begin to acquire leases."""
         for key, payload_digest, duration_us in keys:
             if key in self.attempts or key in self.held:
-                self.count("claimed already")
-            elif len(self.attempts) + len(self.held) >= self.config.entries:
+                self.count("requested already")
+            elif len(self.attempts) + len(self.held) >= self.config.max_leases:
                 self.answer(key, LeaseStatus.UNAVAILABLE)
             else:
                 self._begin_attempt(key, payload_digest, duration_us)
@@ -178,23 +136,25 @@
         self.effects.append(LeaseAnswer(key, status, result, run_before))
 
     def release(self, key: bytes, attempt: int) -> None:
-        """Give an attempt back: it never ran and never will."""
+        """Release an attempt: it never ran and never will."""
         self._report(LeaseReport(key, attempt, LeaseStatus.RELEASED))
 
     def on_no_quorum(self, attempt: Attempt) -> None:
-        """Give the attempt back and begin another, unless it has taken too long: another holds the lease, or
-        the votes are split between several."""
+        """Release the attempt and begin another, unless it has taken too long.
+
+        Another holds the lease, or the votes are split between several.
+        """
         is_held = LeaseStatus.HELD in attempt.votes.values()
-        patience = self.config.wait if is_held else self.config.answer
+        patience = self.config.outcome_timeout if is_held else self.config.quorum_timeout
         if self.now - attempt.started_at >= patience:
             self._conclude(attempt, LeaseStatus.HELD if is_held else LeaseStatus.UNAVAILABLE)
             return
         self.release(attempt.key, attempt.number)
         retry = self._begin_attempt(attempt.key, attempt.payload_digest, attempt.duration_us)
         retry.started_at = attempt.started_at
-        pause = self.config.ask if is_held else self.config.again
-        retry.asked_at = self.now + pause // 2 + self.random.randrange(pause)
-        retry.transmit_at = retry.asked_at
+        pause = self.config.poll_interval if is_held else self.config.retransmit_interval
+        retry.proposed_at = self.now + pause // 2 + self.random.randrange(pause)
+        retry.transmit_at = retry.proposed_at
 
     def _begin_attempt(self, key: bytes, payload_digest: int, duration_us: int) -> Attempt:
         self.last_attempt += 1
@@ -203,13 +163,13 @@
         return attempt
 
     def _on_quorum(self, attempt: Attempt) -> None:
-        run_before = attempt.asked_at + self.config.command
+        run_before = attempt.proposed_at + self.config.command_timeout
         if self.now >= run_before:
             self._conclude(attempt, LeaseStatus.UNAVAILABLE)
             return
         del self.attempts[attempt.key]
         expires_at = self.now + self.config.widened(attempt.duration_us)
-        self.held[attempt.key] = HeldKey(attempt.number, attempt.payload_digest, expires_at)
+        self.held[attempt.key] = AcquiredLease(attempt.number, attempt.payload_digest, expires_at)
         self.answer(attempt.key, LeaseStatus.GRANTED, run_before=run_before)
 
     def _quorum_is_possible(self, attempt: Attempt) -> bool:
@@ -224,32 +184,31 @@
     # ---- runs that were commanded, or will not be
 
     def on_ended(self, key: bytes, status: LeaseStatus, result: bytes = b"") -> None:
-        """Report how the run of a held key ended; a result that is too long is reported as lost."""
+        """Report how the run of an acquired lease ended; a result that is too long is reported as lost."""
         held = self.held.pop(key, None)
         if held is None:
-            self.count("not its own")
+            self.count("lease not held")
             return
-        if status == LeaseStatus.COMPLETED and len(result) > self.config.result:
+        if status == LeaseStatus.COMPLETED and len(result) > self.config.max_result_bytes:
             status = LeaseStatus.FAILED
         if status != LeaseStatus.COMPLETED:
             result = b""
         self._report(LeaseReport(key, held.attempt, status, result, held.payload_digest))
 
     def on_never_ran(self, key: bytes) -> None:
-        """Give a held key back whose run was not commanded."""
+        """Release the lease of a key whose run was not commanded."""
         held = self.held.pop(key, None)
         if held is not None:
             self.release(key, held.attempt)
 
     def _report(self, outcome: LeaseReport) -> None:
-        delivery = OutcomeDelivery(outcome, len(self.replicas), self.now)
-        self.deliveries[outcome.key, outcome.attempt] = delivery
+        self.deliveries.add(self.now, outcome)
 
     # ---- messages
 
     def on_message(self, address: HostPort, message: Message) -> None:
         """Take a replica's answer to this process."""
-        if address not in self.replicas or getattr(message, "session", None) != self.session:
+        if address not in self.replicas or message.session != self.session:
             raise MessageRejectedError("not for this process")
         replica = self.replicas.index(address)
         match message:
@@ -257,62 +216,39 @@
                 for vote in message.votes:
                     self.on_vote(replica, vote)
             case OutcomesAcknowledged():
-                for key, attempt, status in message.outcomes:
-                    self._on_acknowledged(replica, (key, attempt), status)
+                for outcome_id in message.outcomes:
+                    self.deliveries.acknowledge(replica, outcome_id)
             case _:
                 raise MessageRejectedError("not for a holder")
 
-    def _on_acknowledged(self, replica: int, which: tuple[bytes, int], status: LeaseStatus) -> None:
-        delivery = self.deliveries.get(which)
-        if delivery is None or delivery.outcome.status != status:
-            return
-        delivery.unacknowledged.discard(replica)
-        if not delivery.unacknowledged:
-            del self.deliveries[which]
-
     def _drop_expired(self) -> None:
         for key in [key for key, held in self.held.items() if held.expires_at <= self.now]:
             del self.held[key]
-            self.count("never told how it ended")
+            self.count("expired without an outcome")
 
     def _due_proposals(self) -> dict[int, list[LeaseProposal]]:
-        """By index of the replica."""
+        """Return the proposals to transmit now, by index of the replica."""
         proposals: dict[int, list[LeaseProposal]] = {}
         for attempt in list(self.attempts.values()):
             if self.now < attempt.transmit_at:
                 continue
-            if self.now - attempt.asked_at >= self.config.answer:
+            if self.now - attempt.proposed_at >= self.config.quorum_timeout:
                 self.on_no_quorum(attempt)
                 continue
-            attempt.transmit_at = self.now + self.config.again
+            attempt.transmit_at = self.now + self.config.retransmit_interval
             for replica in range(len(self.replicas)):
                 if replica not in attempt.votes:
                     proposals.setdefault(replica, []).append(attempt.proposal())
         return proposals
 
-    def _due_outcomes(self) -> dict[int, list[LeaseReport]]:
-        """By index of the replica."""
-        outcomes: dict[int, list[LeaseReport]] = {}
-        for which, delivery in list(self.deliveries.items()):
-            if self.now < delivery.transmit_at:
-                continue
-            delivery.transmissions += 1
-            backoff = min(MAX_BACKOFF, delivery.transmissions)
-            delivery.transmit_at = self.now + self.config.again * backoff
-            for replica in delivery.unacknowledged:
-                outcomes.setdefault(replica, []).append(delivery.outcome)
-            if delivery.transmissions >= MAX_TRANSMISSIONS:
-                del self.deliveries[which]
-        return outcomes
-
     def _send_proposals(self, address: HostPort, proposals: list[LeaseProposal]) -> None:
-        batch = self.config.batch
+        batch = self.config.max_batch
         for first in range(0, len(proposals), batch):
             self.send(address, AcquireLeases(self.name, self.session, proposals[first : first + batch]))
 
     def _send_outcomes(self, address: HostPort, outcomes: list[LeaseReport]) -> None:
         while outcomes:
-            batch = outcomes[: self.config.batch]
+            batch = outcomes[: self.config.max_batch]
             fitting = take_fitting(batch, MAX_DATAGRAM_BYTES - OUTCOMES_OVERHEAD_BYTES)
             outcomes = outcomes[len(fitting) :]
             self.send(address, ReportOutcomes(self.name, self.session, fitting))
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -24,12 +24,12 @@
 class LeaseStatus(IntEnum):
     """What a vote, an outcome or the answer to an attempt says of a key."""
 
-    GRANTED = 1  # the lease is the asker's
+    GRANTED = 1  # the lease is the proposer's
     HELD = 2  # another attempt holds it, and its run has not ended
     COMPLETED = 3  # a run succeeded
     FAILED = 4  # a run failed, or its result was not kept
-    RELEASED = 5  # given back: it never ran
-    UNAVAILABLE = 6  # no quorum, or no room for another lease: it never ran here
+    RELEASED = 5  # by its holder: it never ran
+    UNAVAILABLE = 6  # no quorum, or no capacity for another lease: it never ran here
     PAYLOAD_MISMATCH = 7  # the same key with another payload
 
 
@@ -54,7 +54,7 @@
 
 
 class LeaseReport(Struct, array_like=True, frozen=True):
-    """What one side says of a lease: a replica's vote on an attempt, or the outcome of its holder's run."""
+    """What one side reports of a lease: a replica's vote on an attempt, or the outcome of its run."""
 
     key: Key
     attempt: Unsigned53
@@ -79,7 +79,7 @@
 
 
 class OutcomeId(NamedTuple):
-    """Names a reported outcome."""
+    """Identifies a reported outcome."""
 
     key: Key
     attempt: Unsigned53
@@ -98,10 +98,10 @@
 
 
 def key_digest(method: str, idempotency_key: str) -> bytes:
-    """The key of a lease: the digest of a method's name and the caller's idempotency key."""
+    """Return the key of a lease: the digest of a method's name and the caller's idempotency key."""
     return xxh3_128_digest(f"{len(method)} {method} {idempotency_key}".encode())
 
 
 def payload_digest(payload: bytes) -> int:
-    """Tells the payloads of two requests with one key apart."""
+    """Return the digest that tells the payloads of two requests with one key apart."""
     return xxh3_64_intdigest(payload)
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -1,14 +1,14 @@
-"""One replica (the acceptor): votes for one holder of each key, and records how the holder's run ended.
+"""One replica (an acceptor): votes for one holder of each key, and records how the holder's run ended.
 
 Owns the leases that it voted for, until they expire. It must never vote for two holders of one key while a
 lease of it lasts, nor answer before all leases that an earlier process of its place may have voted for are
 over: it has no disk (see finchcart/fleet/leases.py).
 
-Bounds: `entries` leases and as many released attempts; both expire with the longest lease.
+Bounds: `max_leases` leases and as many released attempts; both expire with the longest lease.
 """
 
 from collections import OrderedDict
-from typing import NamedTuple, Never
+from typing import NamedTuple, Never, Protocol, TypeVar
 
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, HostPort, take_fitting
 from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
@@ -45,17 +45,29 @@
         self.result = b""
 
     def is_of(self, session: int, attempt: int) -> bool:
-        """Whether this attempt of this process holds it."""
+        """Whether it is held by this attempt of this process."""
         return self.session == session and self.attempt == attempt
 
 
 class ReleasedAttempt(NamedTuple):
-    """The newest attempt that a process gave back of a key, remembered for the longest lease."""
+    """The newest attempt that a process released of a key, kept for the longest lease."""
 
     attempt: int
     expires_at: int
 
 
+class Expiring(Protocol):
+    """What is kept until a time."""
+
+    @property
+    def expires_at(self) -> int:
+        """Until when, in microseconds on the boot clock."""
+
+
+K = TypeVar("K")
+E = TypeVar("E", bound=Expiring)
+
+
 class KeyLeaseReplica(MessageEndpoint[Message, Never]):
     """A replica's state machine; see `MessageEndpoint` for its inputs and effects.
 
@@ -76,17 +88,13 @@
 
     def on_tick(self) -> None:
         """Drop some of the oldest that expired: they were made in about the order in which they expire."""
-        for table in (self.leases, self.released):
-            for _ in range(min(EXPIRED_PER_TICK, len(table))):
-                key, oldest = next(iter(table.items()))
-                if oldest.expires_at > self.now:
-                    break
-                del table[key]
+        _drop_expired(self.leases, self.now)
+        _drop_expired(self.released, self.now)
 
     def on_message(self, address: HostPort, message: Message) -> None:
         """Answer a holder."""
         if self.now < self.quiet_until:
-            raise MessageRejectedError("silent after the start")
+            raise MessageRejectedError("quiet after the start")
         match message:
             case AcquireLeases():
                 votes = [self.vote(message.session, proposal) for proposal in message.proposals]
@@ -99,7 +107,7 @@
                 ids = [OutcomeId(each.key, each.attempt, each.status) for each in message.outcomes]
                 self.send(address, OutcomesAcknowledged(message.session, ids))
             case _:
-                raise MessageRejectedError("not for a keeper")
+                raise MessageRejectedError("not for a replica")
 
     # ---- votes
 
@@ -110,26 +118,26 @@
             The vote: `GRANTED`, or why not, with the result where a run of the key has completed.
         """
         if self._is_released(session, proposal):
-            # A late copy of an attempt that was given back must not take the key again.
+            # A late copy of an attempt that was released must not acquire the lease again.
             return self._report(proposal, LeaseStatus.RELEASED)
-        if proposal.duration_us > self.config.life:
-            self.count("a life longer than kept")
+        if proposal.duration_us > self.config.lease_duration:
+            self.count("duration longer than configured")
             return self._report(proposal, LeaseStatus.UNAVAILABLE)
         lease = self._active_lease(proposal.key)
         if lease is None:
             return self._grant(session, proposal)
         if lease.payload_digest != proposal.payload_digest:
-            self.count("another body")
+            self.count("payload mismatch")
             return self._report(proposal, LeaseStatus.PAYLOAD_MISMATCH)
         if lease.is_of(session, proposal.attempt) and lease.status == LeaseStatus.HELD:
             return self._report(proposal, LeaseStatus.GRANTED)
-        # A later attempt of the same process too is refused until the process has said that the earlier one
-        # never ran: its run may have ended, with the report of that still on its way.
+        # A later attempt of the same process is refused too, until the process has released the earlier one:
+        # its run may have ended, with the outcome still in transit.
         return self._report(proposal, lease.status, lease.result)
 
     def _grant(self, session: int, proposal: LeaseProposal) -> LeaseReport:
-        if len(self.leases) >= self.config.entries:
-            self.count("full")
+        if len(self.leases) >= self.config.max_leases:
+            self.count("no capacity for a lease")
             return self._report(proposal, LeaseStatus.UNAVAILABLE)
         expires_at = self.now + self.config.widened(proposal.duration_us)
         self.leases[proposal.key] = KeyLease(session, proposal.attempt, proposal.payload_digest, expires_at)
@@ -159,12 +167,12 @@
         is_holder = lease is not None and lease.is_of(session, outcome.attempt)
         if outcome.status == LeaseStatus.RELEASED:
             self._remember_released(session, outcome)
-            if is_holder and lease.status == LeaseStatus.HELD:
+            if lease is not None and is_holder and lease.status == LeaseStatus.HELD:
                 del self.leases[outcome.key]
         elif outcome.status in RUN_ENDED:
             if lease is None:
                 # This replica did not vote: the request was lost, or it started since.
-                self.count("an outcome without a claim")
+                self.count("outcome without a lease")
                 lease = self._lease_of_outcome(session, outcome)
                 is_holder = True
             if is_holder:
@@ -172,7 +180,7 @@
                 lease.result = outcome.result
 
     def _lease_of_outcome(self, session: int, outcome: LeaseReport) -> KeyLease:
-        expires_at = self.now + self.config.widened(self.config.life)
+        expires_at = self.now + self.config.widened(self.config.lease_duration)
         lease = KeyLease(session, outcome.attempt, outcome.payload_digest, expires_at)
         self.leases[outcome.key] = lease
         return lease
@@ -181,8 +189,17 @@
         attempt_id = (outcome.key, session)
         earlier = self.released.get(attempt_id)
         newest = outcome.attempt if earlier is None else max(earlier.attempt, outcome.attempt)
-        expires_at = self.now + self.config.widened(self.config.life)
+        expires_at = self.now + self.config.widened(self.config.lease_duration)
         self.released[attempt_id] = ReleasedAttempt(newest, expires_at)
         self.released.move_to_end(attempt_id)
-        while len(self.released) > self.config.entries:
+        while len(self.released) > self.config.max_leases:
             self.released.popitem(last=False)
+
+
+def _drop_expired(table: OrderedDict[K, E], now: int) -> None:
+    """Drop the oldest entries that expired, `EXPIRED_PER_TICK` at most."""
+    for _ in range(min(EXPIRED_PER_TICK, len(table))):
+        key, oldest = next(iter(table.items()))
+        if oldest.expires_at > now:
+            break
+        del table[key]
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -64,7 +64,7 @@
     acquire(simulation, "h0")
     settle(simulation, 1)
     acquire(simulation, "h1")
-    settle(simulation, simulation.config.wait // TICK_US + 4)
+    settle(simulation, simulation.config.outcome_timeout // TICK_US + 4)
     assert simulation.answers["h1", KEY] == [LeaseStatus.HELD]
     simulation.feed("h0", KeyLeaseRunCancelled(KEY))
     del simulation.granted["h0", KEY]
@@ -81,7 +81,7 @@
     simulation.start("h0")
     acquire(simulation, "h0")
     acquire(simulation, "h1")
-    settle(simulation, simulation.config.wait // TICK_US + 4)
+    settle(simulation, simulation.config.outcome_timeout // TICK_US + 4)
     assert simulation.answers["h1", KEY] == [LeaseStatus.HELD] and simulation.answers["h0", KEY] == [
         LeaseStatus.GRANTED,
         LeaseStatus.HELD,
@@ -102,7 +102,7 @@
 
 
 def test_a_replica_is_bounded_and_when_full_refuses_new_leases_and_answers_duplicates():
-    simulation = KeyLeaseSimulation(config=KeyLeaseConfig(entries=5))
+    simulation = KeyLeaseSimulation(config=KeyLeaseConfig(max_leases=5))
     keys = [messages.key_digest("m", str(n)) for n in range(8)]
     for key in keys[:4]:
         acquire(simulation, "h0", key=key)
@@ -122,7 +122,7 @@
         and simulation.answers["h1", keys[0]] == [LeaseStatus.COMPLETED]
     )
     assert all(len(simulation.machines[f"k{n}"].leases) <= 5 for n in range(3))
-    simulation.pass_time(2 * simulation.config.life)
+    simulation.pass_time(2 * simulation.config.lease_duration)
     assert not any(simulation.machines[f"k{n}"].leases for n in range(3))
 
 
@@ -144,14 +144,14 @@
 
 def test_settings_that_cannot_hold_are_reported():
     addresses = ("10.0.0.1:1", "10.0.0.2:1")
-    errors = config_errors(KeyLeaseConfig(keepers=addresses, command=15 * SECOND))
+    errors = config_errors(KeyLeaseConfig(replicas=addresses, command_timeout=15 * SECOND))
     assert [error.field for error in errors] == ["keepers", "command_ms"]
-    assert not list(config_errors(KeyLeaseConfig(keepers=(*addresses, "10.0.0.3:1"))))
+    assert not list(config_errors(KeyLeaseConfig(replicas=(*addresses, "10.0.0.3:1"))))
     text = Path("deploy/finchcart.json5").read_text(encoding="utf-8")
     head, _, tail = text.partition("  // claims: {\n")
     example = json5.loads(head + "  claims: {\n" + re.sub(r"(?m)^  // ", "  ", tail))
     config = key_lease_config(check_settings(example, "example"))
-    assert config == KeyLeaseConfig(keepers=config.keepers) and len(config.keepers) == 3, (
+    assert config == KeyLeaseConfig(replicas=config.replicas) and len(config.replicas) == 3, (
         "the example shows the defaults"
     )
 
@@ -303,11 +303,11 @@
 
 
 class VotesForTheNewest(KeyLeaseReplica):
-    def vote(self, session, request):
-        lease = self.leases.get(request.key)
+    def vote(self, session, proposal):
+        lease = self.leases.get(proposal.key)
         if lease is not None and lease.session != session:
-            del self.leases[request.key]
-        return super().vote(session, request)
+            del self.leases[proposal.key]
+        return super().vote(session, proposal)
 
 
 class AnyoneReleases(KeyLeaseReplica):
@@ -318,9 +318,9 @@
 
 
 class LeaseIsTooShort(KeyLeaseReplica):
-    def vote(self, session, request):
-        vote = super().vote(session, request)
-        lease = self.leases.get(request.key)
+    def vote(self, session, proposal):
+        vote = super().vote(session, proposal)
+        lease = self.leases.get(proposal.key)
         if lease is not None:
             lease.expires_at = min(lease.expires_at, self.now + SECOND // 2)
         return vote
@@ -329,11 +329,11 @@
 class LaterAttemptTakesOver(KeyLeaseReplica):
     """A later attempt of the same process counts as its release of the earlier."""
 
-    def vote(self, session, request):
-        lease = self.leases.get(request.key)
+    def vote(self, session, proposal):
+        lease = self.leases.get(proposal.key)
         if lease is not None and lease.session == session and lease.status == LeaseStatus.HELD:
-            lease.attempt = max(lease.attempt, request.attempt)
-        return super().vote(session, request)
+            lease.attempt = max(lease.attempt, proposal.attempt)
+        return super().vote(session, proposal)
 
 
 class OneVoteIsAQuorum(KeyLeaseClient):
@@ -428,7 +428,7 @@
         simulation = KeyLeaseSimulation(make=make)
         acquire(simulation, "h0")
         settle(simulation, 1)
-        simulation.pass_time(2 * simulation.config.life)
+        simulation.pass_time(2 * simulation.config.lease_duration)
         acquire(simulation, "h1")
         settle(simulation, 2)
         simulation.command("h1", KEY)
