--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -18,7 +18,6 @@
 from finchcart.net.registry_reports import RegistryReporter
 from finchcart.net.sockets import start_thread
 from finchcart.net.transient_errors import retry_at_start
-from finchcart.protocol import line_protocol
 from finchcart.protocol.connection_events import (
     ConnectionClosed,
     ConnectionOpened,
@@ -26,10 +25,13 @@
     EventSink,
 )
 from finchcart.protocol.framing import Codec
+from finchcart.protocol.messages import Message
+from finchcart.protocol.store_codec import STORE_CODEC
+from finchcart.protocol.worker_pool_codec import WORKER_POOL_CODEC
 
 STORE = "store"
 # By the kind of a connection that the node opens. Frontends bring their own.
-CODECS = {"pool": line_protocol.WORKER_POOL_CODEC, STORE: line_protocol.STORE_CODEC}
+CODECS = {"pool": WORKER_POOL_CODEC, STORE: STORE_CODEC}
 
 
 class ConnectionTable:
@@ -103,10 +105,10 @@
             self._inputs.put(ConnectionRefused(number, error.strerror))
             self._inputs.put(ConnectionClosed(number))
 
-    def decode(self, number: int, frames: Sequence[bytes]) -> tuple[list[tuple], str | None]:
+    def decode(self, number: int, frames: Sequence[bytes]) -> tuple[list[Message], str | None]:
         """Return the frames' messages, and what is wrong with the first that can't be read, or None."""
         connection = self._connections.get(number)
-        messages: list[tuple] = []
+        messages: list[Message] = []
         if connection:
             connection.batches_taken += 1
             try:
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -29,6 +29,7 @@
 from finchcart.node.wall_clock import Arrival, WallClock
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.protocol import connection_events
+from finchcart.protocol.messages import Message
 
 if TYPE_CHECKING:  # none is imported where it is not asked for
     from finchcart.node.key_leases import KeyLeaseGate
@@ -240,7 +241,7 @@
         owner.connection_opened(connection)
 
     def _on_messages(
-        self, connection: int, messages: Sequence[tuple], received_at: int, not_before: int
+        self, connection: int, messages: Sequence[Message], received_at: int, not_before: int
     ) -> None:
         self._batch_received_at = received_at
         self._batch_not_before = not_before
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -18,6 +18,7 @@
     WriteBlocked,
     WriteResumed,
 )
+from finchcart.protocol.messages import Message
 
 
 class Start(NamedTuple):
@@ -28,7 +29,7 @@
     """A batch of decoded messages."""
 
     connection: int
-    messages: Sequence[tuple]
+    messages: Sequence[Message]
     received_at: int
     not_before: int = 0  # the messages reached the machine at this moment at the earliest
 
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -10,7 +10,7 @@
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import End, SendReport, StopListening
-from finchcart.protocol import line_protocol
+from finchcart.protocol import registry_codec
 
 
 class NodePhase(Enum):
@@ -88,7 +88,7 @@
     def report(self) -> None:
         """Reports to the registry, now and then again and again."""
         turn = self.turn
-        turn.emit(SendReport(self.address, line_protocol.registration_report(self.name, self.healthy)))
+        turn.emit(SendReport(self.address, registry_codec.encode_registration(self.name, self.healthy)))
         self._reports_sent += 1
         turn.schedule(turn.now + self.limits.registration_interval, self._report_again, self._reports_sent)
 
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -13,7 +13,8 @@
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Read, Send, SendBefore
 from finchcart.node.rpc import NodeRpc
-from finchcart.protocol import line_protocol
+from finchcart.protocol import store_codec
+from finchcart.protocol.messages import StoreReply
 
 PARTY = "store"  # in log lines
 
@@ -97,7 +98,7 @@
         rpc.call_connection = connection.number
         rpc.call_started_at = turn.now
         rpc.calls_made += 1
-        data = line_protocol.store_call(rpc.name, timeout_us, body)
+        data = store_codec.encode_call(rpc.name, timeout_us, body)
         if write_by is None:
             turn.emit(Send(connection.number, data))
         else:
@@ -125,12 +126,12 @@
 
     # ---- What comes on the connections: see ConnectionOwner
 
-    def message_received(self, number: int, message: tuple) -> None:
-        """A reply."""
+    def message_received(self, number: int, message: StoreReply) -> None:
+        """Complete the call that the reply belongs to."""
         connection = self.connections.get(number)
         if connection is None:
             return
-        _, name, outcome, body = message
+        name, outcome, body = message
         rpc = connection.rpc
         if rpc is None or name != rpc.name:
             # Guards against a copy, or another's reply, that passes for a call's: none is made here again.
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -6,7 +6,7 @@
 """
 
 from collections import Counter
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
 from typing import NamedTuple, Protocol
 
@@ -16,7 +16,17 @@
 from finchcart.node.effects import Drop, Log, Read, Send
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.unknown_runs import RunEnd, UnknownRuns
-from finchcart.protocol import line_protocol
+from finchcart.protocol import worker_pool_codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    InformationalNotice,
+    RunAwaitingCall,
+    RunEnded,
+    Subscribed,
+    UnknownNotice,
+    WorkerPoolMessage,
+)
 
 PARTY = "worker pool"  # in log lines
 MAX_TICKET_DIGITS = 18
@@ -117,21 +127,21 @@
         self._quick_losses = 0  # connections lost one after the other soon after they were bound, or before
         self._started_by: int | None = None  # the worker pool had started by then, as far as it said
         self._unreadable_after: int | None = None  # the last notice before one that could not be read
-        self._handlers = {
-            "up": self._on_bound,
-            "run_ended": self._on_run_ended,
-            "at_call": self._on_awaiting_call,
-            "gauges": self._on_gauges,
-            "undone": self._on_not_carried_out,
-            "remark": self._on_remark,
-            "other": self._on_other,
+        self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
+            Subscribed: self._on_bound,
+            RunEnded: self._on_run_ended,
+            RunAwaitingCall: self._on_awaiting_call,
+            GaugesRead: self._on_gauges,
+            CommandRejected: self._on_not_carried_out,
+            InformationalNotice: self._on_remark,
+            UnknownNotice: self._on_other,
         }
 
     # ---- Commands
 
     def run(self, rpc: NodeRpc, idempotent: bool) -> None:
         """Starts the run of an RPC."""
-        data = line_protocol.start_run(rpc.name, rpc.method, rpc.body)
+        data = worker_pool_codec.encode_start(rpc.name, rpc.method, rpc.body)
         self.send_command(rpc, data, data if idempotent else None, is_start=True)
 
     def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
@@ -139,12 +149,14 @@
 
         A reply that may have been lost can't be written again, but its call can be left out.
         """
-        data = line_protocol.answer_call(rpc.name, body)
-        self.send_command(rpc, data, line_protocol.skip_call(rpc.name, cursor) if can_degrade else None)
+        data = worker_pool_codec.encode_reply(rpc.name, body)
+        self.send_command(
+            rpc, data, worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
+        )
 
     def degrade(self, rpc: NodeRpc, cursor: int) -> None:
         """Has a run go on without the call that it awaits."""
-        data = line_protocol.skip_call(rpc.name, cursor)
+        data = worker_pool_codec.encode_degrade(rpc.name, cursor)
         self.send_command(rpc, data, data)
 
     def send_command(
@@ -185,7 +197,7 @@
     def _poll(self) -> str:
         self._last_ticket += 1
         ticket = str(self._last_ticket)
-        self._send(line_protocol.request_gauges(ticket))
+        self._send(worker_pool_codec.encode_gauges_request(ticket))
         return ticket
 
     # ---- The connection's life
@@ -198,7 +210,7 @@
         self.state = LinkState.BINDING
         self._bind_sent_at = self.turn.now
         self.turn.emit(Read(self.connection))
-        self._send(line_protocol.subscribe(self.cursor))
+        self._send(worker_pool_codec.encode_subscribe(self.cursor))
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Guards against commands lost with the old connection: it is left once they are all read."""
@@ -248,10 +260,10 @@
 
     # ---- What comes on the connection: see ConnectionOwner
 
-    def message_received(self, connection: int, message: tuple) -> None:
-        """A notice: its kind, and what it carries."""
+    def message_received(self, connection: int, message: WorkerPoolMessage) -> None:
+        """Handle a notice by its type."""
         if connection == self.connection:
-            self._handlers[message[0]](*message[1:])
+            self._handlers[type(message)](*message)
 
     def batch_completed(self, connection: int) -> None:
         """Asks for the next read."""
--- a/finchcart/protocol/framing.py
+++ b/finchcart/protocol/framing.py
@@ -7,6 +7,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from finchcart.protocol.messages import Message
+
 
 class Codec(NamedTuple):
     """How one protocol's messages are found among the bytes of a connection, and read.
@@ -20,4 +22,4 @@
     """
 
     find_frame_end: Callable[[bytes, int, int], int | None]
-    decode: Callable[[bytes], tuple]
+    decode: Callable[[bytes], Message]
--- /dev/null
+++ b/finchcart/protocol/worker_pool_codec.py
@@ -0,0 +1,164 @@
+"""The worker pool's protocol, a JSON object a line: its notices are read, the node's commands written.
+
+Owns the bytes on that connection and the words of its protocol: no other module knows them. Pure functions:
+no I/O, nothing kept between calls, and nothing raised but `ProtocolError` on what they read, whatever the
+bytes.
+"""
+
+import json
+from base64 import b64encode
+from binascii import a2b_base64
+from collections.abc import Callable, Mapping
+from math import isfinite
+from typing import Any
+
+from finchcart.decisions.interface import Outcome
+from finchcart.errors import ProtocolError
+from finchcart.protocol.framing import Codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    InformationalNotice,
+    RunAwaitingCall,
+    RunEnded,
+    Subscribed,
+    UnknownNotice,
+    WorkerPoolMessage,
+)
+
+MAX_BRACKETS = 100  # in a line
+MAX_ERROR_LENGTH = 120  # characters
+
+RUN_OUTCOMES = {
+    "good": Outcome.OK,
+    "bad": Outcome.ERROR,
+    "cut": Outcome.STOPPED,
+    "gone": Outcome.NOT_STARTED,
+}
+IS_COLD = {"new": True, "old": False}
+
+
+def find_line_end(data: bytes, start: int, max_size: int) -> int | None:
+    """Return where the first line ends, or None until it is complete; see `Codec.find_frame_end`."""
+    return data.find(b"\n", start) + 1 or None
+
+
+def decode_message(data: bytes) -> WorkerPoolMessage:
+    """Read one line of the worker pool; raise `ProtocolError` where it is no message."""
+    # Guards against the stack: the library's parser goes down with each bracket.
+    if data.count(b"[") + data.count(b"{") > MAX_BRACKETS:
+        raise ProtocolError("too many brackets in a line")
+    try:
+        return _read_notice(json.loads(data))
+    except (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError) as error:
+        text = f"a line from the pool: {type(error).__name__}: {error}"
+        raise ProtocolError(text[:MAX_ERROR_LENGTH]) from None
+
+
+def _read_notice(fields: Mapping[str, Any]) -> WorkerPoolMessage:
+    event = fields["event"]
+    read = NOTICE_READERS.get(event) if isinstance(event, str) else None
+    return read(fields) if read else UnknownNotice()
+
+
+def _read_run_ended(fields: Mapping[str, Any]) -> RunEnded:
+    outcome = RUN_OUTCOMES[fields["fate"]]
+    service_time_us = _microseconds(fields["lasted"])
+    cursor = _whole_number(fields["cursor"])
+    return RunEnded(cursor, _text(fields["handle"]), outcome, service_time_us, _decode_body(fields))
+
+
+def _read_awaiting_call(fields: Mapping[str, Any]) -> RunAwaitingCall:
+    cursor = _whole_number(fields["cursor"])
+    return RunAwaitingCall(cursor, _text(fields["handle"]), _decode_body(fields))
+
+
+def _read_gauges(fields: Mapping[str, Any]) -> GaugesRead:
+    ticket = str(fields["ticket"])
+    return GaugesRead(ticket, tuple(_finite_number(value) for value in fields["figures"]))
+
+
+def _read_subscribed(fields: Mapping[str, Any]) -> Subscribed:
+    return Subscribed(IS_COLD[fields["fate"]], _microseconds(fields["lasted"]))
+
+
+def _read_command_rejected(fields: Mapping[str, Any]) -> CommandRejected:
+    was_start = fields.get("fate") == "spawn"
+    return CommandRejected(was_start, _text(fields.get("handle") or ""))
+
+
+def _read_informational(fields: Mapping[str, Any]) -> InformationalNotice:
+    return InformationalNotice(_whole_number(fields["cursor"]))
+
+
+NOTICE_READERS: dict[str, Callable[[Mapping[str, Any]], WorkerPoolMessage]] = {
+    "finished": _read_run_ended,
+    "blocked": _read_awaiting_call,
+    "polled": _read_gauges,
+    "bound": _read_subscribed,
+    "unknown": _read_command_rejected,
+    "chatter": _read_informational,
+}
+
+
+def _decode_body(fields: Mapping[str, Any]) -> bytes:
+    return a2b_base64(fields.get("arg") or "", strict_mode=True)
+
+
+def _whole_number(value: object) -> int:
+    if not isinstance(value, int):
+        raise ValueError(f"{value!r}: expected a whole number")
+    return value
+
+
+def _text(value: object) -> str:
+    if not isinstance(value, str):
+        raise ValueError(f"{value!r}: expected text")
+    return value
+
+
+def _finite_number(value: float) -> float:
+    if not isfinite(value):
+        raise ValueError(f"{value!r}: expected a number")
+    return float(value)
+
+
+def _microseconds(milliseconds: float) -> int:
+    return max(0, int(milliseconds * 1000))
+
+
+def _encode_text(value: str) -> bytes:
+    """Return JSON text; a name that could end its quotes is escaped."""
+    return json.dumps(value).encode() if not value.isalnum() else b'"%s"' % value.encode()
+
+
+def encode_subscribe(cursor: int) -> bytes:
+    """Return the request for the notices after number `cursor`."""
+    return b'{"event":"bind","cursor":%d}\n' % cursor
+
+
+def encode_start(name: str, method: str, body: bytes) -> bytes:
+    """Return the command that starts a run of `method`, under the RPC's name."""
+    return b'{"event":"spawn","handle":%s,"entry":%s,"arg":"%s"}\n' % (
+        _encode_text(name),
+        _encode_text(method),
+        b64encode(body),
+    )
+
+
+def encode_reply(name: str, body: bytes) -> bytes:
+    """Return the command that hands a run the reply to its call."""
+    return b'{"event":"supply","handle":%s,"arg":"%s"}\n' % (_encode_text(name), b64encode(body))
+
+
+def encode_degrade(name: str, cursor: int) -> bytes:
+    """Return the command that has a run continue without the call of the notice number `cursor`."""
+    return b'{"event":"pass","handle":%s,"cursor":%d}\n' % (_encode_text(name), cursor)
+
+
+def encode_gauges_request(ticket: str) -> bytes:
+    """Return the request for the gauges; `GaugesRead` carries the same ticket."""
+    return b'{"event":"poll","ticket":%s}\n' % _encode_text(ticket)
+
+
+WORKER_POOL_CODEC = Codec(find_line_end, decode_message)
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -10,7 +10,7 @@
 
 from finchcart.errors import ProtocolError
 from finchcart.protocol.framing import Codec
-from finchcart.thrift.messages import (
+from finchcart.protocol.messages import (
     DispatcherMessage,
     HeartbeatCall,
     RevokeNotice,
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -12,18 +12,18 @@
 from finchcart.node.effects import Read
 from finchcart.node.frontend import FrontendHost
 from finchcart.node.rpc import FinalOutcome, NodeRpc
-from finchcart.thrift import codec
-from finchcart.thrift.connection_closer import ConnectionCloser
-from finchcart.thrift.connection_limiter import ConnectionLimiter
-from finchcart.thrift.connection_table import Connection, ConnectionTable
-from finchcart.thrift.fields import read_rpc
-from finchcart.thrift.messages import (
+from finchcart.protocol.messages import (
     DispatcherMessage,
     HeartbeatCall,
     RevokeNotice,
     SubmitCall,
     UnservedCall,
 )
+from finchcart.thrift import codec
+from finchcart.thrift.connection_closer import ConnectionCloser
+from finchcart.thrift.connection_limiter import ConnectionLimiter
+from finchcart.thrift.connection_table import Connection, ConnectionTable
+from finchcart.thrift.fields import read_rpc
 
 PARTY = "dispatchers"  # in log lines
 US_PER_MS = 1000
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -21,10 +21,18 @@
     WriteBlocked,
     WriteResumed,
 )
+from finchcart.protocol.messages import (
+    GaugesRead,
+    RevokeNotice,
+    RunAwaitingCall,
+    RunEnded,
+    StoreReply,
+    SubmitCall,
+    Subscribed,
+)
 from finchcart.thrift import codec as thrift
 from finchcart.thrift.codec import STRING, STRUCT
 from finchcart.thrift.frontend import ThriftFrontend
-from finchcart.thrift.messages import RevokeNotice, SubmitCall
 
 MS = 1000
 NOW = 1_700_000_000_000_000
@@ -391,11 +399,11 @@
         run = self.runs.get(name)
         if event == "bind":
             assert said["cursor"] <= self.notices_numbered
-            self.deliver(connection, ("up", self.pool_is_cold, self.now - self.pool_started_at))
+            self.deliver(connection, Subscribed(self.pool_is_cold, self.now - self.pool_started_at))
             for notice in self.notices[said["cursor"] :]:
                 self.deliver(connection, notice)
         elif event == "poll":
-            self.deliver(connection, ("gauges", said["ticket"], (0.5, 1.0)))
+            self.deliver(connection, GaugesRead(said["ticket"], (0.5, 1.0)))
         elif event == "spawn":
             self.start_run(name, said)
         elif event in ("supply", "pass") and run and run.state == "blocked":
@@ -413,7 +421,7 @@
             return
         assert run is None or attempt.kind == "idempotent", "run again"
         if attempt.answers or not attempt.answer_owed:
-            self.send_notice("run_ended", name, Outcome.NOT_STARTED, 0, b"")
+            self.send_notice(RunEnded, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
             return
         others = [each for each in self.attempts.values() if each.key == attempt.key and each.has_run]
@@ -426,8 +434,8 @@
         attempt.has_run = True
         self.runs[name] = self.active_runs[name] = Run(state="running", key=attempt.key)
 
-    def send_notice(self, event, *fields):
-        self.notices.append((event, len(self.notices) + 1, *fields))
+    def send_notice(self, notice_type, *fields):
+        self.notices.append(notice_type(len(self.notices) + 1, *fields))
         self.notices_numbered = max(self.notices_numbered, len(self.notices))
         if self.pool_connection and self.connections.get(self.pool_connection) == "open":
             self.deliver(self.pool_connection, self.notices[-1])
@@ -439,7 +447,7 @@
         result = self.rng.randbytes(6) if outcome is Outcome.OK else b""
         if result:
             self.results.add((run.key, result))
-        self.send_notice("run_ended", name, outcome, RUN_TIME_US, result)
+        self.send_notice(RunEnded, name, outcome, RUN_TIME_US, result)
 
     def block_at_call(self, name):
         """The run awaits a call."""
@@ -448,7 +456,7 @@
         run.cursor = len(self.notices) + 1
         run.call_never_ran = True
         run.calls += 1
-        self.send_notice("at_call", name, b"call %d" % run.calls)
+        self.send_notice(RunAwaitingCall, name, b"call %d" % run.calls)
 
     def lose_pool_connection(self):
         if self.connections.get(self.pool_connection) == "open":
@@ -480,13 +488,13 @@
         body = self.calls[connection].pop(name)
         self.runs[name].call_never_ran = outcome.never_ran
         self.replies[name] = body
-        reply = ("reply", name, outcome, body if outcome is Outcome.OK else b"")
+        reply = StoreReply(name, outcome, body if outcome is Outcome.OK else b"")
         odd = self.rng.random()
         if odd < 0.1:
-            self.deliver(connection, ("reply", "0" * 16, Outcome.OK, b"another's"))
+            self.deliver(connection, StoreReply("0" * 16, Outcome.OK, b"another's"))
         self.deliver(connection, reply)
         if odd > 0.9:
-            self.deliver(connection, ("reply", name, Outcome.OK, b"a copy"))
+            self.deliver(connection, StoreReply(name, Outcome.OK, b"a copy"))
 
     def lose_store_connection(self, connection):
         self.calls[connection] = {}
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -17,11 +17,24 @@
 from finchcart.membership import messages as membership
 from finchcart.node.methods import MethodInfo
 from finchcart.node.wall_clock import WallClock
-from finchcart.protocol import line_protocol
+from finchcart.protocol import registry_codec, store_codec, worker_pool_codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    HeartbeatCall,
+    InformationalNotice,
+    RevokeNotice,
+    RunAwaitingCall,
+    RunEnded,
+    StoreReply,
+    SubmitCall,
+    Subscribed,
+    UnknownNotice,
+    UnservedCall,
+)
 from finchcart.quota import messages as quota
 from finchcart.thrift import codec as thrift
 from finchcart.thrift import fields as thrift_fields
-from finchcart.thrift.messages import HeartbeatCall, RevokeNotice, SubmitCall, UnservedCall
 from finchcart.wire import OUTCOMES
 
 FLEET = "example"
@@ -89,15 +102,15 @@
     **{name: partial(write_datagram, *example) for name, example in DATAGRAMS.items()},
     "opinions in a note": lambda: codec.encode_value([(2**58, 2, 9)]),
     "operators' words in a note": lambda: codec.encode_value([OPERATOR]),
-    "worker pool join": lambda: line_protocol.subscribe(3),
-    "worker pool run": lambda: line_protocol.start_run(NAME, "look-up", BODY),
-    "worker pool run, name in need of quotes": lambda: line_protocol.start_run('x"y', "look-up", b""),
-    "worker pool reply": lambda: line_protocol.answer_call(NAME, BODY),
-    "worker pool skip": lambda: line_protocol.skip_call(NAME, 5),
-    "worker pool gauges": lambda: line_protocol.request_gauges("7"),
-    "store call": lambda: line_protocol.store_call(NAME, 250_001, BODY),
-    "registry good": lambda: line_protocol.registration_report("n3", True),
-    "registry bad": lambda: line_protocol.registration_report("n3", False),
+    "worker pool join": lambda: worker_pool_codec.encode_subscribe(3),
+    "worker pool run": lambda: worker_pool_codec.encode_start(NAME, "look-up", BODY),
+    "worker pool run, name in need of quotes": lambda: worker_pool_codec.encode_start('x"y', "look-up", b""),
+    "worker pool reply": lambda: worker_pool_codec.encode_reply(NAME, BODY),
+    "worker pool skip": lambda: worker_pool_codec.encode_degrade(NAME, 5),
+    "worker pool gauges": lambda: worker_pool_codec.encode_gauges_request("7"),
+    "store call": lambda: store_codec.encode_call(NAME, 250_001, BODY),
+    "registry good": lambda: registry_codec.encode_registration("n3", True),
+    "registry bad": lambda: registry_codec.encode_registration("n3", False),
     "thrift submit": lambda: thrift.submit_call(7, {"c": "look-up", "p": "0.5"}, BODY),
     "thrift ok": lambda: thrift.ok_reply(7, BODY, RIDING),
     "thrift rejected": lambda: thrift.rejected_reply(7, RIDING),
@@ -145,16 +158,16 @@
     "store late": b"x LATE\r\n",
     "store moot": b"x VOID\r\n",
 }
-# Type of a message read, or its first word -> pinned word.
+# Type of a message read -> pinned word.
 READ_WORDS = {
-    "up": "up",
-    "run_ended": "run ended",
-    "at_call": "at call",
-    "gauges": "gauges",
-    "undone": "not carried out",
-    "remark": "remark",
-    "other": "other",
-    "reply": "reply",
+    Subscribed: "up",
+    RunEnded: "run ended",
+    RunAwaitingCall: "at call",
+    GaugesRead: "gauges",
+    CommandRejected: "not carried out",
+    InformationalNotice: "remark",
+    UnknownNotice: "other",
+    StoreReply: "reply",
     SubmitCall: "rpc",
     RevokeNotice: "left",
     HeartbeatCall: "check",
@@ -186,10 +199,7 @@
     assert codec.find_frame_end(data[:-1], 0, LONGEST) is None
     assert codec.find_frame_end(data, 0, LONGEST) == len(data)
     message = codec.decode(data)
-    if type(message) in READ_WORDS:
-        return [READ_WORDS[type(message)], *plain(message)]
-    word, *values = message
-    return [READ_WORDS[word], *plain(values)]
+    return [READ_WORDS[type(message)], *plain(message)]
 
 
 def read_thrift_answer(data):
@@ -211,7 +221,7 @@
         return read_stream(thrift.THRIFT_CODEC, data) if rest in THRIFT_CALLS else read_thrift_answer(data)
     if name in RECEIVED:
         return read_stream(
-            line_protocol.STORE_CODEC if kind == "store" else line_protocol.WORKER_POOL_CODEC, data
+            store_codec.STORE_CODEC if kind == "store" else worker_pool_codec.WORKER_POOL_CODEC, data
         )
     return None
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -10,7 +10,20 @@
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
-from finchcart.protocol import line_protocol
+from finchcart.protocol import registry_codec, store_codec, worker_pool_codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    HeartbeatCall,
+    RevokeNotice,
+    RunAwaitingCall,
+    RunEnded,
+    StoreReply,
+    SubmitCall,
+    Subscribed,
+    UnknownNotice,
+    UnservedCall,
+)
 from finchcart.thrift import codec as thrift
 
 LIMITS = Limits(memory=192 * 2**20, descriptors=1024, stop_timeout=3_000_000)
@@ -47,19 +60,24 @@
 STORED = b"9b1f03aa5c7e2d41 OK 5\r\na\r\nb\0\r\n"
 
 
+def typed(message):
+    """The message with its type, as messages of two types may be equal as tuples."""
+    return type(message), *message
+
+
 def framed(data):
     return len(data).to_bytes(4, "big") + data
 
 
 def test_calls_written_by_hand_are_read():
-    assert thrift.decode_message(SUBMIT) == thrift.SubmitCall(7, {"c": "go", "p": "0.5"}, b"\xff\0A")
-    assert thrift.decode_message(REVOKE) == thrift.RevokeNotice(7)
-    assert thrift.decode_message(HEARTBEAT) == thrift.HeartbeatCall(1)
-    assert thrift.decode_message(HEARTBEAT.replace(b"heartbeat", b"headcount")) == thrift.UnservedCall(
+    assert thrift.decode_message(SUBMIT) == SubmitCall(7, {"c": "go", "p": "0.5"}, b"\xff\0A")
+    assert thrift.decode_message(REVOKE) == RevokeNotice(7)
+    assert thrift.decode_message(HEARTBEAT) == HeartbeatCall(1)
+    assert thrift.decode_message(HEARTBEAT.replace(b"heartbeat", b"headcount")) == UnservedCall(
         1, "headcount"
     )
     assert take(thrift.THRIFT_CODEC, framed(REVOKE) + b"more", 0, LONGEST) == (
-        thrift.RevokeNotice(7),
+        RevokeNotice(7),
         len(REVOKE) + 4,
     )
 
@@ -108,7 +126,7 @@
 
 def test_a_call_without_what_it_needs_is_read_as_lacking_it():
     none = SUBMIT[:18] + b"\0"
-    assert thrift.decode_message(none) == thrift.SubmitCall(7, None, None)
+    assert thrift.decode_message(none) == SubmitCall(7, None, None)
     assert thrift.decode_message(SUBMIT.replace(b"go", b"\xff\xfe")).fields is None
     assert (
         thrift.decode_message(
@@ -164,9 +182,9 @@
         (thrift.THRIFT_CODEC, framed(SUBMIT)),
         (thrift.THRIFT_CODEC, framed(REVOKE)),
         (thrift.THRIFT_CODEC, framed(HEARTBEAT)),
-        (line_protocol.WORKER_POOL_CODEC, FINISHED),
-        (line_protocol.WORKER_POOL_CODEC, POLLED),
-        (line_protocol.STORE_CODEC, STORED),
+        (worker_pool_codec.WORKER_POOL_CODEC, FINISHED),
+        (worker_pool_codec.WORKER_POOL_CODEC, POLLED),
+        (store_codec.STORE_CODEC, STORED),
     ],
 )
 def test_every_cut_waits_for_more_and_every_flip_reads_or_is_malformed(codec, whole):
@@ -186,7 +204,7 @@
 
 
 @pytest.mark.parametrize(
-    "codec", [thrift.THRIFT_CODEC, line_protocol.WORKER_POOL_CODEC, line_protocol.STORE_CODEC]
+    "codec", [thrift.THRIFT_CODEC, worker_pool_codec.WORKER_POOL_CODEC, store_codec.STORE_CODEC]
 )
 def test_random_bytes_are_no_harm(codec):
     rng = random.Random(5)
@@ -219,24 +237,29 @@
 
 def test_lines_of_the_pool():
     name = "9b1f03aa5c7e2d41"
-    assert take(line_protocol.WORKER_POOL_CODEC, FINISHED, 0, LONGEST)[0] == (
-        "run_ended",
+    assert typed(take(worker_pool_codec.WORKER_POOL_CODEC, FINISHED, 0, LONGEST)[0]) == (
+        RunEnded,
         4,
         name,
         Outcome.OK,
         1500,
         b"\xff\0A",
     )
-    assert take(line_protocol.WORKER_POOL_CODEC, POLLED, 0, LONGEST)[0] == (
-        "gauges",
+    assert typed(take(worker_pool_codec.WORKER_POOL_CODEC, POLLED, 0, LONGEST)[0]) == (
+        GaugesRead,
         "9",
         (0.5, 3.0, 0.25, 17.0),
     )
-    read = lambda text: take(line_protocol.WORKER_POOL_CODEC, text + b"\n", 0, LONGEST)[0]
-    assert read(b'{"event":"bound","fate":"new","lasted":20}') == ("up", True, 20_000)
-    assert read(b'{"event":"blocked","cursor":5,"handle":"x","arg":"AA=="}') == ("at_call", 5, "x", b"\0")
-    assert read(b'{"event":"unknown","fate":"spawn","handle":"x"}') == ("undone", True, "x")
-    assert read(b'{"event":"of a later day"}') == ("other",)
+    read = lambda text: typed(take(worker_pool_codec.WORKER_POOL_CODEC, text + b"\n", 0, LONGEST)[0])
+    assert read(b'{"event":"bound","fate":"new","lasted":20}') == (Subscribed, True, 20_000)
+    assert read(b'{"event":"blocked","cursor":5,"handle":"x","arg":"AA=="}') == (
+        RunAwaitingCall,
+        5,
+        "x",
+        b"\0",
+    )
+    assert read(b'{"event":"unknown","fate":"spawn","handle":"x"}') == (CommandRejected, True, "x")
+    assert read(b'{"event":"of a later day"}') == (UnknownNotice,)
     for bad in (
         b"[]",
         b"{}",
@@ -255,11 +278,11 @@
         with pytest.raises(ProtocolError):
             read(bad)
     said = [
-        line_protocol.subscribe(3),
-        line_protocol.start_run("x", "m", b"\xff\0A"),
-        line_protocol.answer_call("x", b"A"),
-        line_protocol.skip_call("x", 5),
-        line_protocol.request_gauges("7"),
+        worker_pool_codec.encode_subscribe(3),
+        worker_pool_codec.encode_start("x", "m", b"\xff\0A"),
+        worker_pool_codec.encode_reply("x", b"A"),
+        worker_pool_codec.encode_degrade("x", 5),
+        worker_pool_codec.encode_gauges_request("7"),
     ]
     assert all(line.count(b"\n") == 1 and line.endswith(b"\n") for line in said)
     assert [json.loads(line) for line in said] == [
@@ -272,21 +295,20 @@
 
 
 def test_lines_of_the_store_and_the_registry():
-    assert take(line_protocol.STORE_CODEC, STORED, 0, LONGEST) == (
-        ("reply", "9b1f03aa5c7e2d41", Outcome.OK, b"a\r\nb\0"),
-        len(STORED),
-    )
+    reply, end = take(store_codec.STORE_CODEC, STORED, 0, LONGEST)
+    assert typed(reply) == (StoreReply, "9b1f03aa5c7e2d41", Outcome.OK, b"a\r\nb\0")
+    assert end == len(STORED)
     proofs = {b"BUSY": True, b"ERR": False, b"LATE": False, b"VOID": True}
     for word, proof in proofs.items():
-        (_, name, outcome, body), _ = take(line_protocol.STORE_CODEC, b"x " + word + b"\r\n", 0, LONGEST)
+        (name, outcome, body), _ = take(store_codec.STORE_CODEC, b"x " + word + b"\r\n", 0, LONGEST)
         assert (name, outcome.never_ran, body) == ("x", proof, b"")
     for bad in (b"x\r\n", b"x OK\r\n", b"x OK -1\r\n", b"x OK 99999\r\n", b"x OK 1\r\nabc", b"x WHAT\r\n"):
         with pytest.raises(ProtocolError):
-            take(line_protocol.STORE_CODEC, bad, 0, LONGEST)
-    assert line_protocol.store_call("x", 250_001, b"a\r\nb") == b"CALL x 251 4\r\na\r\nb\r\n"
+            take(store_codec.STORE_CODEC, bad, 0, LONGEST)
+    assert store_codec.encode_call("x", 250_001, b"a\r\nb") == b"CALL x 251 4\r\na\r\nb\r\n"
     assert (
-        line_protocol.registration_report("n3", True),
-        line_protocol.registration_report("n3", False),
+        registry_codec.encode_registration("n3", True),
+        registry_codec.encode_registration("n3", False),
     ) == (b"HERE n3 on", b"HERE n3 off")
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -44,8 +44,8 @@
 from finchcart.node.inputs import MessagesReceived
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.observer import NodeObserver
+from finchcart.protocol.messages import HeartbeatCall
 from finchcart.quota.limits import Limit
-from finchcart.thrift.messages import HeartbeatCall
 from tests.core_harness import CoreHarness
 from tests.harness import MS, Node, draw_settings
 from tests.test_control import PLAIN, one_step
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,9 +11,15 @@
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.limiters import RateLimiter, RpcConcurrencyLimiter
 from finchcart.protocol.connection_events import ConnectionEnded, WriteBlocked, WriteResumed
+from finchcart.protocol.messages import (
+    CommandRejected,
+    HeartbeatCall,
+    StoreReply,
+    SubmitCall,
+    UnservedCall,
+)
 from finchcart.quota.limits import Limit
 from finchcart.thrift import codec as thrift
-from finchcart.thrift.messages import HeartbeatCall, SubmitCall, UnservedCall
 from tests.core_harness import MS, CoreHarness, read_answer
 from tests.harness import draw_settings
 from tests.test_control import PLAIN
@@ -337,7 +343,8 @@
     assert how(harness, done) == "ok" and harness.runs[lost].state == "running"
     harness.end_run(lost, Outcome.OK)
     harness.step(MS)
-    assert how(harness, lost) == "ok" and len([n for n in harness.notices if n[2] == done]) == 1
+    assert how(harness, lost) == "ok"
+    assert len([notice for notice in harness.notices if notice.rpc_name == done]) == 1
 
 
 def test_an_effect_whose_start_may_have_been_lost_is_answered_and_never_started_twice():
@@ -422,7 +429,7 @@
     odd, done = harness.submit(harness.open(), 1), harness.core.control.work_completed
     harness.step(0)
     harness.commands.clear()
-    harness.deliver(harness.pool_connection, ("undone", True, odd))
+    harness.deliver(harness.pool_connection, CommandRejected(True, odd))
     harness.step(0)
     assert how(harness, odd) == "failed" and harness.core.control.work_completed == done
     true = harness.submit(harness.open(), 1, odd)
@@ -470,7 +477,7 @@
     ((second, calls),) = [(link, calls) for link, calls in harness.calls.items() if calls]
     assert second != first
     assert harness.connections[first] == "closed"
-    harness.deliver(first, ("reply", name, Outcome.OK, body))
+    harness.deliver(first, StoreReply(name, Outcome.OK, body))
     harness.step(MS)
     assert harness.runs[name].state == "blocked"
     harness.store_reply(second, name, Outcome.OK)
@@ -494,8 +501,8 @@
         body = harness.calls[links[name]].pop(name)
         harness.replies[name] = body
         if more:
-            harness.deliver(links[name], ("reply", "f" * 16, Outcome.OK, b"another's"))
-        harness.deliver(links[name], ("reply", name, Outcome.OK, body))
+            harness.deliver(links[name], StoreReply("f" * 16, Outcome.OK, b"another's"))
+        harness.deliver(links[name], StoreReply(name, Outcome.OK, body))
     for _ in range(3):
         harness.step(MS)
     assert [harness.runs[name].state for name in names] == ["blocked", "running", "running"]
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -8,7 +8,7 @@
 from finchcart.errors import InvalidRpcError
 from finchcart.node.effects import Drop, Read, Send
 from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
-from finchcart.thrift.messages import RevokeNotice, SubmitCall
+from finchcart.protocol.messages import RevokeNotice, SubmitCall
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.test_control import PLAIN
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -22,6 +22,7 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.protocol.connection_events import ConnectionEnded
+from finchcart.protocol.messages import GaugesRead, RunEnded, StoreReply, Subscribed
 from tests.harness import same_input
 
 MS = 1000
@@ -131,10 +132,10 @@
         if connection is None:
             del self.in_flight[number]
         elif chance < 0.1:
-            store.message_received(connection, ("reply", rpc.name, Outcome.OK, b"!"))
+            store.message_received(connection, StoreReply(rpc.name, Outcome.OK, b"!"))
         elif chance < 0.13:
             # Corrupt: it never passes for the call's.
-            store.message_received(connection, ("reply", "another", Outcome.OK, b"!"))
+            store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
             assert rpc.call_connection == connection and store.connections[connection].retired
         elif chance < 0.16:
             store.connection_ended(connection, "cut")
@@ -190,27 +191,27 @@
     turn, host = EffectBuffer(1), Host()
     pool = host.pool = WorkerPool(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
     pool.connect()
-    pool.message_received(pool.connection, ("up", False, 5_000))
+    pool.message_received(pool.connection, Subscribed(False, 5_000))
     safe, effect = rpc_of(1), rpc_of(2)
     host.rpcs = {safe.name: safe, effect.name: effect}
     pool.send_command(safe, b"run safe", b"run safe", is_start=True)
     pool.send_command(effect, b"run effect", None)
     pool.connection_ended(pool.connection, "")
     turn.begin(turn.now + 1_000 * MS)
-    pool.message_received(pool.connection, ("up", False, 1_005_000))
+    pool.message_received(pool.connection, Subscribed(False, 1_005_000))
     settle = pool.settle_ticket
     turn.begin(turn.now)
-    pool.message_received(pool.connection, ("gauges", settle, ()))
+    pool.message_received(pool.connection, GaugesRead(settle, ()))
     assert Send(pool.connection, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
     assert b"run effect" not in [e[-1] for e in turn.effects]
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
     assert effect.index in pool.unknown_runs and not any(told[0] == effect.name for told in host.told)
     assert list(pool.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
     assert host.told.count((safe.name, Outcome.OK)) == 0 and safe.index in pool.unknown_runs
-    pool.message_received(pool.connection, ("run_ended", 2, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEnded(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
     turn.begin(turn.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -17,6 +17,7 @@
 
 from finchcart.decisions.interface import Outcome
 from finchcart.node.inputs import TimersDue
+from finchcart.protocol.messages import CommandRejected
 from finchcart.simulated_peers.worker_pool import WorkerPool
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
@@ -93,7 +94,7 @@
 def test_a_command_that_was_not_carried_out_says_nothing_of_its_run():
     harness = plain_harness()
     name = running(harness, 1)
-    harness.deliver(harness.pool_connection, ("undone", False, name))
+    harness.deliver(harness.pool_connection, CommandRejected(False, name))
     harness.step(MS)
     assert how(harness, name) is None and harness.core.control.runs_in_progress == 1
     ends_well(harness, name)
