--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -89,9 +89,8 @@
         self.piggyback_clients: list[PiggybackClient] = []
         self.last_input_at = now
         other_seeds = [address for address in seeds if address != advertise]
-        own_record = MemberRecord(
-            name, advertise, random.getrandbits(64), wall_ms, wall_ms, 0, DeclaredStatus.ALIVE, []
-        )
+        session = random.getrandbits(64)
+        own_record = MemberRecord(name, advertise, session, wall_ms, wall_ms, 0, DeclaredStatus.ALIVE, [])
         self.outbox = Outbox(fleet, config)
         self.table = MemberTable(own_record, ExtrapolatedWallClock(wall_ms, now), config, self.outbox, now)
         self.detector = FailureDetector(self.table, config, now)
@@ -103,14 +102,9 @@
         self.gossip = GossipEntryStore(self.table)
         self.anti_entropy = AntiEntropy(self.table, config, random)
         self.heartbeats = HeartbeatSender(self.table, self.detector, self.gossip, config, other_seeds, random)
+        view_report = ViewReport(self.table, self.detector, self.isolation)
         self.receiver = MessageReceiver(
-            fleet,
-            self.table,
-            self.detector,
-            self.contest,
-            self.gossip,
-            self.anti_entropy,
-            ViewReport(self.table, self.detector, self.isolation),
+            fleet, self.table, self.detector, self.contest, self.gossip, self.anti_entropy, view_report
         )
 
     # ---- what others read
