--- a/finchcart/cli/settings_rules.py
+++ b/finchcart/cli/settings_rules.py
@@ -123,9 +123,9 @@
 
 def _patience_is_ordered(fleet: Fleet) -> Iterator[Mistake]:
     config = membership_config(fleet)
-    if config.patience_most < config.patience:
+    if config.max_patience < config.patience:
         yield Mistake(
-            "fleet.patience_most", f"{config.patience_most} is less than fleet.patience, {config.patience}"
+            "fleet.patience_most", f"{config.max_patience} is less than fleet.patience, {config.patience}"
         )
 
 
@@ -142,7 +142,7 @@
 
 def _datagrams_suffice(fleet: Fleet) -> Iterator[Mistake]:
     config = membership_config(fleet)
-    need = 2 * config.watch + config.revive + SPARE_DATAGRAMS
+    need = 2 * config.watch_degree + config.probes_per_period + SPARE_DATAGRAMS
     if config.max_datagrams < need:
         yield Mistake(
             "fleet.datagrams", f"{config.max_datagrams} is less than 2 x watch + revive + 8 = {need}"
--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -68,7 +68,7 @@
         Arguments:
             now: boot clock, microseconds.
             decisions: by subject, of all but the level.
-            acts_within: microseconds until all nodes have heard the reports of all others.
+            acts_within: microseconds until all nodes have received the reports of all others.
         """
         if self.own_subject not in decisions:
             self._ejected_since = None
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -103,9 +103,9 @@
             lateness: microseconds by which ticks run late.
         """
         dissemination = membership.dissemination_time(count, loss)
-        if count > membership.watch + 1:
+        if count > membership.watch_degree + 1:
             # Passed on with the usual heartbeats, to two each: a period a step.
-            steps = (count // membership.watch).bit_length() + 2
+            steps = (count // membership.watch_degree).bit_length() + 2
             dissemination += steps * membership.period
         return (
             self.look_interval
--- a/finchcart/consensus/inputs.py
+++ b/finchcart/consensus/inputs.py
@@ -10,7 +10,7 @@
 
 
 class EvidenceCollected(NamedTuple):
-    """What the core of this node saw since it was asked last."""
+    """What the core of this node observed since the last evidence."""
 
     evidence: Evidence
 
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -17,7 +17,7 @@
 
 
 class ConsensusStatus:
-    """Keeps no state: what is in force when asked.
+    """Reports what is in force at the time of the request.
 
     Arguments:
         name: of this node.
--- a/finchcart/consensus/subjects.py
+++ b/finchcart/consensus/subjects.py
@@ -1,7 +1,8 @@
-"""What observations and decisions are about, and how a subject is written in one word of 64 bits.
+"""Subjects: what reports and decisions are about, each encoded in 64 bits.
 
-Owns the coding, and the words by which an operator names subjects and values. A subject is its kind in the
-highest byte and an identifier of 56 bits: the address or number of a source, the hash of a node's name.
+Owns the encoding, and the words by which an operator names subjects and values. It must never judge one. A
+subject is its kind in the highest byte and an identifier of 56 bits: the address or number of a source, the
+hash of a node's name.
 """
 
 from collections.abc import Mapping
--- a/finchcart/fleet/leases.py
+++ b/finchcart/fleet/leases.py
@@ -7,7 +7,7 @@
 A lease lets its holder act alone for a time. Holder and granter count that time each by its own clock, and
 must never both be free to act:
 
-- The holder counts the stated duration from *before* it asked for the lease.
+- The holder counts the stated duration from *before* it requested the lease.
 - The granter counts it from *after* it answered, and widened (see `widened`).
 
 The granter's count begins no earlier than the holder's, whatever the delay of the messages, and the widening
@@ -15,9 +15,9 @@
 over, its holder has stopped.
 
 A replica without a disk forgets at a restart what it granted. It therefore answers nobody for the longest
-lease, widened; until then any lease that an earlier process of its place may have granted counts as granted.
-Two majorities of the replicas share one replica, which grants once: so two holders never have a quorum for
-the same thing at the same time.
+lease, widened; until then any lease that an earlier process at its address may have granted counts as
+granted. Two majorities of the replicas share one replica, which grants once: so two holders never have a
+quorum for the same thing at the same time.
 
 Sources: C. Gray and D. Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
 Consistency", SOSP 1989 (terms of leases and bounded clock drift); M. Trencseni, A. Gazso and H. Reinhardt,
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -22,7 +22,7 @@
 
 
 class LeaseStatus(IntEnum):
-    """What a vote, an outcome or the answer to an attempt says of a key."""
+    """The status of a key in a vote, an outcome or the answer to an attempt."""
 
     GRANTED = 1  # the lease is the proposer's
     HELD = 2  # another attempt holds it, and its run has not ended
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -1,7 +1,7 @@
 """One replica (an acceptor): votes for one holder of each key, and records how the holder's run ended.
 
 Owns the leases that it voted for, until they expire. It must never vote for two holders of one key while a
-lease of it lasts, nor answer before all leases that an earlier process of its place may have voted for are
+lease of it lasts, nor answer before all leases that an earlier process at its address may have voted for are
 over: it has no disk (see finchcart/fleet/leases.py).
 
 Bounds: `max_leases` leases and as many released attempts; both expire with the longest lease.
--- a/finchcart/membership/config.py
+++ b/finchcart/membership/config.py
@@ -15,6 +15,11 @@
 
 # Key of a setting (without its unit) -> the field, where they differ.
 FIELDS_BY_SETTING = {
+    "patience_most": "max_patience",
+    "suspect": "suspicion_timeout",
+    "rise": "recovery_time",
+    "watch": "watch_degree",
+    "revive": "probes_per_period",
     "members": "max_members",
     "news": "max_pending_updates",
     "datagrams": "max_datagrams",
@@ -29,13 +34,13 @@
     period: int = 500 * MS  # between heartbeats to one member
     ticks_per_period: int = 5  # the heartbeats of a period are spread over its ticks
     patience: int = 4  # periods without two-way contact after which a link is down, where nothing is lost
-    patience_most: int = 10  # the same where much is lost
+    max_patience: int = 10  # the same where much is lost
     link_error_rate: float = 0.01  # patience is chosen so that loss alone takes a link down this seldom
-    suspect: int = 500 * MS  # a member suspected for so long is failed
-    rise: int = 500 * MS  # a failed member is alive again after it was connected for so long
-    watch: int = 24  # members that each exchanges heartbeats with, at most, rounded down to even
+    suspicion_timeout: int = 500 * MS  # a member suspected for so long is failed
+    recovery_time: int = 500 * MS  # a failed member is alive again after it was connected for so long
+    watch_degree: int = 24  # members that each exchanges heartbeats with, at most, rounded down to even
     forget_after: int = 600 * SECOND  # a failed or left member is forgotten after this
-    revive: int = 8  # failed members and seeds sent a heartbeat in a period
+    probes_per_period: int = 8  # failed members and seeds sent a heartbeat in a period
     max_members: int = 4096  # records kept; when full, failed ones go first, then new ones are refused
     max_pending_updates: int = 256  # changed records to be gossiped; the rest is left to anti-entropy
     max_datagrams: int = 400  # sent in one period at most; what is over waits for the next tick
@@ -63,10 +68,10 @@
         In n periods a link has n attempts there and back, in turn: at a loss of p all fail by chance with a
         probability of (n (1 - p) + 1) p^n or less.
         """
-        for periods in range(self.patience, self.patience_most):
+        for periods in range(self.patience, self.max_patience):
             if loss <= 0 or (periods * (1 - loss) + 1) * loss**periods <= self.link_error_rate:
                 return periods
-        return self.patience_most
+        return self.max_patience
 
     def link_timeout(self, loss: float = 0.0, lateness: int = 0) -> int:
         """Return the microseconds without two-way contact after which a link is down.
@@ -84,7 +89,7 @@
         Each step takes a tick to go out, and a period more for each retransmission, of which there are so
         many that at most one member in a hundred fleets lacks it.
         """
-        steps = 1 if count <= self.watch + 1 else ceil(log(count) / log(self.watch)) + 1
+        steps = 1 if count <= self.watch_degree + 1 else ceil(log(count) / log(self.watch_degree)) + 1
         retransmissions = 0
         if loss > 0:
             retransmissions = ceil(log(UNINFORMED_PROBABILITY / max(1, count)) / log(loss)) - 1
@@ -93,7 +98,13 @@
     def detection_bound(self, count: int, loss: float = 0.0, lateness: int = 0) -> int:
         """Return the microseconds from a member's failure until all of `count` members know it."""
         timeout = self.link_timeout(loss, lateness)
-        return timeout + 2 * self.tick + self.dissemination_time(count, loss) + self.suspect + 2 * lateness
+        return (
+            timeout
+            + 2 * self.tick
+            + self.dissemination_time(count, loss)
+            + self.suspicion_timeout
+            + 2 * lateness
+        )
 
     def staleness_bound(self, count: int, loss: float = 0.0, lateness: int = 0) -> int:
         """Return the greatest age, in microseconds, of what a view says of a member, whatever failed."""
--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -19,7 +19,7 @@
 
 
 class FailureDetector:
-    """Bounded by one link a member, and by `config.watch` links that are watched.
+    """Bounded by one link a member, and by `config.watch_degree` links that are watched.
 
     Arguments:
         table: the records and states of all members.
@@ -108,7 +108,7 @@
     def _update_graph(self) -> None:
         table = self.table
         ids = [one for one, known in table.members.items() if known.record.status != DeclaredStatus.LEFT]
-        self.graph = watch_graph(ids, self.config.watch)
+        self.graph = watch_graph(ids, self.config.watch_degree)
         table.is_graph_outdated = False
         table.is_changed = True
 
@@ -175,7 +175,7 @@
         if known.state == MemberState.FAILED:
             if known.pending_change_since is None:
                 known.pending_change_since = now
-            if now - known.pending_change_since < self.config.rise:
+            if now - known.pending_change_since < self.config.recovery_time:
                 return True
             self.table.set_state(now, known, state_in_contact(known.record))
         elif known.state == MemberState.SUSPECT:
@@ -191,7 +191,7 @@
             known.pending_change_since = now
         elif known.pending_change_since is None:
             known.pending_change_since = now
-        elif now - known.pending_change_since >= self.config.suspect:
+        elif now - known.pending_change_since >= self.config.suspicion_timeout:
             self.table.set_state(now, known, MemberState.FAILED)
             return True
         return False
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -88,7 +88,7 @@
     def _relays(self) -> int:
         """Return how often an entry is relayed: few are left out by chance."""
         count = len(self.table.members)
-        if count <= self.table.config.watch + 1:
+        if count <= self.table.config.watch_degree + 1:
             return RELAYS_IN_FULL_MESH
         return count.bit_length() + 1
 
--- a/finchcart/membership/heartbeats.py
+++ b/finchcart/membership/heartbeats.py
@@ -59,7 +59,7 @@
         known = self.table.members.get(member_id)
         if known is None or known.record.status == DeclaredStatus.LEFT:
             return False
-        # A failed one that is not heard is looked for by chance alone.
+        # A failed member that sends nothing is probed at random alone.
         span = QUIET_LINK_PERIODS * self.config.period
         return known.state != MemberState.FAILED or link.was_heard_within(now, span)
 
@@ -77,7 +77,7 @@
         """Send heartbeats to a few random failed members and seeds: so partitions find each other again."""
         members = self.table.members
         failed = [one for one, known in members.items() if known.state == MemberState.FAILED]
-        for member_id in self.random.sample(failed, min(self.config.revive, len(failed))):
+        for member_id in self.random.sample(failed, min(self.config.probes_per_period, len(failed))):
             self.send(now, member_id, self.detector.link_to(now, member_id))
         known_addresses = {
             known.record.address for known in members.values() if known.record.status != DeclaredStatus.LEFT
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -80,14 +80,14 @@
         if self._contact_since is None:
             self._contact_since = now
         # Others take as long until this one is alive in their view again.
-        if now - self._contact_since >= self.config.rise:
+        if now - self._contact_since >= self.config.recovery_time:
             self.set_isolated(False, "contact")
 
     def _on_no_contact(self, now: int, has_contacts: bool, is_connected: bool) -> None:
         self._contact_since = None
         if self._alone_since is None:
             self._alone_since = now
-        patience = self.config.suspect
+        patience = self.config.suspicion_timeout
         if has_contacts or not is_connected:
             patience += self.config.period
         if now - self._alone_since >= patience:
--- a/finchcart/membership/name_contest.py
+++ b/finchcart/membership/name_contest.py
@@ -14,7 +14,7 @@
 
 
 class NameContest:
-    """The own name, claimed by this process and perhaps by another."""
+    """The own name, and another process that uses it, if any."""
 
     def __init__(self, table: MemberTable, isolation: IsolationMonitor) -> None:
         self.table = table
--- a/finchcart/membership/receiver.py
+++ b/finchcart/membership/receiver.py
@@ -1,6 +1,6 @@
-"""What becomes of a datagram: it is decoded, its sender is checked, and its contents go to their owners.
+"""The receiver of a member: decodes datagrams, checks senders, and hands contents to their owners.
 
-Owns no state. It must never act on what a process says that does not stand under its name any more.
+Owns no state. It must never act on messages of a process whose name another process has.
 """
 
 from finchcart.fleet.codec import DatagramError, HostPort, name_hash, parse_address
--- a/finchcart/membership/view_report.py
+++ b/finchcart/membership/view_report.py
@@ -14,7 +14,7 @@
 
 
 class ViewReport:
-    """Keeps no state: the view as it is when asked for."""
+    """Reports the view as it is at the time of the request."""
 
     def __init__(self, table: MemberTable, detector: FailureDetector, isolation: IsolationMonitor) -> None:
         self.table = table
--- a/finchcart/quota/fair_share.py
+++ b/finchcart/quota/fair_share.py
@@ -1,6 +1,6 @@
-"""How a limit is divided: max-min fair by demand, what matters more first.
+"""Fair shares: the max-min fair division of a limit by demand, the more important demand first.
 
-Pure functions. It must never know leases or time: allocator.py and local_limits.py say who asks.
+Pure functions. It must never know leases or time: allocation_targets.py and local_limits.py give the demands.
 """
 
 from collections.abc import Hashable, Mapping
@@ -20,7 +20,7 @@
 
     Arguments:
         amount: to divide; a negative one counts as 0.
-        demands: name -> what it wants.
+        demands: name -> its demand.
         weights: name -> its weight, 1 where there is none.
 
     Returns:
@@ -64,7 +64,7 @@
 
     Arguments:
         amount: to divide.
-        demands: name -> what it wants in all.
+        demands: name -> its whole demand.
         priority_demands: name -> the part of that which matters more.
         weights: name -> its weight, 1 where there is none.
 
--- a/finchcart/quota/holder_records.py
+++ b/finchcart/quota/holder_records.py
@@ -41,9 +41,6 @@
         self.granted = [lease for lease in self.granted if lease.expires_at > now]
 
 
-NO_DEMAND = LimitRecord()  # of a holder that has not asked for a limit
-
-
 class HolderRecord:
     """What is known of one process of a node."""
 
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -173,7 +173,7 @@
         # While two sides merge, both may count the same member: the least part that was seen lately counts,
         # until all have the same view.
         self.recent_views.append(PartitionView(now, seen, seen + failed))
-        oldest = now - self.age - member.config.rise
+        oldest = now - self.age - member.config.recovery_time
         while self.recent_views[0].at < oldest:
             self.recent_views.popleft()
         self.view = min(self.recent_views, key=lambda view: view.fraction)
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -1,9 +1,9 @@
 """A planner: takes part in the election of the leader and, while it leads, allocates the strict limits.
 
-Owns the election's and the allocator's place on the network: reads messages, hands them on, sends what comes
-of it. It must never decide on a vote (leader_election.py) or on an amount (allocator.py). Nothing is kept on
-a disk: a planner that starts is quiet until any lease that an earlier process at its address may have granted
-is over.
+Owns the messages of election and allocator: reads them, hands them on, sends the replies. It must never
+decide on a vote (acceptor.py, leader_election.py) or on an amount (allocator.py). Nothing is kept on a disk:
+a planner that starts is quiet until any lease that an earlier process at its address may have granted has
+expired.
 
 Bounds: those of `LeaderElection` and `Allocator`.
 """
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -169,7 +169,7 @@
 
 
 def test_a_large_fleet_with_few_links_agrees_on_a_death_and_a_newcomer():
-    fleet = MembershipSimulation([f"n{n}" for n in range(80)], 1, MembershipConfig(watch=10))
+    fleet = MembershipSimulation([f"n{n}" for n in range(80)], 1, MembershipConfig(watch_degree=10))
     for name in fleet.processes:
         fleet.start(name)
     fleet.run(12 * SECOND)
