--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -39,7 +39,7 @@
     node_subject,
 )
 from finchcart.fleet.codec import DatagramError, HostPort, name_hash
-from finchcart.fleet.effects import Effect, SendDatagram
+from finchcart.fleet.effects import FleetEffect, SendDatagram
 from finchcart.fleet.inputs import CommonInput, DatagramReceived, Shutdown
 from finchcart.membership.member import Member
 
@@ -73,7 +73,7 @@
         self.status_pages = ConsensusStatus(name, self.decisions, self.counts)
         self.change_log = DecisionChangeLog(self.own_subject)
         self.member: Member | None = None
-        self.effects: list[Effect] = []
+        self.effects: list[FleetEffect] = []
         self.ended = False
         self.last_turn_at = now
         self._quiet_until = 0  # reports nothing before
@@ -81,7 +81,7 @@
 
     # ---- inputs
 
-    def reduce(self, now: int, event: ConsensusInput) -> list[Effect]:
+    def reduce(self, now: int, event: ConsensusInput) -> list[FleetEffect]:
         """Take one input; return the effects that the driver carries out."""
         self.effects = []
         match event:
@@ -109,7 +109,7 @@
         """Add one to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def turn(self, now: int, member: Member) -> list[Effect]:
+    def turn(self, now: int, member: Member) -> list[FleetEffect]:
         """Report, decide, and hand out what changed, once a tick of the member; return effects."""
         self.effects = []
         self.member = member
--- a/finchcart/fleet/effects.py
+++ b/finchcart/fleet/effects.py
@@ -7,7 +7,7 @@
 
 from finchcart.fleet.codec import HostPort
 
-Effect = tuple[Any, ...]  # of any package: a NamedTuple type each
+FleetEffect = tuple[Any, ...]  # of any package: a NamedTuple type each
 
 
 class SendDatagram(NamedTuple):
--- a/finchcart/fleet/message_endpoint.py
+++ b/finchcart/fleet/message_endpoint.py
@@ -10,7 +10,7 @@
 
 from finchcart.errors import FinchcartError
 from finchcart.fleet.codec import DatagramError, HostPort, MessageCodec
-from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.effects import FleetEffect, LogLine, SendDatagram
 from finchcart.fleet.inputs import CommonInput, DatagramReceived, Shutdown, Tick
 
 MessageT = TypeVar("MessageT", bound=Struct)
@@ -43,10 +43,10 @@
         self.fleet = fleet
         self.now = now
         self.counts: dict[str, int] = {}
-        self.effects: list[Effect] = []
+        self.effects: list[FleetEffect] = []
         self.ended = False
 
-    def reduce(self, now: int, event: CommonInput | OwnInputT) -> list[Effect]:
+    def reduce(self, now: int, event: CommonInput | OwnInputT) -> list[FleetEffect]:
         """Take one input.
 
         Arguments:
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -19,7 +19,7 @@
 from typing import Any, Protocol
 
 from finchcart.fleet.codec import HostPort
-from finchcart.fleet.effects import Effect
+from finchcart.fleet.effects import FleetEffect
 from finchcart.fleet.inputs import CommonInput, DatagramReceived, Leave, Shutdown, Tick
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.config import MembershipConfig
@@ -45,10 +45,10 @@
 class PiggybackClient(Protocol):
     """A state machine whose gossip entries are piggybacked on a member's heartbeats."""
 
-    def reduce(self, now: int, event: tuple[Any, ...]) -> Sequence[Effect]:
+    def reduce(self, now: int, event: tuple[Any, ...]) -> Sequence[FleetEffect]:
         """Take one input; return its effects."""
 
-    def turn(self, now: int, member: "Member") -> Sequence[Effect]:
+    def turn(self, now: int, member: "Member") -> Sequence[FleetEffect]:
         """Act with each tick of the member; return its effects."""
 
 
@@ -168,7 +168,7 @@
 
     # ---- inputs
 
-    def reduce(self, now: int, event: MemberInput) -> list[Effect]:
+    def reduce(self, now: int, event: MemberInput) -> list[FleetEffect]:
         """Take one input; return the effects that the driver carries out."""
         effects = self.outbox.begin_input()
         gap = now - self.last_input_at
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -4,7 +4,7 @@
 """
 
 from finchcart.fleet.codec import DatagramError, HostPort
-from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.effects import FleetEffect, LogLine, SendDatagram
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.messages import CODEC, Message
 
@@ -20,11 +20,11 @@
     def __init__(self, fleet: str, config: MembershipConfig) -> None:
         self.fleet = fleet
         self.config = config
-        self.effects: list[Effect] = []
+        self.effects: list[FleetEffect] = []
         self.counts: dict[str, int] = {}
         self.sent_in_period = 0
 
-    def begin_input(self) -> list[Effect]:
+    def begin_input(self) -> list[FleetEffect]:
         """Begin an input; return the list that its effects are added to."""
         self.effects = []
         return self.effects
@@ -38,7 +38,7 @@
         """Add to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + by
 
-    def emit(self, effect: Effect) -> None:
+    def emit(self, effect: FleetEffect) -> None:
         """Add an effect."""
         self.effects.append(effect)
 
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -20,7 +20,7 @@
 from loguru import logger
 
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES
-from finchcart.fleet.effects import Effect, LogLine, SendDatagram
+from finchcart.fleet.effects import FleetEffect, LogLine, SendDatagram
 from finchcart.fleet.inputs import DatagramReceived, Shutdown, Tick
 from finchcart.membership.effects import IsolationChanged, MemberChanged
 from finchcart.net.clock import boot_clock
@@ -48,7 +48,7 @@
 
     ended: bool
 
-    def reduce(self, now: int, event: Any) -> Sequence[Effect]:  # each machine has inputs of its own
+    def reduce(self, now: int, event: Any) -> Sequence[FleetEffect]:  # each machine has inputs of its own
         """Process one input; return effects, told apart by type."""
 
     def count(self, reason: str) -> None:
@@ -69,7 +69,7 @@
         self,
         listen: Address,
         make_machines: Callable[[int], Mapping[bytes, StateMachine]],
-        publish: Callable[[Effect], object],
+        publish: Callable[[FleetEffect], object],
         reload: Callable[[], Sequence[tuple[bytes, MachineInput]]],
     ) -> None:
         self.sock = socket(AF_INET, SOCK_DGRAM)
@@ -195,7 +195,7 @@
     def _feed(self, machine: StateMachine, event: MachineInput) -> None:
         self._execute(machine, machine.reduce(boot_clock(), event))
 
-    def _execute(self, machine: StateMachine, effects: Sequence[Effect]) -> None:
+    def _execute(self, machine: StateMachine, effects: Sequence[FleetEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendDatagram(address, data):
@@ -210,7 +210,7 @@
                     _log_change(effect)
 
 
-def _log_change(change: Effect) -> None:
+def _log_change(change: FleetEffect) -> None:
     """Log a change of membership; other changes have lines of their own."""
     match change:
         case MemberChanged(name, state, incarnation):
--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -6,7 +6,7 @@
 """
 
 from finchcart.consensus.effects import DecisionsChanged
-from finchcart.fleet.effects import Effect
+from finchcart.fleet.effects import FleetEffect
 from finchcart.key_leases.effects import LeaseAnswer
 from finchcart.key_leases.inputs import (
     AbandonKeyLease,
@@ -46,7 +46,7 @@
 }
 
 
-def fleet_input(change: Effect) -> FleetInput:
+def fleet_input(change: FleetEffect) -> FleetInput:
     """Return the input of the core for a change that a state machine of the fleet emitted."""
     match change:
         case LimitAllowance():
