--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -15,14 +15,14 @@
 calls, control loop, drain).
 """
 
-from collections.abc import Mapping
 from math import log2
 from random import Random
 
 from finchcart.decisions.histogram import Histogram
 from finchcart.decisions.interface import Gauges, Outcome, Port
+from finchcart.decisions.method_record import MethodRecord, order_by_criticality
 from finchcart.decisions.node_record import NodeRecord
-from finchcart.decisions.node_settings import MethodSettings, NodeSettings, order_by_criticality
+from finchcart.decisions.node_settings import Feedback, MethodSettings, NodeSettings
 from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
@@ -35,9 +35,6 @@
 MIN_IDLE_TIMEOUT = 10 * MS  # of connections
 MAX_IDLE_TIMEOUT = 8 * SECOND
 HISTOGRAM_SAMPLES = 120  # histograms are halved when they reach it, so that old samples fade
-DEFAULT_DEADLINE = 5 * SECOND  # this and the next: for settings that are not told
-DEFAULTS = {"overload_factor": 4, "calls_window": 5 * SECOND, "calls_linger": 200 * MS, "tick": MS}
-DEFAULTS |= {"feedback": "level", "feedback_lifetime": SECOND, "idle_timeout_max": MAX_IDLE_TIMEOUT}
 
 # When answers are due.
 ANSWER_MARGIN = 20 * MS  # an RPC is answered so long before it is due, besides ticks and an interval
@@ -108,11 +105,11 @@
 MAX_CALLERS_SEEN = 999  # then those are removed that were not seen for the longest idle timeout
 
 
-class Method(MethodSettings):
+class Method(MethodRecord):
     """One method: its settings, and what is learned of it. Run times leave out the time at calls."""
 
-    def __init__(self, settings: Mapping[str, object], number: int, cold_factor: float) -> None:
-        super().__init__(settings, number, DEFAULT_DEADLINE)
+    def __init__(self, settings: MethodSettings, can_stop: bool, cold_factor: float) -> None:
+        super().__init__(settings, can_stop)
         self.admitted_share = 1.0
         self.overshoot = 0.0  # expected latency over the part of the objective that the loop aims at
         # Before anything is measured: a run takes a sixth of the objective, and hints are half believed.
@@ -225,20 +222,19 @@
 
 
 class NodeController(NodeRecord):
-    """The decisions of one node. `settings`: see interface.py; `seed`: of all left to chance."""
+    """The decisions of one node. `settings`: see node_settings.py; `seed`: of all left to chance."""
 
-    def __init__(self, port: Port, settings: Mapping[str, object], seed: int) -> None:
-        super().__init__(NodeSettings.pick(settings, DEFAULTS))
+    def __init__(self, port: Port, settings: NodeSettings, seed: int) -> None:
+        super().__init__(settings)
         self.port = port
         self.random = Random(seed).random
         cold_factor = 1 / max(self.settings.cold_start_speed if self.is_cold else 1, 0.1)
-        numbers = range(settings.get("methods.count", 0))
-        self.methods = [Method(settings, number, cold_factor) for number in numbers]
+        self.methods = [Method(method, settings.can_stop, cold_factor) for method in settings.methods]
         self.methods_by_name = {method.name: method for method in self.methods}
         self.rank_count = order_by_criticality(self.methods)
         self.shortest_objective = min((method.latency_objective for method in self.methods), default=SECOND)
         self.call_time = Histogram(2 * MS, 30 * MS, HISTOGRAM_SAMPLES)
-        self.max_call_credit = MAX_CREDIT_PART * self.settings.calls_limit * self.settings.calls_window
+        self.max_call_credit = MAX_CREDIT_PART * self.calls_limit * self.settings.calls_window_us
         self.call_credit = self.max_call_credit
         self._set_timer_lateness(0)
 
@@ -375,7 +371,7 @@
         do_not_retry = fits_nowhere or (self.kill_at is None and fleet_is_full)
         # Advice keeps a caller away from this node; where none comes again soon it only delays the client.
         is_heeded = expected_wait > MIN_ADVISED_WAIT and self.returning_ratio > RETURNING_FOR_ADVICE
-        retry_after = int(min(self.settings.retry_after_max, expected_wait)) if is_heeded else 0
+        retry_after = int(min(self.settings.retry_after_max_us, expected_wait)) if is_heeded else 0
         self.port.reject(rpc.index, retry_after, do_not_retry)
         self.finish(now, rpc)
 
@@ -470,7 +466,7 @@
         if rpc.method.keyed:
             expires_at = rpc.reached_at + rpc.method.key_window + KEY_EXTRA_TIME
             self.port.store_key(rpc.index, expires_at - now)
-            self.count_key(rpc, expires_at, expires_at + 2 * self.settings.tick)
+            self.count_key(rpc, expires_at, expires_at + 2 * self.settings.tick_us)
 
     # ---- Calls to the dependency
 
@@ -478,7 +474,7 @@
         """Makes or leaves out the calls that runs await, as far as the share of the dependency allows."""
         # A dependency may come back cold: each node's share grows from when it was last unreachable.
         progress = self.settings.warm_up_progress(now - self.unreachable_at)
-        share = self.settings.calls_limit * progress
+        share = self.calls_limit * progress
         self._refill_call_credit(now, share)
         self.forget_abandoned_calls(now)
         if not self.awaiting_calls:
@@ -496,12 +492,12 @@
 
     def _refill_call_credit(self, now: int, share: float) -> None:
         refilled = self.call_credit + REFILL_PART * share * (now - self.call_credit_at)
-        self.call_credit = min(refilled, MAX_CREDIT_PART * share * self.settings.calls_window)
+        self.call_credit = min(refilled, MAX_CREDIT_PART * share * self.settings.calls_window_us)
         self.call_credit_at = now
 
     def _call_limit(self, share: float) -> int:
         """Calls in flight at once: a slow dependency, or one that used up its credit, is not pressed."""
-        ample_credit = AMPLE_CREDIT_PART * self.settings.calls_limit * self.settings.calls_window
+        ample_credit = AMPLE_CREDIT_PART * self.calls_limit * self.settings.calls_window_us
         is_quick = SHORT_CALLS * self.call_time.mean < self.shortest_objective and not self.abandoned_calls
         part = AMPLE_CALL_PART if is_quick and self.call_credit > ample_credit else CAUTIOUS_CALL_PART
         return max(1, int(part * share))
@@ -521,9 +517,9 @@
         timeout = rpc.due_at - now - self.answer_margin
         if can_degrade:
             timeout = min(timeout, max(time_left - run_time, self.call_time.quantile(USUAL_CALL)))
-        longest = self.settings.calls_limit * self.settings.calls_window / limit
+        longest = self.calls_limit * self.settings.calls_window_us / limit
         self.begin_call(now, rpc)
-        self.port.call(rpc.index, max(self.settings.tick, int(min(timeout, longest))))
+        self.port.call(rpc.index, max(self.settings.tick_us, int(min(timeout, longest))))
 
     def end_call(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
         """A call ended; one that was abandoned goes on downstream for a while."""
@@ -531,8 +527,8 @@
         self.calls_in_flight -= 1
         self.call_credit -= now - rpc.called_at
         if outcome in (Outcome.TIMEOUT, Outcome.CONNECTION_LOST):
-            self.abandoned_calls.append(now + self.settings.calls_linger)
-            self.call_credit -= self.settings.calls_linger
+            self.abandoned_calls.append(now + self.calls_linger_us)
+            self.call_credit -= self.calls_linger_us
         elif outcome is Outcome.UNREACHABLE:
             self.unreachable_at = now
 
@@ -545,7 +541,7 @@
 
     def on_timer(self, now: int, name: str, gauges: Gauges) -> None:
         """Looks at the gauges and at what is due, and turns the control loop once."""
-        lateness = now - self.last_maintenance - MAINTENANCE_INTERVAL - 2 * self.settings.tick
+        lateness = now - self.last_maintenance - MAINTENANCE_INTERVAL - 2 * self.settings.tick_us
         self._set_timer_lateness(max(lateness, self.timer_lateness * 63 // 64, 0))  # fades in seconds
         self.read_gauges(gauges)
         self.forget_callers(now - MAX_IDLE_TIMEOUT, MAX_CALLERS_SEEN)
@@ -562,7 +558,7 @@
     def _set_timer_lateness(self, lateness: int) -> None:
         """RPCs are answered a few ticks before they are due, and twice what stalls lately cost."""
         self.timer_lateness = lateness
-        margin = 2 * self.settings.tick + MAINTENANCE_INTERVAL + ANSWER_MARGIN
+        margin = 2 * self.settings.tick_us + MAINTENANCE_INTERVAL + ANSWER_MARGIN
         self.answer_margin = margin + min(2 * lateness, MAX_LATENESS_MARGIN)
 
     def _is_due(self, now: int, rpc: RpcHandle) -> bool:
@@ -609,9 +605,9 @@
         self._measure_overshoot(now, unread_wait)
         self._adjust_shares()
         self._adjust_run_limit(now)
-        if self.settings.feedback == "level":
+        if self.settings.feedback is Feedback.LEVEL:
             self._publish_level()
-        elif self.settings.feedback == "credit":
+        elif self.settings.feedback is Feedback.CREDIT:
             self._publish_credit(now)
         self._end_grace(now)
         lost = unread_wait / self.shortest_objective
@@ -665,7 +661,7 @@
 
     def _publish_credit(self, now: int) -> None:
         """Publishes how many RPCs a caller may have open: its part of what ends within the objective."""
-        callers = sum(now - at < self.settings.feedback_lifetime for at in self.callers_seen.values())
+        callers = sum(now - at < self.settings.feedback_lifetime_us for at in self.callers_seen.values())
         run_time = max((method.run_time.mean for method in self.methods), default=SECOND) * self.slowness
         capacity = self.run_limit * max(1.0, OBJECTIVE_PART * self.shortest_objective / run_time)
         credit = CREDIT_FACTOR * capacity / max(1, callers)
@@ -692,14 +688,14 @@
         RPCs lose their time unread or no level keeps callers off: a full table rejects at the least cost."""
         was_kept = self.keeps_idle_connections
         keep = self.returning_ratio > KEEP_IDLE_RETURNING[was_kept] or lost > KEEP_IDLE_LOSS[was_kept]
-        if self.settings.feedback != "level":
+        if self.settings.feedback is not Feedback.LEVEL:
             share = min((method.admitted_share for method in self.methods), default=1)
             keep = keep or share < KEEP_IDLE_SHARE[was_kept]
         if self.draining_past_grace or keep == was_kept:
             return
         self.keeps_idle_connections = keep
         timeout = MAX_IDLE_TIMEOUT if keep else MIN_IDLE_TIMEOUT
-        self.port.set_idle_timeout(min(self.settings.idle_timeout_max, timeout))
+        self.port.set_idle_timeout(min(self.settings.idle_timeout_max_us, timeout))
         why = f"{self.returning_ratio:.2f} returning, {lost:.2f} lost unread"
         self.port.log(f"idle timeout {timeout // MS} ms: {why}")
 
@@ -708,7 +704,7 @@
     def drain(self, now: int, kill_at: int) -> None:
         """The notice to leave. The node is unhealthy from here on, and serves until the grace ends."""
         if self.kill_at is None:
-            self.grace_end = now + self.settings.drain_grace
+            self.grace_end = now + self.settings.drain_grace_us
             self.port.set_health(False, True)
         self.kill_at = min(kill_at, self.kill_at or kill_at)
         in_hand = f"{self.runs_in_progress} running {len(self.queue)} queued"
--- a/finchcart/decisions/interface.py
+++ b/finchcart/decisions/interface.py
@@ -3,25 +3,6 @@
 A host (the simulator adapter, or the node) implements `Port`, makes one `NodeController` for each node (see
 controller.py) and reports to it what happens. Times are whole microseconds on one clock; an RPC is
 named by a small index that the host assigns. Nothing in this file decides anything.
-
-Settings are one flat mapping (finchcart/settings.py reads it from a configuration). The decision module looks
-for these names, all optional but `cores` and the methods:
-
-- `methods.count`, and for each method N: `methods.N.name`, `.kind` (`idempotent`, `keyed`,
-  `non_idempotent`), `.criticality`, `.latency_target`, `.deadline`, `.window` (of its idempotency keys),
-  `.late_value`
-- for each method, as a tuple: `degraded_value` (value of an answer without its optional call; 0: the call is
-  not optional) and `method_calls` (whether a run makes a call)
-- `cores`, `memory_kb`, `run_factor` (memory of a running RPC over that of a queued one), `key_entry_kb`,
-  `tick`, `can_stop` (running work can be stopped), `can_pause` (with it: a run that is stopped while an
-  answer is owed is paused, keeps its memory, and is resumed by `Port.run`)
-- `drain_grace` (for so long RPCs are served after the drain notice), `overload_factor` (running RPCs that a
-  core survives), `fresh_start`, `cold_start_speed`, `warm_up` (a fresh start begins at this part of its speed
-  and reaches all of it after this time)
-- `dependency` (`shared`, the default, or `tier`), `calls_limit`, `calls_window`, `calls_linger`: the node's
-  share of the dependency, where it is shared
-- `feedback` (`level`, `credit`; others are not used), `feedback_lifetime` (for so long callers heed it),
-  `retry_after_max`, `idle_timeout_max`, `marks_retries` (false: retries carry no mark)
 """
 
 from collections.abc import Mapping
--- a/finchcart/decisions/node_record.py
+++ b/finchcart/decisions/node_record.py
@@ -8,7 +8,12 @@
 from heapq import heappop, heappush
 
 from finchcart.decisions.interface import Gauges
-from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_settings import (
+    DEFAULT_CALLS_LINGER_US,
+    UNLIMITED_CALLS,
+    Dependency,
+    NodeSettings,
+)
 from finchcart.decisions.rpc_record import RpcRecord, RpcState
 
 # Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
@@ -22,6 +27,11 @@
         """A node that holds nothing."""
         self.settings = settings
         self.cores = settings.cores
+        # A tier decides for itself: no share of it is kept to.
+        is_shared = settings.dependency is Dependency.SHARED
+        self.calls_limit = settings.calls_limit if is_shared else UNLIMITED_CALLS
+        linger_us = settings.calls_linger_us
+        self.calls_linger_us = DEFAULT_CALLS_LINGER_US if linger_us is None else linger_us
         self.gauges = Gauges()  # as last reported
         self.active: dict[int, RpcRecord] = {}  # by index: what is not completed
         self.completed: dict[int, RpcRecord] = {}  # by index: known for as long as their keys are stored
--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -1,92 +1,101 @@
-"""Settings of a node and of its methods, as named fields. Names and units: finchcart/decisions/interface.py.
+"""The settings of a node and of its methods, as typed fields with their units and defaults.
 
-What stands in for a setting that is not told is chosen here only where it means "none" or "no limit"; what
-would be a decision is given by finchcart/decisions/controller.py.
+Owns each field, what it means and what holds where it is not told. It must never know how a setting is called
+outside: finchcart/settings.py makes these types from a configuration or from the simulator's pairs.
 """
 
-from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
+from enum import Enum
+
+MS = 1_000  # microseconds
+SECOND = 1_000_000
 
 UNLIMITED_CALLS = 1e9
 UNLIMITED_MEMORY_KB = 1e12
-DEPENDENCY_OF_ALL = "shared"  # it has one limit, and each node a share of that
 
+# These hold where None stands in the field: its users differ in what they do without it.
+DEFAULT_CRITICALITY = 1
+DEFAULT_DEADLINE_US = 5 * SECOND
+DEFAULT_CALLS_LINGER_US = 200 * MS
+
+
+class MethodKind(Enum):
+    """How often a method may run for one request."""
+
+    IDEMPOTENT = "idempotent"  # any number of times
+    KEYED = "keyed"  # once for each idempotency key
+    NON_IDEMPOTENT = "non_idempotent"  # once
+
+
+class Feedback(Enum):
+    """What a node publishes to its callers with each answer."""
+
+    LEVEL = "level"  # the shed level: the criticality below which callers hold RPCs back
+    CREDIT = "credit"  # how many RPCs each caller may have open
+    WEIGHT = "weight"  # accepted as a setting, and published like SILENT: not at all
+    SILENT = "silent"
 
-@dataclass(frozen=True, slots=True)
-class NodeSettings:
-    """Settings of the node."""
-
-    overload_factor: float
-    calls_window: int
-    calls_linger: int
-    feedback: str
-    feedback_lifetime: int
-    idle_timeout_max: int
-    tick: int
-    cores: float = 1
-    memory_kb: float = UNLIMITED_MEMORY_KB
-    run_factor: float = 1
-    key_entry_kb: float = 0
-    can_pause: bool = False
-    drain_grace: int = 0
-    fresh_start: bool = False
-    cold_start_speed: float = 1
-    warm_up: int = 1
-    dependency: str = DEPENDENCY_OF_ALL
-    calls_limit: float = UNLIMITED_CALLS
-    retry_after_max: int = 0
-    marks_retries: bool = True
-
-    @classmethod
-    def pick(cls, settings: Mapping[str, object], defaults: Mapping[str, object]) -> "NodeSettings":
-        """The node's part of all settings."""
-        told = {**defaults, **settings}
-        picked = {field.name: told[field.name] for field in fields(cls) if field.name in told}
-        if picked.get("dependency", DEPENDENCY_OF_ALL) != DEPENDENCY_OF_ALL:
-            picked["calls_limit"] = UNLIMITED_CALLS  # a tier decides for itself; no share of it is told
-        return cls(**picked)
-
-    def warm_up_progress(self, elapsed: int) -> float:
-        """Part of its full speed that what began to warm up has reached, on the slowest ramp allowed."""
-        start = self.cold_start_speed
-        return min(1.0, start + (1 - start) * elapsed / max(1, self.warm_up))
 
+class Dependency(Enum):
+    """What limits the calls that runs make."""
 
+    SHARED = "shared"  # one limit for all nodes, of which each has a share
+    TIER = "tier"  # a tier of nodes that decides for itself: no share is kept to here
+    SILENT = "silent"  # nothing is told of it, as with TIER
+
+
+@dataclass(frozen=True, slots=True)
 class MethodSettings:
     """Settings of one method."""
 
-    def __init__(self, settings: Mapping[str, object], number: int, default_deadline: int) -> None:
-        """`number`: of the method in the settings, from 0."""
-
-        def setting(name: str, default: object) -> object:
-            return settings.get(f"methods.{number}.{name}", default)
-
-        def item(name: str) -> object:
-            values = settings.get(name, 0)
-            return values[number] if isinstance(values, tuple) else values
-
-        kind = setting("kind", "non_idempotent")
-        self.name = setting("name", str(number))
-        self.keyed = kind == "keyed"
-        self.idempotent = kind == "idempotent"
-        self.criticality = setting("criticality", 1)
-        self.criticality_rank = 0  # among those of the node; 0: the least critical
-        self.more_critical: list[MethodSettings] = []
-        self.less_critical: list[MethodSettings] = []
-        self.deadline = setting("deadline", default_deadline)
-        self.latency_objective = setting("latency_target", self.deadline)
-        self.key_window = setting("window", 0)
-        self.degraded_value = item("degraded_value")  # of an answer without its call; 0: not optional
-        self.needs_call = not self.degraded_value and bool(item("method_calls"))
-        self.stoppable = self.idempotent and settings.get("can_stop", False)
-        self.worthless_when_late = self.stoppable and not setting("late_value", 0)
-
-
-def order_by_criticality(methods: Sequence[MethodSettings]) -> int:
-    """Tell each method its rank and those above and below; returns the number of ranks."""
-    criticalities = sorted({method.criticality for method in methods})
-    for method in methods:
-        method.criticality_rank = criticalities.index(method.criticality)
-        method.more_critical = [other for other in methods if other.criticality > method.criticality]
-        method.less_critical = [other for other in methods if other.criticality < method.criticality]
-    return len(criticalities)
+    name: str
+    kind: MethodKind = MethodKind.NON_IDEMPOTENT
+    criticality: float | None = None  # the higher, the later it is shed; None: not told
+    deadline_us: int | None = None  # from its arrival, where an RPC carries none; None: not told
+    latency_objective_us: int | None = None  # None: the deadline
+    key_window_us: int = 0  # a duplicate may arrive so long after the first RPC of its idempotency key
+    late_value: float = 0  # value of an answer after the objective; 0: such a run may be stopped
+    makes_call: bool = False  # a run calls the dependency
+    degraded_value: float = 0  # value of an answer without its optional call; 0: the call is not optional
+
+
+@dataclass(frozen=True, slots=True)
+class NodeSettings:
+    """Settings of a node. Memory is in units of 1024 bytes."""
+
+    methods: tuple[MethodSettings, ...] = ()
+
+    # The machine and what runs RPCs
+    cores: float = 1
+    memory_kb: float = UNLIMITED_MEMORY_KB
+    run_memory_factor: float = 1  # memory of a running RPC over that of a queued one
+    key_entry_kb: float = 0  # memory of one stored idempotency key
+    tick_us: int = MS  # resolution of timers
+    gauges: tuple[str, ...] = ()  # names of the worker pool's gauges that are read
+    can_stop: bool = False  # running work can be stopped
+    can_pause: bool = False  # with it: a run that is stopped before its answer keeps its work and its memory
+
+    # Overload and cold start
+    overload_factor: float = 4  # runs that a core survives
+    fresh_start: bool = False  # the node starts cold
+    cold_start_speed: float = 1  # part of its full speed at which a cold start begins
+    warm_up_us: int = 1  # a cold start reaches its full speed after this
+    drain_grace_us: int = 0  # RPCs are served for so long after the drain notice
+
+    # Calls to the dependency
+    dependency: Dependency = Dependency.SHARED
+    calls_limit: float = UNLIMITED_CALLS  # mean calls in flight that are this node's share, with SHARED
+    calls_window_us: int = 5 * SECOND  # the mean is taken over this
+    calls_linger_us: int | None = None  # an abandoned call goes on downstream for so long; None: not told
+
+    # Callers
+    feedback: Feedback = Feedback.LEVEL
+    feedback_lifetime_us: int = SECOND  # callers heed what is published for so long
+    idle_timeout_max_us: int = 8 * SECOND  # of callers' connections
+    retry_after_max_us: int = 0  # of the advice in a rejection; 0: none is given
+    marks_retries: bool = True  # callers mark their retries
+
+    def warm_up_progress(self, elapsed_us: int) -> float:
+        """Return the part of full speed reached after `elapsed_us`, on the slowest ramp allowed."""
+        start = self.cold_start_speed
+        return min(1.0, start + (1 - start) * elapsed_us / max(1, self.warm_up_us))
--- a/finchcart/decisions/rpc_record.py
+++ b/finchcart/decisions/rpc_record.py
@@ -86,7 +86,7 @@
         self.index = index  # names the RPC at the port
         self.method = method
         self.memory_kb = memory_kb  # held until it is completed
-        self.extra_run_kb = memory_kb * (control.settings.run_factor - 1)  # held besides by its run
+        self.extra_run_kb = memory_kb * (control.settings.run_memory_factor - 1)  # held besides by its run
         self.reached_at = now - waited
         self.due_at = expires_at or self.reached_at + method.deadline  # its answer is owed until then
         self.shed_rank = shed_rank  # 0 to 1, of its user; the lowest are shed first
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -9,10 +9,12 @@
 """
 
 from collections.abc import Callable, Mapping, Sequence
-from typing import TYPE_CHECKING, Any
+from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Gauges
+from finchcart.decisions.node_settings import NodeSettings
 from finchcart.limits import Limits
 from finchcart.node import inputs
 from finchcart.node.effect_buffer import EffectBuffer
@@ -26,6 +28,7 @@
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
 from finchcart.node.store import StoreClient
+from finchcart.node.supported_settings import ShadowSettings, supported_settings
 from finchcart.node.wall_clock import Arrival, WallClock
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.protocol import connection_events
@@ -39,47 +42,31 @@
 Address = tuple[str, int]
 
 
-def available_settings(settings: Mapping[str, Any]) -> dict[str, Any]:
-    """The settings without what a node can't do, whatever they allow.
-
-    This worker pool's protocol has no word for stopping or pausing work, and dispatchers' answers carry a
-    shed level alone.
-    """
-    feedback = settings.get("feedback", "level")
-    unavailable = {
-        "can_stop": False,
-        "can_pause": False,
-        "feedback": feedback if feedback == "level" else "none",
-    }
-    return {**settings, **unavailable}
-
-
 class Core:
     """The state of one node. Times are whole microseconds.
 
     Arguments:
-        settings: of the decision module, see decisions/interface.py; `gauges` names the worker pool's
-        readings. limits: sizes and times of the node. seed: of the decision module. name: by which the
-        registry knows the node. addresses: of "pool", "store" (None: there is none) and "registry".
-        make_frontends: from the core to its frontends by name. shadow: None, or the `settings` to watch and
-        the `period` between lines, see shadow.py. limiters: of the fleet's limits, or None. observer: for the
+        settings: see decisions/node_settings.py. limits: sizes and times of the node. seed: of the decision
+        module. name: by which the registry knows the node. addresses: of "pool", "store" (None: there is
+        none) and "registry". make_frontends: from the core to its frontends by name. shadow: what is watched,
+        or None, see shadow.py. limiters: of the fleet's limits, or None. observer: for the
         fleet's consensus, or None. make_key_leases: from the turn to what gets key leases for runs, or None.
     """
 
     def __init__(
         self,
-        settings: Mapping[str, Any],
+        settings: NodeSettings,
         limits: Limits,
         seed: int,
         name: str,
         addresses: Mapping[str, Address | None],
         make_frontends: Callable[[FrontendHost], Mapping[str, Frontend]],
-        shadow: Mapping[str, Any] | None = None,
+        shadow: ShadowSettings | None = None,
         limiters: "LimiterSet | None" = None,
         observer: "NodeObserver | None" = None,
         make_key_leases: "Callable[[EffectBuffer], KeyLeaseGate] | None" = None,
     ) -> None:
-        self.settings = available_settings(settings)
+        self.settings = supported_settings(settings)
         self.limits = limits
         self.seed = seed
         self.shadow = shadow
@@ -94,8 +81,8 @@
         self.pool = self._make_worker_pool(addresses["pool"])
         self.store = self._make_store_client(addresses["store"])
         self.lifecycle.connect(self.pool, self.store)
-        grace_us = settings.get("drain_grace", 0)
-        self.registration = Registration(turn, limits, name, addresses["registry"], grace_us, self)
+        registry = addresses["registry"]
+        self.registration = Registration(turn, limits, name, registry, settings.drain_grace_us, self)
         self.frontends: Mapping[str, Frontend] = make_frontends(self)
         self.port = self._make_port()
         self._longest_wait_us = 0  # of the inputs since the last timer of the decision module
@@ -110,12 +97,10 @@
         return IdempotencyCache(self.turn, late_read_us, self.limits.cached_results)
 
     def _make_worker_pool(self, address: Address) -> WorkerPool:
-        gauges = self.settings.get("gauges", ())
-        gauge_names = gauges if isinstance(gauges, tuple) else (gauges,)
-        return WorkerPool(self.turn, self.limits, address, gauge_names, self.lifecycle, self)
+        return WorkerPool(self.turn, self.limits, address, self.settings.gauges, self.lifecycle, self)
 
     def _make_store_client(self, address: Address | None) -> StoreClient:
-        linger_us = self.settings.get("calls_linger", 0) if self.limiters else 0
+        linger_us = (self.settings.calls_linger_us or 0) if self.limiters else 0
         return StoreClient(self.turn, self.limits, address, self.lifecycle.call_ended, linger_us)
 
     def _make_port(self) -> CorePort:
@@ -310,21 +295,22 @@
     def worker_pool_up(self, cold: bool) -> None:
         """It is there for the first time: the decision module starts."""
         # The ramp of a cold start counts from the worker pool's: a later start is the slower reckoning.
-        settings = {**self.settings, "fresh_start": cold}
-        self.control = self._make_control(settings)
+        self.control = self._make_control(cold)
         self.lifecycle.control = self.control
         self.registration.worker_pool_up()
         self.control.start(self.turn.now)
         if self.registration.drain_notice_at is not None:
             self._drain_control()  # the notice came before the worker pool
 
-    def _make_control(self, settings: dict[str, Any]) -> "NodeController | ShadowController":
+    def _make_control(self, cold: bool) -> "NodeController | ShadowController":
+        settings = replace(self.settings, fresh_start=cold)
         if not self.shadow:
             return NodeController(self.port, settings, self.seed)
         from finchcart.node.shadow import ShadowController  # not imported where nothing is watched
 
-        watched = {**settings, **self.shadow["settings"], "fresh_start": settings["fresh_start"]}
-        return ShadowController(self.port, settings, watched, self.seed, self.shadow["period"], self.port.log)
+        watched = replace(self.shadow.settings, fresh_start=cold)
+        shadow = self.shadow._replace(settings=watched)
+        return ShadowController(self.port, settings, shadow, self.seed, self.port.log)
 
     def worker_pool_restarted(self, cold: bool) -> None:
         """It has lost its runs: each is answered, none is run again."""
--- a/finchcart/node/methods.py
+++ b/finchcart/node/methods.py
@@ -4,40 +4,35 @@
 settings by itself.
 """
 
-from collections.abc import Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-DEFAULT_DEADLINE_US = 5_000_000
-KEYED = "keyed"
-IDEMPOTENT = "idempotent"
+from finchcart.decisions.node_settings import DEFAULT_DEADLINE_US, MethodKind, NodeSettings
 
 
 class MethodInfo(NamedTuple):
     """One method. Times are whole microseconds."""
 
-    kind: str | None  # KEYED, IDEMPOTENT or "non_idempotent"
+    is_idempotent: bool
+    is_keyed: bool  # its requests carry an idempotency key
     degraded_value: float  # of an answer without its optional call; 0: the call is not optional
     deadline_us: int
     late_read_us: int  # so long after its arrival an RPC may still be read
     has_priority: bool  # it is more critical than the least critical method
 
 
-def read_methods(settings: Mapping[str, Any], late_read_us: int) -> dict[str, MethodInfo]:
-    """The methods by name. `late_read_us`: RPCs may be read so long after their deadline."""
-    numbers = range(settings.get("methods.count", 0))
-    names = {number: settings.get(f"methods.{number}.name") for number in numbers}
-    criticality = {name: settings.get(f"methods.{number}.criticality") or 0 for number, name in names.items()}
-    least = min(criticality.values(), default=0)
-    degraded = settings.get("degraded_value", 0)
+def read_methods(settings: NodeSettings, late_read_us: int) -> dict[str, MethodInfo]:
+    """Return the methods by name. `late_read_us`: RPCs may be read so long after their deadline."""
+    # Unlike the decision module, the node ranks a method whose criticality is not told below all others.
+    least = min((method.criticality or 0 for method in settings.methods), default=0)
     methods = {}
-    for number, name in names.items():
-        deadline_us = settings.get(f"methods.{number}.deadline")
-        methods[name] = MethodInfo(
-            kind=settings.get(f"methods.{number}.kind"),
-            degraded_value=degraded[number] if isinstance(degraded, tuple) else degraded,
-            deadline_us=deadline_us or DEFAULT_DEADLINE_US,
+    for method in settings.methods:
+        methods[method.name] = MethodInfo(
+            is_idempotent=method.kind is MethodKind.IDEMPOTENT,
+            is_keyed=method.kind is MethodKind.KEYED,
+            degraded_value=method.degraded_value,
+            deadline_us=method.deadline_us or DEFAULT_DEADLINE_US,
             # A retry that reached the machine while a key was kept may be read as late as its deadline.
-            late_read_us=(deadline_us or 0) + late_read_us,
-            has_priority=criticality[name] > least,
+            late_read_us=(method.deadline_us or 0) + late_read_us,
+            has_priority=(method.criticality or 0) > least,
         )
     return methods
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -9,7 +9,6 @@
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer, Log
 from finchcart.node.inputs import CallNotMade, RunNotStarted
-from finchcart.node.methods import IDEMPOTENT
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import FinalOutcome, NodeRpc
 from finchcart.node.rpc_lifecycle import RpcLifecycle
@@ -58,7 +57,7 @@
             return
         if rpc.key_entry:
             rpc.key_entry.ran = True
-        self.pool.run(rpc, self.lifecycle.methods[rpc.method].kind == IDEMPOTENT)
+        self.pool.run(rpc, self.lifecycle.methods[rpc.method].is_idempotent)
 
     def stop(self, index: int) -> None:
         """Never called: the settings say to the decision module that this worker pool stops nothing."""
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -13,12 +13,14 @@
 """
 
 from collections import Counter
-from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple, TypeVar
+from collections.abc import Callable
+from typing import NamedTuple, TypeVar
 
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Gauges, Outcome, Port
+from finchcart.decisions.node_settings import NodeSettings
 from finchcart.decisions.rpc_record import RpcRecord, RpcState
+from finchcart.node.supported_settings import ShadowSettings
 
 # What is counted, in the words of the log line.
 ADMITTED_WOULD_REJECT = "taken, would be pushed back"
@@ -117,7 +119,7 @@
 
 
 class ShadowController:
-    """Called like a `NodeController`. `period_us`: between log lines; `log(text)`: one line.
+    """Called like a `NodeController`. `shadow`: what is watched; `log(text)`: one line.
 
     Bounds: handles by what the active instance has open, and the shadow's own memory of idempotency keys.
     """
@@ -125,16 +127,15 @@
     def __init__(
         self,
         port: Port,
-        settings: Mapping[str, Any],
-        watched_settings: Mapping[str, Any],
+        settings: NodeSettings,
+        shadow: ShadowSettings,
         seed: int,
-        period_us: int,
         log: Callable[[str], None],
     ) -> None:
         self.port = RecordingPort(port)
         self.shadow_port = RecordingPort()
         self.active = NodeController(self.port, settings, seed)
-        self.period_us = period_us
+        self.period_us = shadow.period_us
         self.log = log
         self.logged_at = 0
         self.counts: Counter[str] = Counter()
@@ -142,7 +143,7 @@
         self.handles: dict[int, ShadowedHandle] = {}  # by index, of what the active instance has open
         # None: the watching is over.
         self.shadow: NodeController | None = self._guarded(
-            NodeController, self.shadow_port, watched_settings, seed
+            NodeController, self.shadow_port, shadow.settings, seed
         )
 
     def _guarded(self, act: Callable[..., T], *arguments: object, **keywords: object) -> T | None:
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -12,10 +12,12 @@
 from loguru import logger
 
 from finchcart import settings
+from finchcart.decisions.node_settings import DEFAULT_DEADLINE_US, NodeSettings
 from finchcart.errors import ConfigError
 from finchcart.limits import MS, Limits
 from finchcart.node.inputs import AddressesChanged
-from finchcart.node.methods import DEFAULT_DEADLINE_US, read_methods
+from finchcart.node.methods import read_methods
+from finchcart.node.supported_settings import ShadowSettings, supported_settings
 
 Address = tuple[str, int]
 
@@ -35,6 +37,13 @@
 )
 
 
+class WatchConfig(NamedTuple):
+    """The key `watch`: settings that are watched beside those in force."""
+
+    told: settings.ToldSettings
+    period_us: int  # between log lines
+
+
 class NodeConfig(NamedTuple):
     """A configuration that was read and checked."""
 
@@ -42,9 +51,10 @@
     listen: Address
     addresses: Mapping[str, Address | None]  # of worker pool, store (None: there is none) and registry
     seed: int
-    settings: Mapping[str, Any]  # of the decision module
+    settings: NodeSettings
     limits: Limits
-    watch: Mapping[str, Any] | None  # settings to watch over those in force, and the `period` of the lines
+    watch: WatchConfig | None  # as it was told
+    shadow: ShadowSettings | None  # made of it, over the settings in force
 
 
 FIXED_FIELDS = ("name", "listen", "settings", "limits", "watch")  # new ones wait for the next start
@@ -85,15 +95,20 @@
     node_settings = settings.from_json(tree["settings"])
     methods = read_methods(node_settings, late_read_us=0).values()
     longest_deadline_us = max((method.deadline_us for method in methods), default=DEFAULT_DEADLINE_US)
-    return NodeConfig(
+    config = NodeConfig(
         name=str(tree["name"]),
         listen=_parse_address(tree["listen"]),
         addresses={party: _parse_party(tree, party, key) for party, key in ADDRESS_KEYS.items()},
         seed=int(str(tree.get("seed", "0")), 16),
         settings=node_settings,
         limits=Limits.from_config(tree["limits"], tree["stop_ms"], longest_deadline_us),
-        watch=_parse_watch(tree.get("watch")),
+        watch=None,
+        shadow=None,
     )
+    watch = _parse_watch(tree.get("watch"))
+    if watch is None:
+        return config
+    return config._replace(watch=watch, shadow=_make_shadow(node_settings, watch))
 
 
 def _parse_party(tree: Mapping[str, Any], party: str, key: str) -> Address | None:
@@ -112,10 +127,15 @@
     return host, int(port)
 
 
-def _parse_watch(tree: Mapping[str, Any] | None) -> dict[str, Any] | None:
+def _parse_watch(tree: Mapping[str, Any] | None) -> WatchConfig | None:
     if tree is None:
         return None
     settings.check("watch", tree, SHADOW_EXPECTATION)
     period_ms = tree.get("period_ms", DEFAULT_SHADOW_PERIOD_MS)
     settings.check("watch.period_ms", period_ms, settings.number(MIN_SHADOW_PERIOD_MS, MAX_SHADOW_PERIOD_MS))
-    return {"settings": settings.from_json(tree["settings"]), "period": int(period_ms * MS)}
+    return WatchConfig(settings.told_by_json(tree["settings"]), int(period_ms * MS))
+
+
+def _make_shadow(node_settings: NodeSettings, watch: WatchConfig) -> ShadowSettings:
+    # What is watched may ask for what this node can't do: the shadow acts on nothing.
+    return ShadowSettings(watch.told.over(supported_settings(node_settings)), watch.period_us)
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -127,7 +127,7 @@
         config.name,
         config.addresses,
         lambda core: {FRONTEND: ThriftFrontend(core, config.limits)},
-        config.watch,
+        config.shadow,
         *fleet_parts,
     )
 
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -1,19 +1,46 @@
-"""Outside names of settings, turned into the one flat mapping that the decision module reads.
+"""Outside names of settings, and how the typed settings of a node are made from them.
 
 Owns the table of names, for the simulator's protocol and for a real node's configuration alike, so that both
-give the module the same mapping. Never chooses a value: what is not told stays out of the mapping, and the
-module has its own default.
+give the same `NodeSettings`. It must never choose a value: what is not told keeps the field's default, see
+finchcart/decisions/node_settings.py.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
-from typing import NamedTuple
+from dataclasses import replace
+from enum import Enum
+from typing import Any, NamedTuple, TypeVar
+
+from finchcart.decisions.node_settings import (
+    Dependency,
+    Feedback,
+    MethodKind,
+    MethodSettings,
+    NodeSettings,
+)
+
+Meaning = TypeVar("Meaning", bound=Enum)
+
+MAX_TIME_US = 10**12
 
 METHOD_KINDS = {
-    "read_like": "idempotent",
-    "idempotency_key": "keyed",
-    "non_idempotent": "non_idempotent",
+    "read_like": MethodKind.IDEMPOTENT,
+    "idempotency_key": MethodKind.KEYED,
+    "non_idempotent": MethodKind.NON_IDEMPOTENT,
+}
+FEEDBACKS = {
+    "level": Feedback.LEVEL,
+    "credit": Feedback.CREDIT,
+    "weight": Feedback.WEIGHT,
+    "silent": Feedback.SILENT,
 }
-MAX_TIME = 10**12  # microseconds
+DEPENDENCIES = {
+    "shared": Dependency.SHARED,
+    "tier": Dependency.TIER,
+    "silent": Dependency.SILENT,
+}
+STOPPING_WORDS = ("drop", "pause")  # of preemption: running work can be stopped
+PAUSING_WORD = "pause"
+PREEMPTION_WORDS = ("silent", *STOPPING_WORDS)
 
 
 class Expectation(NamedTuple):
@@ -24,14 +51,15 @@
 
 
 class Setting(NamedTuple):
-    """A setting as the decision module names it; no name: it is not read."""
+    """A setting: what its value can be, and the typed field that it becomes."""
 
-    name: str | None
     expectation: Expectation
+    field: str | None  # of NodeSettings or MethodSettings; None: checked and not used
+    convert: Callable[[Any], Any] | None = None  # from the word that stands outside
 
 
 def number(low: float, high: float = float("inf")) -> Expectation:
-    """A number within these bounds, which belong to them."""
+    """Return the expectation of a number from `low` to `high`, both included."""
 
     def holds(value: object) -> bool:
         return isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
@@ -45,76 +73,122 @@
 
 
 def _each(expectation: Expectation) -> Expectation:
-    """One value for all methods, or a tuple with one for each."""
+    """Return the expectation of one such value, or of a tuple of them."""
 
     def holds(value: object) -> bool:
-        values = value if isinstance(value, tuple) else (value,)
-        return value == "" or all(map(expectation.holds, values))
+        return value == "" or all(map(expectation.holds, _as_tuple(value)))
 
     return Expectation(holds, f"{expectation.text}, for each")
 
 
+def _meaning(words: Mapping[str, Meaning], otherwise: Meaning) -> Callable[[str], Meaning]:
+    """Return what a word means: `otherwise` for one that is not known, as pairs are not checked."""
+    return lambda word: words.get(word, otherwise)
+
+
+def _as_tuple(value: object) -> tuple[object, ...]:
+    return value if isinstance(value, tuple) else (value,)
+
+
 ANYTHING = Expectation(lambda value: True, "")
 FLAG = Expectation(lambda value: isinstance(value, bool), "true or false")
 TEXT = Expectation(lambda value: isinstance(value, str), "text")
-TIME = number(0, MAX_TIME)
-NOT_READ = Setting(None, ANYTHING)
-
-# By their outside names; others are not read.
-SETTINGS = {
-    "round": Setting("tick", TIME),
-    "callers.marksRetry": Setting("marks_retries", FLAG),
-    "contract.answerSlack": Setting("slack", TIME),
-    "contract.cold": Setting("warm_up", TIME),
-    "contract.fall": Setting("overload_window", TIME),
-    "contract.overloadFactor": Setting("overload_factor", number(1)),
-    "contract.startCapacity": Setting("cold_start_speed", number(0, 1)),
-    "contract.stopSendingWithin": Setting("drain_grace", TIME),
-    "familyInfo.below": Setting("dependency", _one_of("shared", "tier", "silent")),
-    "familyInfo.callerIdle": Setting("idle_timeout_max", TIME),
-    "familyInfo.callsOut": Setting("calls_limit", number(0)),
-    "familyInfo.callsOver": Setting("calls_window", TIME),
-    "familyInfo.classCalls": Setting("method_calls", _each(FLAG)),
-    "familyInfo.cores": Setting("cores", number(1)),
-    "familyInfo.freshStart": Setting("fresh_start", FLAG),
-    "familyInfo.gauges": Setting("gauges", _each(TEXT)),
-    "familyInfo.heeded": Setting("feedback_lifetime", TIME),
-    "familyInfo.kbPerKey": Setting("key_entry_kb", number(0)),
-    "familyInfo.linger": Setting("calls_linger", TIME),
-    "familyInfo.memoryKb": Setting("memory_kb", number(0)),
-    "familyInfo.passesDeadline": Setting("tells_deadline", FLAG),
-    "familyInfo.preemption": Setting("can_stop", _one_of("silent", "drop", "pause")),
-    "familyInfo.runFactor": Setting("run_factor", number(1)),
-    "familyInfo.say": Setting("feedback", _one_of("level", "credit", "weight", "silent")),
-    "familyInfo.worthWithout": Setting("degraded_value", _each(number(0, 1))),
-    "limits.maxRetryAfter": Setting("retry_after_max", TIME),
+TIME = number(0, MAX_TIME_US)
+UNUSED = Setting(ANYTHING, None)
+
+METHOD_KIND = _meaning(METHOD_KINDS, MethodKind.NON_IDEMPOTENT)
+FEEDBACK = _meaning(FEEDBACKS, Feedback.SILENT)
+DEPENDENCY = _meaning(DEPENDENCIES, Dependency.SILENT)
+
+# Settings of the node by their outside names; others are not read.
+NODE_SETTINGS = {
+    "round": Setting(TIME, "tick_us"),
+    "callers.marksRetry": Setting(FLAG, "marks_retries"),
+    "contract.answerSlack": Setting(TIME, None),
+    "contract.cold": Setting(TIME, "warm_up_us"),
+    "contract.fall": Setting(TIME, None),
+    "contract.overloadFactor": Setting(number(1), "overload_factor"),
+    "contract.startCapacity": Setting(number(0, 1), "cold_start_speed"),
+    "contract.stopSendingWithin": Setting(TIME, "drain_grace_us"),
+    "familyInfo.below": Setting(_one_of(*DEPENDENCIES), "dependency", DEPENDENCY),
+    "familyInfo.callerIdle": Setting(TIME, "idle_timeout_max_us"),
+    "familyInfo.callsOut": Setting(number(0), "calls_limit"),
+    "familyInfo.callsOver": Setting(TIME, "calls_window_us"),
+    "familyInfo.cores": Setting(number(1), "cores"),
+    "familyInfo.freshStart": Setting(FLAG, "fresh_start"),
+    "familyInfo.gauges": Setting(_each(TEXT), "gauges", _as_tuple),
+    "familyInfo.heeded": Setting(TIME, "feedback_lifetime_us"),
+    "familyInfo.kbPerKey": Setting(number(0), "key_entry_kb"),
+    "familyInfo.linger": Setting(TIME, "calls_linger_us"),
+    "familyInfo.memoryKb": Setting(number(0), "memory_kb"),
+    "familyInfo.passesDeadline": Setting(FLAG, None),
+    "familyInfo.runFactor": Setting(number(1), "run_memory_factor"),
+    "familyInfo.say": Setting(_one_of(*FEEDBACKS), "feedback", FEEDBACK),
+    "limits.maxRetryAfter": Setting(TIME, "retry_after_max_us"),
+}
+# Its value gives two fields, `can_stop` and `can_pause`.
+PREEMPTION = "familyInfo.preemption"
+PREEMPTION_EXPECTATION = _one_of(*PREEMPTION_WORDS)
+# Fields of each method that stand outside as one value for all methods, or as a list with one for each.
+SPREAD_SETTINGS = {
+    "familyInfo.classCalls": Setting(_each(FLAG), "makes_call"),
+    "familyInfo.worthWithout": Setting(_each(number(0, 1)), "degraded_value"),
 }
-# The same for each item of the list of methods, which is called `services` outside.
+# Of each item of the list of methods, which is called `services` outside.
+METHODS = "services"
+METHOD_COUNT = f"{METHODS}.count"
 METHOD_SETTINGS = {
-    "name": Setting("name", TEXT),
-    "deadline": Setting("deadline", TIME),
-    "effect": Setting("kind", _one_of(*METHOD_KINDS)),
-    "target": Setting("latency_target", TIME),
-    "lateWorth": Setting("late_value", number(0, 1)),
-    "window": Setting("window", TIME),
-    "worth": Setting("criticality", number(0)),
+    "name": Setting(TEXT, "name"),
+    "deadline": Setting(TIME, "deadline_us"),
+    "effect": Setting(_one_of(*METHOD_KINDS), "kind", METHOD_KIND),
+    "target": Setting(TIME, "latency_objective_us"),
+    "lateWorth": Setting(number(0, 1), "late_value"),
+    "window": Setting(TIME, "key_window_us"),
+    "worth": Setting(number(0), "criticality"),
 }
 
 
-def from_pairs(raw: Mapping[str, str]) -> dict[str, object]:
-    """From the protocol's pairs of path and text."""
-    return _named((path, text if path.endswith(".name") else _value(text)) for path, text in raw.items())
+class ToldSettings(NamedTuple):
+    """The settings that are told, by typed field. Those of a watch are put over the ones in force."""
+
+    node: Mapping[str, Any]  # by field of NodeSettings
+    methods: Mapping[str, Mapping[str, Any]]  # by position as text, then by field of MethodSettings
+    method_count: int | None  # None: not told
+    spread: Mapping[str, Any]  # by field of MethodSettings: a value for all, or a tuple with one for each
+
+    def over(self, base: NodeSettings) -> NodeSettings:
+        """Return `base` with what is told here in its place."""
+        count = len(base.methods) if self.method_count is None else self.method_count
+        methods = tuple(self._method(base, position) for position in range(count))
+        return replace(base, methods=methods, **self.node)
+
+    def _method(self, base: NodeSettings, position: int) -> MethodSettings:
+        is_new = position >= len(base.methods)
+        method = MethodSettings(name=str(position)) if is_new else base.methods[position]
+        spread = {
+            field: value[position] if isinstance(value, tuple) else value
+            for field, value in self.spread.items()
+        }
+        return replace(method, **spread, **self.methods.get(str(position), {}))
+
+
+def from_pairs(raw: Mapping[str, str]) -> NodeSettings:
+    """Return the settings told by the simulator's pairs of path and text, which are not checked."""
+    pairs = ((path, text if path.endswith(".name") else _value(text)) for path, text in raw.items())
+    return _told(pairs).over(NodeSettings())
+
 
+def from_json(tree: Mapping[str, object]) -> NodeSettings:
+    """Return the settings told by a configuration's nested object, see `told_by_json`."""
+    return told_by_json(tree).over(NodeSettings())
 
-def from_json(tree: Mapping[str, object]) -> dict[str, object]:
-    """From a configuration's nested object: lists of objects as counts and items, plain lists as tuples.
 
-    Each value is checked, see `check`.
-    """
+def told_by_json(tree: Mapping[str, object]) -> ToldSettings:
+    """Return what a configuration's nested object tells; a null tells nothing. Raise as `check` does."""
     pairs = [(path, value) for path, value in _flat("", tree) if value is not None]
     for path, value in pairs:
-        check(path, value, _look_up(path).expectation)
-    return _named(pairs)
+        check(path, value, _expectation(path))
+    return _told(pairs)
 
 
 def check(path: str, value: object, expectation: Expectation) -> None:
@@ -125,35 +199,55 @@
 
 
 def whole(text: str) -> int:
-    """A whole number; raises ValueError for any other text."""
+    """Return the whole number that a text tells. Raise ValueError for any other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
     return int(text)
 
 
-def _look_up(path: str) -> Setting:
+def _split_method_path(path: str) -> tuple[str, str] | None:
+    """Return position and item of a setting of one method; None: it is of the node, or of all methods."""
     group, _, rest = path.partition(".")
-    if group != "services":
-        return SETTINGS.get(path, NOT_READ)
-    if rest == "count":
-        return Setting("methods.count", ANYTHING)
-    method, _, item = rest.partition(".")
-    setting = METHOD_SETTINGS.get(item, NOT_READ)
-    return setting._replace(name=setting.name and f"methods.{method}.{setting.name}")
-
-
-def _named(pairs: Iterable[tuple[str, object]]) -> dict[str, object]:
-    """The mapping by the module's names, with its words for kinds of methods and for preemption."""
-    named = {}
+    if group != METHODS:
+        return None
+    position, _, item = rest.partition(".")
+    return position, item
+
+
+def _expectation(path: str) -> Expectation:
+    if path == PREEMPTION:
+        return PREEMPTION_EXPECTATION
+    method_path = _split_method_path(path)
+    if method_path:
+        return METHOD_SETTINGS.get(method_path[1], UNUSED).expectation
+    return (NODE_SETTINGS.get(path) or SPREAD_SETTINGS.get(path, UNUSED)).expectation
+
+
+def _told(pairs: Iterable[tuple[str, Any]]) -> ToldSettings:
+    node: dict[str, Any] = {}
+    methods: dict[str, dict[str, Any]] = {}
+    spread: dict[str, Any] = {}
+    method_count: int | None = None
     for path, value in pairs:
-        name = _look_up(path).name
-        if name:
-            named[name] = METHOD_KINDS.get(value, "non_idempotent") if name.endswith(".kind") else value
-    if "can_stop" in named:
-        preemption = named["can_stop"]
-        named["can_stop"] = preemption in ("drop", "pause")
-        named["can_pause"] = preemption == "pause"
-    return named
+        method_path = _split_method_path(path)
+        if path == METHOD_COUNT:
+            method_count = value
+        elif path == PREEMPTION:
+            node["can_stop"] = value in STOPPING_WORDS
+            node["can_pause"] = value == PAUSING_WORD
+        elif path in SPREAD_SETTINGS:
+            _put(spread, SPREAD_SETTINGS[path], value)
+        elif method_path:
+            position, item = method_path
+            _put(methods.setdefault(position, {}), METHOD_SETTINGS.get(item, UNUSED), value)
+        else:
+            _put(node, NODE_SETTINGS.get(path, UNUSED), value)
+    return ToldSettings(node, methods, method_count, spread)
+
+
+def _put(fields: dict[str, Any], setting: Setting, value: object) -> None:
+    if setting.field is not None:
+        fields[setting.field] = setting.convert(value) if setting.convert else value
 
 
 def _flat(path: str, value: object) -> Iterator[tuple[str, object]]:
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -13,7 +13,7 @@
 
 from finchcart.errors import InvalidRpcError
 from finchcart.limits import Limits
-from finchcart.node.methods import KEYED, MethodInfo
+from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import RpcAttributes
 from finchcart.node.wall_clock import Arrival
 
@@ -89,7 +89,7 @@
         raise InvalidRpcError(f"field c={_quoted(method)}: no such method")
     info = methods[method]
     name = _read_name(fields)
-    key = _read_key(fields) if info.kind == KEYED else None
+    key = _read_key(fields) if info.is_keyed else None
     arrival = _read_arrival(fields, arrivals, info.late_read_us)
     caller = fields.get("f", "")
     if not (caller.isdigit() and len(caller) <= MAX_CALLER_LENGTH):
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -25,6 +25,7 @@
 from finchcart.thrift.codec import STRING, STRUCT
 from finchcart.thrift.frontend import ThriftFrontend
 from finchcart.thrift.messages import RevokeNotice, SubmitCall
+from tests.typed_settings import typed
 
 MS = 1000
 NOW = 1_700_000_000_000_000
@@ -81,7 +82,7 @@
         self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
         self.addresses = {"pool": ("pool", 1), "store": ("store", 1), "registry": ("registry", 1)}
         self.core = Core(
-            settings,
+            typed(settings),
             self.limits,
             seed,
             "n1",
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -5,6 +5,7 @@
 from finchcart.decisions.controller import NodeController, RpcHandle
 from finchcart.decisions.interface import Gauges, Outcome
 from finchcart.decisions.rpc_record import RpcState
+from tests.typed_settings import typed
 
 KINDS = ("idempotent", "keyed", "non_idempotent")
 MS = 1000
@@ -121,7 +122,7 @@
         self.mean_calls = 0.0  # over the window of the dependency's limit
         self.drained_at = None
         self.kill_at = None
-        self.control = NodeController(self, settings, seed)
+        self.control = NodeController(self, typed(settings), seed)
         self.control.start(now)
 
     def rpc(self, index):
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -221,8 +221,8 @@
 LIMITS = Limits(memory=192 * 2**20, descriptors=1024, stop_timeout=3_000_000)
 NOW = 1_700_000_000_000_000
 METHODS = {
-    name: MethodInfo(kind, 0.0, 0, late_read_us=5_000_000, has_priority=False)
-    for name, kind in {"look-up": "idempotent", "book": "keyed"}.items()
+    name: MethodInfo(not is_keyed, is_keyed, 0.0, 0, late_read_us=5_000_000, has_priority=False)
+    for name, is_keyed in {"look-up": False, "book": True}.items()
 }
 READ_FIELDS = {  # present name of what is read -> pinned word
     "arrived_at": "arrived",
--- a/tests/pins/settings_files.py
+++ b/tests/pins/settings_files.py
@@ -3,7 +3,8 @@
 import copy
 import json
 import re
-from dataclasses import asdict
+from dataclasses import asdict, fields
+from enum import Enum
 
 import json5
 
@@ -142,10 +143,13 @@
 )
 
 
+NOT_TOLD = ("feedback_lifetime_us", "marks_retries")
+
+
 def example_config():
     """What the example configuration gives, but for names of settings and limits: their values, sorted."""
     config = read_config(str(EXAMPLE))
-    limits, values = config.limits, config.settings.values()
+    limits = config.limits
     return {
         "name": config.name,
         "listen": list(config.listen),
@@ -154,5 +158,17 @@
         "watch": config.watch,
         "limits": sorted(asdict(limits).values()),
         "connections, and those on their way out": [limits.max_connections, limits.max_accepted],
-        "settings": sorted(str(value) for value in values if not isinstance(value, str)),
+        "settings": sorted(str(value) for value in values_told(config.settings)),
     }
+
+
+def values_told(settings):
+    """The values that the example tells, but for words; those of two fields of the methods as lists."""
+    methods = settings.methods
+    values = [len(methods), tuple(method.makes_call for method in methods)]
+    values.append(tuple(method.degraded_value for method in methods))
+    for part in (settings, *methods):
+        for field in fields(part):
+            if field.name not in ("methods", "makes_call", "degraded_value", *NOT_TOLD):
+                values.append(getattr(part, field.name))
+    return [value for value in values if not isinstance(value, str | Enum)]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,6 +7,7 @@
 
 from finchcart import settings
 from finchcart.decisions.interface import Outcome
+from finchcart.decisions.node_settings import MethodKind
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
@@ -324,8 +325,11 @@
     )
     told = settings.from_json(tree)
     assert told == settings.from_pairs(pairs)
-    assert told["methods.0.name"] == "7" and told["methods.1.kind"] == "keyed" and told["can_stop"] is False
-    assert told["degraded_value"] == (0.6, 0.0) and told["gauges"] == ("core_use", "on_cores")
+    assert told.methods[0].name == "7"
+    assert told.methods[1].kind is MethodKind.KEYED
+    assert told.can_stop is False
+    assert [method.degraded_value for method in told.methods] == [0.6, 0.0]
+    assert told.gauges == ("core_use", "on_cores")
 
 
 def test_buffers_are_reused_and_never_given_back_twice():
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -3,31 +3,40 @@
 import json
 import random
 import re
+from dataclasses import replace
 from pathlib import Path
 from types import SimpleNamespace
 
 import pytest
+from loguru import logger
 
 from finchcart import settings
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.interface import Outcome
+from finchcart.decisions.node_settings import Dependency, Feedback, NodeSettings
 from finchcart.errors import ConfigError
 from finchcart.node import shadow
 from finchcart.node.inputs import LoadMeasured
+from finchcart.node.supported_settings import ShadowSettings, supported_settings
 from finchcart.node_config import read_config, reread_config
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.test_control import PLAIN
 from tests.test_core import GAUGES, play
+from tests.typed_settings import typed
 
 PERIOD = 1000 * MS
 
 
+def shadow_settings(told, watched, period):
+    """Some watched settings over those in force, as a configuration makes them."""
+    return ShadowSettings(typed(watched, supported_settings(typed({**told, **GAUGES}))), period)
+
+
 def day(seed, told, watched=None):
     """A random day. Returns the far side, how each try ended, and the counts of all lines."""
-    harness = CoreHarness(
-        {**told, **GAUGES}, seed, shadow=watched and {"settings": watched, "period": PERIOD}
-    )
+    watching = watched and shadow_settings(told, watched, PERIOD)
+    harness = CoreHarness({**told, **GAUGES}, seed, shadow=watching)
     started = harness.now
     ends = play(harness, random.Random(seed))
     lines = [line for line in harness.log_lines if line.startswith("watching: ")]
@@ -59,7 +68,7 @@
 
 
 def test_a_fault_as_one_of_many_ends_for_the_watched_too_ends_the_watching_alone():
-    harness = CoreHarness({**PLAIN, **GAUGES}, shadow={"settings": {}, "period": PERIOD})
+    harness = CoreHarness({**PLAIN, **GAUGES}, shadow=shadow_settings(PLAIN, {}, PERIOD))
     harness.write_block_probability = 0
     harness.step(MS)
     harness.step(MS)
@@ -76,7 +85,7 @@
 
 def crowded(watched, told=PLAIN, waited=0):
     """More than two cores can do, for a while, on a node that is busy itself."""
-    harness = CoreHarness({**told, **GAUGES}, shadow={"settings": watched, "period": 10**12})
+    harness = CoreHarness({**told, **GAUGES}, shadow=shadow_settings(told, watched, 10**12))
     harness.write_block_probability = 0
     links = [harness.open() for _ in range(4)]
     for step in range(300):
@@ -151,11 +160,48 @@
             },
         }
     )
-    assert told == {
-        "marks_retries": False,
-        "dependency": "tier",
-        "can_stop": True,
-        "can_pause": True,
-        "feedback": "credit",
-        "feedback_lifetime": 1000000,
-    }
+    assert told == NodeSettings(
+        marks_retries=False,
+        dependency=Dependency.TIER,
+        can_stop=True,
+        can_pause=True,
+        feedback=Feedback.CREDIT,
+        feedback_lifetime_us=1000000,
+    )
+
+
+def config_with(tmp_path, **changes):
+    config = json.loads(Path("example/config.json").read_text(encoding="utf-8"))
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**config, **changes}))
+    return config, path
+
+
+def test_a_watch_is_put_over_the_settings_in_force(tmp_path):
+    items = [{"target": 5}, {"lateWorth": 0.5}]
+    watched = {"familyInfo": {"preemption": "pause", "worthWithout": 0.25}, "services": items}
+    _, path = config_with(tmp_path, watch={"settings": watched, "period_ms": 500})
+    config = read_config(str(path))
+    assert config.shadow.period_us == 500_000
+    assert not config.settings.can_stop
+    look_up, book = config.settings.methods
+    assert config.shadow.settings == replace(
+        supported_settings(config.settings),
+        can_stop=True,
+        can_pause=True,
+        methods=(
+            replace(look_up, latency_objective_us=5, degraded_value=0.25),
+            replace(book, late_value=0.5, degraded_value=0.25),
+        ),
+    )
+
+
+def test_what_waits_for_the_next_start_is_named_by_its_key_alone(tmp_path):
+    config, path = config_with(tmp_path, watch={"settings": {"round": 5000}})
+    used = read_config(str(path))
+    lines = []
+    sink = logger.add(lines.append, format="{message}")
+    path.write_text(json.dumps({**config, "watch": {"settings": {"round": 5000}}, "settings": {}}))
+    assert reread_config(str(path), used).addresses == used.addresses
+    logger.remove(sink)
+    assert lines == ["configuration: new settings wait for the next start\n"]
