--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Gauges
+from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.node_settings import NodeSettings
 from finchcart.limits import Limits
 from finchcart.node import inputs
@@ -32,6 +32,7 @@
 from finchcart.node.wall_clock import Arrival, WallClock
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.protocol import connection_events
+from finchcart.protocol.messages import Message
 
 if TYPE_CHECKING:  # none is imported where it is not asked for
     from finchcart.node.key_leases import KeyLeaseGate
@@ -225,7 +226,7 @@
         owner.connection_opened(connection)
 
     def _on_messages(
-        self, connection: int, messages: Sequence[tuple], received_at: int, not_before: int
+        self, connection: int, messages: Sequence[Message], received_at: int, not_before: int
     ) -> None:
         self._batch_received_at = received_at
         self._batch_not_before = not_before
@@ -320,8 +321,8 @@
         for rpc in lost:
             self.lifecycle.run_lost(rpc)
 
-    def timer_due(self, name: str, readings: Mapping[str, float]) -> None:
-        """A timer of the decision module is due; `readings`: the worker pool's gauges by name."""
+    def timer_due(self, readings: Mapping[str, float]) -> None:
+        """The timer of the decision module is due; `readings`: the worker pool's gauges by name."""
         gauges = Gauges.from_readings(readings)._replace(
             input_age=self._longest_wait_us, input_busy=self._input_busy
         )
@@ -329,7 +330,7 @@
         gauges = self.fleet.add_gauges(gauges, self.store)
         self.fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
         self.fleet.publish_evidence(self.control.own_level)
-        self.control.on_timer(self.turn.now, name, gauges)
+        self.control.on_timer(self.turn.now, gauges)
         self.registration.end_if_idle()
 
     # ---- Drain and end
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -6,17 +6,27 @@
 """
 
 from collections import Counter
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Log, Read, Send
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.unknown_runs import RunEnd, UnknownRuns
-from finchcart.protocol import line_protocol
+from finchcart.protocol import worker_pool_codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    InformationalNotice,
+    RunAwaitingCall,
+    RunEnded,
+    Subscribed,
+    UnknownNotice,
+    WorkerPoolMessage,
+)
 
 PARTY = "worker pool"  # in log lines
 MAX_TICKET_DIGITS = 18
@@ -54,8 +64,8 @@
     def worker_pool_restarted(self, cold: bool) -> None:
         """It has lost all runs."""
 
-    def timer_due(self, name: str, readings: Mapping[str, float]) -> None:
-        """A timer of the decision module, with the worker pool's gauges by name; none where it is late."""
+    def timer_due(self, readings: Mapping[str, float]) -> None:
+        """The timer of the decision module, with the worker pool's gauges by name; none where it is late."""
 
 
 class LinkState(Enum):
@@ -107,7 +117,7 @@
         self.cursor = 0  # number of the last notice
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}  # by index
         self.unknown_runs = UnknownRuns(turn, self._unknown_run_expired)
-        self.pending_timers: dict[str, str] = {}  # ticket of a poll -> name of the timer that waits for it
+        self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
         self.settle_ticket: str | None = None  # of the poll after a new connection
         self._write_blocked = False
         self._last_ticket = 0
@@ -117,21 +127,21 @@
         self._quick_losses = 0  # connections lost one after the other soon after they were bound, or before
         self._started_by: int | None = None  # the worker pool had started by then, as far as it said
         self._unreadable_after: int | None = None  # the last notice before one that could not be read
-        self._handlers = {
-            "up": self._on_bound,
-            "run_ended": self._on_run_ended,
-            "at_call": self._on_awaiting_call,
-            "gauges": self._on_gauges,
-            "undone": self._on_not_carried_out,
-            "remark": self._on_remark,
-            "other": self._on_other,
+        self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
+            Subscribed: self._on_bound,
+            RunEnded: self._on_run_ended,
+            RunAwaitingCall: self._on_awaiting_call,
+            GaugesRead: self._on_gauges,
+            CommandRejected: self._on_not_carried_out,
+            InformationalNotice: self._on_remark,
+            UnknownNotice: self._on_other,
         }
 
     # ---- Commands
 
     def run(self, rpc: NodeRpc, idempotent: bool) -> None:
         """Starts the run of an RPC."""
-        data = line_protocol.start_run(rpc.name, rpc.method, rpc.body)
+        data = worker_pool_codec.encode_start(rpc.name, rpc.method, rpc.body)
         self.send_command(rpc, data, data if idempotent else None, is_start=True)
 
     def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
@@ -139,12 +149,14 @@
 
         A reply that may have been lost can't be written again, but its call can be left out.
         """
-        data = line_protocol.answer_call(rpc.name, body)
-        self.send_command(rpc, data, line_protocol.skip_call(rpc.name, cursor) if can_degrade else None)
+        data = worker_pool_codec.encode_reply(rpc.name, body)
+        self.send_command(
+            rpc, data, worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
+        )
 
     def degrade(self, rpc: NodeRpc, cursor: int) -> None:
         """Has a run go on without the call that it awaits."""
-        data = line_protocol.skip_call(rpc.name, cursor)
+        data = worker_pool_codec.encode_degrade(rpc.name, cursor)
         self.send_command(rpc, data, data)
 
     def send_command(
@@ -168,14 +180,14 @@
         self.unconfirmed.pop(rpc.index, None)
         self.unknown_runs.discard(rpc)
 
-    def request_gauges(self, timer: str) -> None:
-        """A timer of the decision module is due: the gauges are asked for, and waited for a little."""
+    def request_gauges(self) -> None:
+        """The timer of the decision module is due: the gauges are asked for, and waited for a little."""
         if self.state is LinkState.BOUND and not self._write_blocked:
             ticket = self._poll()
-            self.pending_timers[ticket] = timer
+            self.pending_timers.add(ticket)
             self.turn.schedule(self.turn.now + self.limits.gauges_timeout, self._complete_timer, ticket, {})
         else:
-            self.listener.timer_due(timer, {})
+            self.listener.timer_due({})
 
     def _send(self, data: bytes) -> None:
         """Written where there is a connection; what is lost with one is settled once the next is bound."""
@@ -185,7 +197,7 @@
     def _poll(self) -> str:
         self._last_ticket += 1
         ticket = str(self._last_ticket)
-        self._send(line_protocol.request_gauges(ticket))
+        self._send(worker_pool_codec.encode_gauges_request(ticket))
         return ticket
 
     # ---- The connection's life
@@ -198,7 +210,7 @@
         self.state = LinkState.BINDING
         self._bind_sent_at = self.turn.now
         self.turn.emit(Read(self.connection))
-        self._send(line_protocol.subscribe(self.cursor))
+        self._send(worker_pool_codec.encode_subscribe(self.cursor))
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Guards against commands lost with the old connection: it is left once they are all read."""
@@ -248,10 +260,10 @@
 
     # ---- What comes on the connection: see ConnectionOwner
 
-    def message_received(self, connection: int, message: tuple) -> None:
-        """A notice: its kind, and what it carries."""
+    def message_received(self, connection: int, message: WorkerPoolMessage) -> None:
+        """Handle a notice by its type."""
         if connection == self.connection:
-            self._handlers[message[0]](*message[1:])
+            self._handlers[type(message)](*message)
 
     def batch_completed(self, connection: int) -> None:
         """Asks for the next read."""
@@ -429,6 +441,6 @@
         self.runs.run_ended(rpc, *(first_end or RunEnd(Outcome.STOPPED, 0, b"")))
 
     def _complete_timer(self, ticket: str, readings: Mapping[str, float]) -> None:
-        timer = self.pending_timers.pop(ticket, None)
-        if timer is not None:
-            self.listener.timer_due(timer, readings)
+        if ticket in self.pending_timers:
+            self.pending_timers.remove(ticket)
+            self.listener.timer_due(readings)
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -12,8 +12,8 @@
 
 from finchcart import settings
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Outcome
 from finchcart.decisions.node_settings import Dependency, Feedback, NodeSettings
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ConfigError
 from finchcart.node import shadow
 from finchcart.node.inputs import LoadMeasured
