--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -75,7 +75,8 @@
         self.index = index  # names the RPC at the port
         self.method = method
         self.memory_kb = arrival.memory_kb  # held until it is completed
-        self.extra_run_kb = self.memory_kb * (control.settings.run_factor - 1)  # held besides by its run
+        # Held besides by its run.
+        self.extra_run_kb = self.memory_kb * (control.settings.run_memory_factor - 1)
         self.reached_at = now - arrival.waited
         self.due_at = arrival.expires_at or self.reached_at + method.deadline  # its answer is owed until then
         self.shed_rank = arrival.shed_rank  # 0 to 1, of its user; the lowest are shed first
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -7,6 +7,7 @@
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.rpc import RpcState
+from tests.typed_settings import typed
 
 KINDS = ("idempotent", "keyed", "non_idempotent")
 MS = 1000
@@ -123,7 +124,7 @@
         self.mean_calls = 0.0  # over the window of the dependency's limit
         self.drained_at = None
         self.kill_at = None
-        self.control = NodeController(self, settings, seed)
+        self.control = NodeController(self, typed(settings), seed)
         self.control.start(now)
 
     def rpc(self, index):
