--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -23,6 +23,7 @@
     quota_config,
 )
 from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.evidence import Evidence
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.errors import SettingsError
@@ -185,7 +186,7 @@
         else:
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
-    def publish_evidence(self, evidence: object) -> None:
+    def publish_evidence(self, evidence: Evidence) -> None:
         """Hand on what the core observed."""
         self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
--- a/finchcart/consensus/inputs.py
+++ b/finchcart/consensus/inputs.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.observations import Evidence
+from finchcart.consensus.evidence import Evidence
 
 
 class EvidenceCollected(NamedTuple):
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -7,9 +7,9 @@
 from collections import deque
 from collections.abc import Sequence
 from math import log2
-from typing import TypedDict
 
 from finchcart.consensus.config import ConsensusConfig
+from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
 from finchcart.consensus.messages import ObservationReport
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
@@ -26,17 +26,6 @@
 LEVEL_STEP_THOUSANDTHS = 1000 // LEVEL_STEPS
 EVICTION_ATTEMPTS = 8  # sources looked at for one that can go
 CALL_TIME_SMOOTHING = 64  # a new mean counts for one part in so many
-NOTHING_SEEN = (0, 0, 0)
-
-
-class Evidence(TypedDict, total=False):
-    """What a core saw since the last look."""
-
-    calls: tuple[int, int, int]  # (succeeded, failed, microseconds of the successful ones together)
-    runs: tuple[int, int, int]  # (ended, failed, microseconds together)
-    rpcs: int  # admitted
-    sources: dict[int, tuple[int, int, int]]  # subject -> (bad messages, RPCs over a rate, RPCs)
-    level: float  # of load shedding, 0 to 1
 
 
 class SlidingSums:
@@ -70,7 +59,7 @@
     """What one source did, and what is reported of it."""
 
     def __init__(self, config: ConsensusConfig) -> None:
-        self.sums = SlidingSums(config.source_span, 3)  # bad messages, RPCs over a rate, RPCs
+        self.sums = SlidingSums(config.source_span, len(SourceCounts()))
         self.restriction: Restriction | None = None
         self.restricted_until = 0
         self.worst_count = 0
@@ -100,8 +89,8 @@
 
     def _clear(self) -> None:
         config = self.config
-        self.calls = SlidingSums(config.observation_span, 3)
-        self.runs = SlidingSums(config.observation_span, 3)
+        self.calls = SlidingSums(config.observation_span, len(CallCounts()))
+        self.runs = SlidingSums(config.observation_span, len(RunCounts()))
         self.rpcs = SlidingSums(config.source_span, 1)
         self.sources: dict[int, ObservedSource] = {}
         self._store: StoreHealth | None = None
@@ -118,15 +107,15 @@
 
     def observe(self, now: int, evidence: Evidence) -> None:
         """Take what the core saw since the last look."""
-        calls = evidence.get("calls", NOTHING_SEEN)
+        calls = evidence.calls
         self.calls.add(now, calls)
-        self.runs.add(now, evidence.get("runs", NOTHING_SEEN))
-        self.rpcs.add(now, (evidence.get("rpcs", 0),))
-        self._level = evidence.get("level", 0.0)
-        self._observe_store(now, any(calls[:2]))
+        self.runs.add(now, evidence.runs)
+        self.rpcs.add(now, (evidence.rpcs,))
+        self._level = evidence.level
+        self._observe_store(now, bool(calls.succeeded or calls.failed))
         self._observe_runs(now)
-        for subject, item in evidence.get("sources", {}).items():
-            self._observe_source(now, subject, item)
+        for subject, counts in evidence.sources.items():
+            self._observe_source(now, subject, counts)
         self._review_sources(now)
 
     def _observe_store(self, now: int, was_called: bool) -> None:
@@ -157,14 +146,14 @@
         elif self._runs_summary and now - self._runs_seen_at > self.config.runs_report_lifetime:
             self._runs_summary = None
 
-    def _observe_source(self, now: int, subject: int, item: Sequence[int]) -> None:
+    def _observe_source(self, now: int, subject: int, counts: SourceCounts) -> None:
         source = self.sources.get(subject)
         if source is None:
             if len(self.sources) >= self.config.max_sources and not self._make_room():
                 return
             source = ObservedSource(self.config)
             self.sources[subject] = source
-        source.sums.add(now, item)
+        source.sums.add(now, counts)
 
     def _make_room(self) -> bool:
         """Evict one source: of the oldest few, the first of which nothing is reported.
@@ -229,6 +218,7 @@
         source = self.sources[subject]
         restriction = source.restriction or Restriction.NONE  # a restriction, as `_worst_sources` chose it
         all_rpcs = max(1, self.rpcs.sums[0])
-        percent = min(100, 100 * source.sums.sums[2] // all_rpcs)
+        rpcs = SourceCounts(*source.sums.sums).rpcs
+        percent = min(100, 100 * rpcs // all_rpcs)
         rate = min(MILLION - 1, source.worst_count * MILLION // self.config.source_span)
         return ObservationReport(subject, restriction, percent * MILLION + rate)
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -16,6 +16,7 @@
 from finchcart.consensus.change_log import DecisionChangeLog
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.evidence import Evidence
 from finchcart.consensus.fleet_decisions import FleetDecisions
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.messages import (
@@ -27,7 +28,7 @@
     OperatorOverride,
     OverrideRequest,
 )
-from finchcart.consensus.observations import Evidence, Observer
+from finchcart.consensus.observations import Observer
 from finchcart.consensus.publisher import ReportPublisher
 from finchcart.consensus.status import ConsensusStatus, node_names
 from finchcart.consensus.subjects import (
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -14,6 +14,7 @@
 from finchcart.consensus import subjects
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
 from finchcart.consensus.inputs import EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import StoreHealth
@@ -142,31 +143,32 @@
             return min(CALLS_PER_LOOK, 1 << steps)
         return CALLS_PER_LOOK
 
-    def _evidence(self, name: str, calls: int, ok: int) -> dict:
+    def _evidence(self, name: str, calls: int, ok: int) -> Evidence:
         sources = self._flooding_sources(name)
-        evidence = {
-            "calls": (ok, calls - ok, CALL_US[self.store_states[name]] * ok),
-            "rpcs": RPCS_PER_LOOK,
-            "sources": sources,
-            "runs": (RUNS_PER_LOOK, RUNS_PER_LOOK if name in self.failing else 0, RUN_US),
-            "level": self.levels.get(name, 0.0),
-        }
+        evidence = Evidence(
+            calls=CallCounts(ok, calls - ok, CALL_US[self.store_states[name]] * ok),
+            rpcs=RPCS_PER_LOOK,
+            sources=sources,
+            runs=RunCounts(RUNS_PER_LOOK, RUNS_PER_LOOK if name in self.failing else 0, RUN_US),
+            level=self.levels.get(name, 0.0),
+        )
         if name in self.liars:
-            evidence |= {
-                "calls": (0, CALLS_PER_LOOK, 0),
-                "level": 1.0,
-                "sources": {**sources, self.innocent: (self.consensus_config.max_bad_messages, 0, 0)},
-            }
+            accused = SourceCounts(bad_messages=self.consensus_config.max_bad_messages)
+            return evidence._replace(
+                calls=CallCounts(failed=CALLS_PER_LOOK),
+                level=1.0,
+                sources={**sources, self.innocent: accused},
+            )
         return evidence
 
-    def _flooding_sources(self, name: str) -> dict[int, tuple[int, int, int]]:
+    def _flooding_sources(self, name: str) -> dict[int, SourceCounts]:
         sources = {}
         for subject, (rate, nodes) in self.floods.items():
             if len(sources) >= self.consensus_config.max_sources:
                 break  # as the core's own table of a look
             bad = rate * self.consensus_config.look_interval // SECOND if name in nodes else 0
             if bad:
-                sources[subject] = (bad, 0, 0)
+                sources[subject] = SourceCounts(bad_messages=bad)
         return sources
 
     def _report_probes(self, name: str, calls: int) -> None:
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -7,16 +7,13 @@
 """
 
 from collections.abc import Mapping
-from typing import TYPE_CHECKING
 
 from finchcart.consensus.config import ConsensusConfig
+from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
 from finchcart.consensus.subjects import Restriction, StoreHealth, SubjectKind, make_subject, source_subject
 from finchcart.decisions.arrival import FleetQuota
 from finchcart.decisions.outcome import Outcome
 
-if TYPE_CHECKING:
-    from finchcart.consensus.observations import Evidence
-
 SECOND = 1_000_000
 INVALID, OVER_LIMIT, RPCS = range(3)  # what is counted of a source, in the order in which it is published
 SUCCEEDED, FAILED, TIME = range(3)  # what is counted of calls
@@ -49,17 +46,17 @@
 
     # ---- What was seen
 
-    def collect_evidence(self, now: int, shed_level: float) -> "Evidence | None":
+    def collect_evidence(self, now: int, shed_level: float) -> Evidence | None:
         """The evidence since the last look, or None where it is too soon."""
         if self._looked_at is not None and now - self._looked_at < self.config.look_interval:
             return None
-        evidence: Evidence = {
-            "calls": tuple(self._calls),
-            "runs": tuple(self._runs),
-            "rpcs": self._rpcs,
-            "sources": {name: tuple(counts) for name, counts in self._sources.items()},
-            "level": shed_level,
-        }
+        evidence = Evidence(
+            CallCounts(*self._calls),
+            RunCounts(*self._runs),
+            self._rpcs,
+            {name: SourceCounts(*counts) for name, counts in self._sources.items()},
+            shed_level,
+        )
         self._looked_at = now
         self._reset_counts()
         return evidence
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -75,7 +75,7 @@
         harness.step(40 * MS)
     bad = {}
     for seen in harness.evidence:
-        for subject, (count, _, _) in seen["sources"].items():
+        for subject, (count, _, _) in seen.sources.items():
             bad[subject] = bad.get(subject, 0) + count
     assert silent, "no health check, nor a connection that we told to close"
     assert bad == {BAD: 2}, "no health check, nor a connection that we told to close"
--- a/tests/test_consensus_observations.py
+++ b/tests/test_consensus_observations.py
@@ -2,6 +2,7 @@
 
 from finchcart.consensus import subjects
 from finchcart.consensus.config import SECOND
+from finchcart.consensus.evidence import CallCounts, Evidence, SourceCounts
 from finchcart.consensus.observations import Observer
 from finchcart.consensus.subjects import (
     STORE_SUBJECT,
@@ -16,32 +17,32 @@
     observer = Observer(subjects.node_subject("n0"), CONFIG)
 
     def observe(now, **seen):
-        observer.observe(now, {"calls": (0, 0, 0), "runs": (0, 0, 0), **seen})
+        observer.observe(now, Evidence(**seen))
 
     def reported(now):
         """(value, weight) of the store."""
         return next((each[1:] for each in observer.reports(now) if each.subject == STORE_SUBJECT), None)
 
     for n in range(8):
-        observe(n * 250 * MS, calls=(3, 0, 60_000))
+        observe(n * 250 * MS, calls=CallCounts(3, 0, 60_000))
     assert reported(1750 * MS) == (WORKING, 1)
-    observe(2000 * MS, calls=(0, 2, 0))
+    observe(2000 * MS, calls=CallCounts(0, 2, 0))
     assert reported(2000 * MS) == (WORKING, 1), "a few failed"
     for n in range(9, 18):
-        observe(n * 250 * MS, calls=(0, 3, 0))
+        observe(n * 250 * MS, calls=CallCounts(0, 3, 0))
     assert reported(4250 * MS) == (DOWN, 1)
     observe(9 * SECOND)
     assert reported(9 * SECOND) == (DOWN, 0), "nothing was tried lately"
-    observe(9 * SECOND + 1, calls=(1, 0, 20_000))
+    observe(9 * SECOND + 1, calls=CallCounts(1, 0, 20_000))
     assert reported(9 * SECOND + 1) == (WORKING, 1), "one probe call tells"
     for n in range(18, 26):
-        observe(10 * SECOND + n * 250 * MS, calls=(3, 0, 3_000_000))
+        observe(10 * SECOND + n * 250 * MS, calls=CallCounts(3, 0, 3_000_000))
     assert reported(16 * SECOND + 250 * MS)[0] == SLOW
     observe(60 * SECOND)
     assert reported(60 * SECOND) is None
     for n in range(3000):
         source = subjects.source_subject(f"10.{n // 250}.0.{n % 250}")
-        observe(70 * SECOND, sources={source: (30 if n % 2 else 1, 0, 0)})
+        observe(70 * SECOND, sources={source: SourceCounts(30 if n % 2 else 1, 0, 0)})
     assert len(observer.sources) == CONFIG.max_sources
     assert len(observer.reports(70 * SECOND)) <= CONFIG.max_source_reports + 4
     observe(150 * SECOND)
@@ -53,4 +54,4 @@
     witness.call_ended(Outcome.TIMEOUT, 5, True)
     witness.call_ended(Outcome.REJECTED, 5, False)
     witness.call_ended(Outcome.CONNECTION_LOST, 5, True)
-    assert witness.collect_evidence(0, 0.0)["calls"] == (0, 1, 0)
+    assert witness.collect_evidence(0, 0.0).calls == (0, 1, 0)
