--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -70,9 +70,11 @@
     view: dict
 
 
-Message = ConsensusStatusRequest | OverrideRequest | ConsensusStatusResponse
+ConsensusMessage = ConsensusStatusRequest | OverrideRequest | ConsensusStatusResponse
 
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (ConsensusStatusRequest, OverrideRequest))
+CODEC: MessageCodec[ConsensusMessage] = MessageCodec(
+    CHANNEL, ConsensusMessage, (ConsensusStatusRequest, OverrideRequest)
+)
 
 _reports_decoder = msgspec.msgpack.Decoder(Annotated[list[ObservationReport], Meta(max_length=MAX_REPORTS)])
 _overrides_decoder = msgspec.msgpack.Decoder(
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -21,9 +21,9 @@
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.messages import (
     CODEC,
+    ConsensusMessage,
     ConsensusStatusRequest,
     ConsensusStatusResponse,
-    Message,
     ObservationReport,
     OperatorOverride,
     OverrideRequest,
@@ -196,7 +196,7 @@
             return
         self.effects.append(SendDatagram(address, answer))
 
-    def _answer(self, now: int, message: Message) -> dict[str, Any]:
+    def _answer(self, now: int, message: ConsensusMessage) -> dict[str, Any]:
         if isinstance(message, OverrideRequest):
             return self.issue_override(now, message)
         if isinstance(message, ConsensusStatusRequest):
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -28,10 +28,10 @@
     CODEC,
     RUN_ENDED,
     AcquireLeases,
+    KeyLeaseMessage,
     LeaseProposal,
     LeaseReport,
     LeaseStatus,
-    Message,
     OutcomesAcknowledged,
     ReportOutcomes,
     Votes,
@@ -50,7 +50,7 @@
 }
 
 
-class KeyLeaseClient(MessageEndpoint[Message, ClientInput]):
+class KeyLeaseClient(MessageEndpoint[KeyLeaseMessage, ClientInput]):
     """The state machine of a node; see `MessageEndpoint` and `ClientInput` for its inputs.
 
     Arguments:
@@ -206,7 +206,7 @@
 
     # ---- messages
 
-    def on_message(self, address: HostPort, message: Message) -> None:
+    def on_message(self, address: HostPort, message: KeyLeaseMessage) -> None:
         """Take a replica's answer to this process."""
         if address not in self.replicas or message.session != self.session:
             raise MessageRejectedError("not for this process")
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -93,8 +93,8 @@
     outcomes: Annotated[list[OutcomeId], Meta(max_length=MAX_BATCH)]
 
 
-Message = AcquireLeases | Votes | ReportOutcomes | OutcomesAcknowledged
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message)
+KeyLeaseMessage = AcquireLeases | Votes | ReportOutcomes | OutcomesAcknowledged
+CODEC: MessageCodec[KeyLeaseMessage] = MessageCodec(CHANNEL, KeyLeaseMessage)
 
 
 def key_digest(method: str, idempotency_key: str) -> bytes:
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -17,10 +17,10 @@
     CODEC,
     RUN_ENDED,
     AcquireLeases,
+    KeyLeaseMessage,
     LeaseProposal,
     LeaseReport,
     LeaseStatus,
-    Message,
     OutcomeId,
     OutcomesAcknowledged,
     ReportOutcomes,
@@ -68,7 +68,7 @@
 E = TypeVar("E", bound=Expiring)
 
 
-class KeyLeaseReplica(MessageEndpoint[Message, Never]):
+class KeyLeaseReplica(MessageEndpoint[KeyLeaseMessage, Never]):
     """A replica's state machine; see `MessageEndpoint` for its inputs and effects.
 
     Arguments:
@@ -91,7 +91,7 @@
         _drop_expired(self.leases, self.now)
         _drop_expired(self.released, self.now)
 
-    def on_message(self, address: HostPort, message: Message) -> None:
+    def on_message(self, address: HostPort, message: KeyLeaseMessage) -> None:
         """Answer a holder."""
         if self.now < self.quiet_until:
             raise MessageRejectedError("quiet after the start")
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -155,6 +155,8 @@
     record: MemberRecord
 
 
-Message = Heartbeat | BucketDigests | BucketPage | MemberRecords | ViewRequest | ViewPage | NameTaken
+MembershipMessage = (
+    Heartbeat | BucketDigests | BucketPage | MemberRecords | ViewRequest | ViewPage | NameTaken
+)
 
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (ViewRequest,))
+CODEC: MessageCodec[MembershipMessage] = MessageCodec(CHANNEL, MembershipMessage, (ViewRequest,))
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -6,7 +6,7 @@
 from finchcart.fleet.codec import DatagramError, HostPort
 from finchcart.fleet.effects import FleetEffect, LogLine, SendDatagram
 from finchcart.membership.config import MembershipConfig
-from finchcart.membership.messages import CODEC, Message
+from finchcart.membership.messages import CODEC, MembershipMessage
 
 
 class Outbox:
@@ -46,7 +46,7 @@
         """Add a log line for the operators."""
         self.emit(LogLine(text, fields))
 
-    def send(self, address: HostPort, message: Message) -> bool:
+    def send(self, address: HostPort, message: MembershipMessage) -> bool:
         """Send a message; return False at the bound of the period, or where the message is too long."""
         if self.sent_in_period >= self.config.max_datagrams:
             self.count("over the bound of datagrams")
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -27,7 +27,7 @@
     LeaseGrant,
     LeaseRequest,
     LimitLease,
-    Message,
+    QuotaMessage,
     QuotaStatusRequest,
     QuotaStatusResponse,
     Redirect,
@@ -42,7 +42,7 @@
     return []
 
 
-class LeaseHolder(MessageEndpoint[Message, UsageReported | QuotaConfigChanged]):
+class LeaseHolder(MessageEndpoint[QuotaMessage, UsageReported | QuotaConfigChanged]):
     """The holder's state machine; see `MessageEndpoint` and inputs.py for its inputs.
 
     Arguments:
@@ -95,7 +95,7 @@
                 self.is_leaving = True
                 self.next_request_at = self.now
 
-    def on_message(self, address: HostPort, message: Message) -> None:
+    def on_message(self, address: HostPort, message: QuotaMessage) -> None:
         """Take a planner's answer, or answer the command line."""
         match message:
             case LeaseGrant():
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -136,7 +136,7 @@
 
 
 ElectionMessage = Prepare | Promise | Propose | Accept | Reject
-Message = (
+QuotaMessage = (
     Prepare
     | Promise
     | Propose
@@ -148,4 +148,4 @@
     | QuotaStatusRequest
     | QuotaStatusResponse
 )
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (QuotaStatusRequest,))
+CODEC: MessageCodec[QuotaMessage] = MessageCodec(CHANNEL, QuotaMessage, (QuotaStatusRequest,))
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -26,10 +26,10 @@
     LeaseGrant,
     LeaseRequest,
     LimitLease,
-    Message,
     Prepare,
     Promise,
     Propose,
+    QuotaMessage,
     QuotaStatusRequest,
     QuotaStatusResponse,
     Redirect,
@@ -37,7 +37,7 @@
 )
 
 
-class Planner(MessageEndpoint[Message, QuotaConfigChanged]):
+class Planner(MessageEndpoint[QuotaMessage, QuotaConfigChanged]):
     """A planner's state machine; see `MessageEndpoint` for its inputs, and `QuotaConfigChanged`.
 
     Arguments:
@@ -82,7 +82,7 @@
                 self.election.set_config(quota)
                 self.allocator.set_config(quota)
 
-    def on_message(self, address: HostPort, message: Message) -> None:
+    def on_message(self, address: HostPort, message: QuotaMessage) -> None:
         """Act on a message of a planner, a lease holder or the command line."""
         match message:
             case Prepare() | Promise() | Propose() | Accept() | Reject():
