--- /dev/null
+++ b/finchcart/decisions/admission.py
@@ -0,0 +1,101 @@
+"""What becomes of an RPC that arrives: it is queued, rejected, or shares the result of another.
+
+Owns the forecast of a new RPC: its objective, expected service time and priority. See "Intake" in
+docs/design.md. Times are microseconds.
+"""
+
+from finchcart.decisions.admission_checks import AdmissionChecks
+from finchcart.decisions.arrival import RpcArrival
+from finchcart.decisions.arrival_statistics import ArrivalStatistics
+from finchcart.decisions.caller_reuse import CallerReuse
+from finchcart.decisions.completion import Completion
+from finchcart.decisions.duplicates import Duplicates
+from finchcart.decisions.expected_wait import WaitForecast
+from finchcart.decisions.idempotency_keys import IdempotencyKeys
+from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.method import MethodSet
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.rejection_reason import RejectionReason
+from finchcart.decisions.rpc import RpcEvents, RpcHandle
+from finchcart.decisions.rpc_table import RpcTable
+from finchcart.decisions.run_queue import RunQueue
+from finchcart.decisions.run_starter import RunStarter
+
+RETRY_TIME_LOST = 4  # the age of a retry is not sent: its objective is shorter by this times the retry ratio
+MAX_RETRY_TIME_LOST = 0.5  # of the objective
+
+
+class Admission:
+    """Admits RPCs. Invariant: each `admit` queues, rejects or fails its RPC, or has it share a result."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        methods: MethodSet,
+        events: RpcEvents,
+        callers: CallerReuse,
+        arrivals: ArrivalStatistics,
+        table: RpcTable,
+        memory: MemoryAccount,
+        keys: IdempotencyKeys,
+        queue: RunQueue,
+        wait: WaitForecast,
+        checks: AdmissionChecks,
+        duplicates: Duplicates,
+        completion: Completion,
+        starter: RunStarter,
+    ) -> None:
+        """Admit RPCs to these parts; `events`: what their handles call."""
+        self._run_factor = settings.run_factor
+        self._methods_by_name = methods.by_name
+        self._events = events
+        self._callers = callers
+        self._arrivals = arrivals
+        self._table = table
+        self._memory = memory
+        self._keys = keys
+        self._queue = queue
+        self._wait = wait
+        self._checks = checks
+        self._duplicates = duplicates
+        self._completion = completion
+        self._starter = starter
+
+    def admit(self, now: int, index: int, arrival: RpcArrival) -> RpcHandle:
+        """Queue, reject or fail an RPC that was read, or have it share a result; return its handle."""
+        self._callers.record(now, arrival.caller)
+        method = self._methods_by_name[arrival.method]
+        rpc = RpcHandle(self._events, now, index, method, arrival, self._run_factor)
+        self._forecast(rpc)
+        self._arrivals.record(arrival.waited, arrival.is_retry)
+        self._table.add(rpc)
+        self._memory.reserve(rpc.memory_kb)
+        first_index = arrival.duplicate_of
+        if first_index is None or not self._duplicates.answer(now, rpc, first_index):
+            self._queue_or_reject(now, rpc)
+        return rpc
+
+    def _forecast(self, rpc: RpcHandle) -> None:
+        method = rpc.method
+        objective: float = method.latency_objective
+        if rpc.is_retry:
+            objective *= 1 - min(MAX_RETRY_TIME_LOST, RETRY_TIME_LOST * self._arrivals.retry_ratio)
+        rpc.objective_at = min(rpc.due_at, rpc.reached_at + int(objective))
+        rpc.expected_service_time = method.estimates.expected(rpc.service_time_hint)
+        # Not by criticality for the work: of two equal methods, the one with longer runs would be starved.
+        rpc.priority = (-method.criticality, rpc.objective_at - rpc.expected_service_time)
+
+    def _queue_or_reject(self, now: int, rpc: RpcHandle) -> None:
+        expected_wait = self._wait.expected_wait(rpc.priority)
+        if rpc.quota is not None and self._checks.exceeds_quota(rpc):
+            expected_wait = max(expected_wait, rpc.quota.retry_after)
+            self._completion.reject(now, rpc, RejectionReason.QUOTA_EXHAUSTED, expected_wait)
+            return
+        reason = self._checks.rejection_reason(now, rpc, expected_wait)
+        if reason is not None:
+            self._completion.reject(now, rpc, reason, expected_wait)
+            return
+        if rpc.method.keyed:
+            self._keys.store(now, rpc)
+        self._queue.push(rpc)
+        self._starter.start_queued(now)
--- /dev/null
+++ b/finchcart/decisions/admission_checks.py
@@ -0,0 +1,130 @@
+"""Whether an RPC that arrives is rejected, and why.
+
+Owns the random numbers of the node. It must never change a limit or a probability. See "Intake: the loop" in
+docs/design.md. Times are microseconds.
+"""
+
+from random import Random
+
+from finchcart.decisions.deadlines import ResponseDeadlines
+from finchcart.decisions.gauges import LatestGauges
+from finchcart.decisions.graceful_shutdown import GracefulShutdown
+from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.method import Method
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.rejection_reason import RejectionReason
+from finchcart.decisions.rpc import RpcHandle
+from finchcart.decisions.rpc_table import RpcTable
+from finchcart.decisions.run_queue import RunQueue
+from finchcart.decisions.runs import RunCounts
+from finchcart.decisions.slowdown import Slowdown
+
+QUOTA_RESERVE = 20  # a twentieth of a fleet quota is reserved for each more critical rank
+FREE_CORE_PART = 0.8  # of the time left, that the expected service time may take on a free core
+IDLE_NODE_PART = 1.2  # the same where less than half of the cores are in use
+EXPLORATION_PROBABILITY = 0.1  # of running what does not fit: else a slow node never learns that it recovered
+
+
+class AdmissionChecks:
+    """The reasons against the admission of an RPC, in the order in which they are asked.
+
+    Invariant: random numbers are drawn in the order of the checks, one for a rank by chance and one for an
+    exploration.
+    """
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        seed: int,
+        rank_count: int,
+        gauges: LatestGauges,
+        table: RpcTable,
+        queue: RunQueue,
+        runs: RunCounts,
+        memory: MemoryAccount,
+        slowdown: Slowdown,
+        shutdown: GracefulShutdown,
+        deadlines: ResponseDeadlines,
+    ) -> None:
+        """Read these parts; `seed`: of all that is left to chance; `rank_count`: ranks of criticality."""
+        self._key_entry_kb = settings.key_entry_kb
+        self._can_pause = settings.can_pause
+        self._random = Random(seed).random
+        self._rank_count = rank_count
+        self._gauges = gauges
+        self._table = table
+        self._queue = queue
+        self._runs = runs
+        self._memory = memory
+        self._slowdown = slowdown
+        self._shutdown = shutdown
+        self._deadlines = deadlines
+
+    def exceeds_quota(self, rpc: RpcHandle) -> bool:
+        """Return whether the fleet's quota, less the reserve for more critical methods, is exhausted."""
+        quota = rpc.quota
+        if quota is None:
+            return False
+        ranks_above = self._rank_count - 1 - rpc.method.criticality_rank
+        return quota.available <= int(quota.capacity / QUOTA_RESERVE * ranks_above)
+
+    def rejection_reason(self, now: int, rpc: RpcHandle, expected_wait: float) -> RejectionReason | None:
+        """Return why to reject an RPC that would wait so long for a core, or None."""
+        reason = self._why_not_served(now, rpc)
+        if reason is not None:
+            return reason
+        shed_rank = None
+        if self._gauges.min_shed_level:
+            shed_rank = self._relative_rank(rpc)
+            level = self._gauges.min_shed_level * self._rank_count
+            if shed_rank < level - rpc.method.criticality_rank:
+                return RejectionReason.FLEET_SHED_LEVEL
+        if self._has_free_core(now, rpc):
+            return None
+        if shed_rank is None:
+            shed_rank = self._relative_rank(rpc)
+        if shed_rank < 1 - rpc.method.admission_probability:
+            return RejectionReason.LOAD_SHED
+        if self._misses_objective(now + expected_wait, rpc):
+            return RejectionReason.MISSES_OBJECTIVE
+        return None
+
+    def _why_not_served(self, now: int, rpc: RpcHandle) -> RejectionReason | None:
+        shutdown = self._shutdown
+        if shutdown.is_past_grace or shutdown.arrived_after_grace(rpc):
+            return RejectionReason.SHUTTING_DOWN
+        if not self._memory.can_admit(self._key_entry_kb * rpc.method.keyed):
+            return RejectionReason.MEMORY_EXHAUSTED
+        if self._deadlines.must_respond(now, rpc):
+            return RejectionReason.DEADLINE_TOO_NEAR
+        if self._gauges.dependency_down and self._lacks_dependency(rpc.method):
+            return RejectionReason.DEPENDENCY_DOWN
+        return None
+
+    def _lacks_dependency(self, method: Method) -> bool:
+        """Return whether it would run half and fail: no more are admitted than may probe the dependency."""
+        capacity = self._gauges.call_capacity
+        if not method.needs_call or capacity is None:
+            return False
+        return capacity <= sum(other.method.needs_call for other in self._table.active.values()) - 1
+
+    def _relative_rank(self, rpc: RpcHandle) -> float:
+        """Return its rank among its like, 0 to 1: by its user, the same on all nodes, or by chance."""
+        if rpc.shed_rank is None:
+            return self._random()
+        return rpc.shed_rank * self._rank_count - rpc.method.criticality_rank
+
+    def _has_free_core(self, now: int, rpc: RpcHandle) -> bool:
+        """Return whether a core is free for it, and its run is expected to fit in the time left."""
+        on_cores = self._runs.on_cores
+        cores = self._runs.cores
+        if on_cores >= cores or self._queue.entries:
+            return False
+        part = IDLE_NODE_PART if on_cores * 2 < cores else FREE_CORE_PART
+        fits = rpc.expected_service_time < part * (rpc.objective_at - now)
+        return fits or not rpc.service_time_hint or self._random() < EXPLORATION_PROBABILITY
+
+    def _misses_objective(self, starts_at: float, rpc: RpcHandle) -> bool:
+        if self._can_pause:  # the service time learned among runs that yield is too long
+            return self._deadlines.misses_objective(starts_at, rpc)
+        return starts_at + rpc.expected_service_time * self._slowdown.factor > rpc.objective_at
--- /dev/null
+++ b/finchcart/decisions/dependency_calls.py
@@ -0,0 +1,163 @@
+"""The calls that runs make to the dependency: which are made, wait, or are left out.
+
+Owns the runs that await a call, the calls in flight, those abandoned that still run downstream, and the token
+bucket of call time. It must never respond to an RPC: what follows from a failed call is up to rpc_events.py.
+See "Guards for the rules" in docs/design.md. Times are microseconds.
+"""
+
+from finchcart.decisions.deadlines import BEST_CASE_PART, ResponseDeadlines
+from finchcart.decisions.gauges import LatestGauges
+from finchcart.decisions.histogram import Histogram
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import AWAITING_CALL, CALLING, RpcHandle
+from finchcart.decisions.runs import RunCounts
+from finchcart.decisions.service_time import HISTOGRAM_SAMPLES
+from finchcart.decisions.slowdown import Slowdown
+from finchcart.decisions.token_bucket import TokenBucket
+from finchcart.decisions.units import MS
+
+# The token bucket: a token is a microsecond of call time. Parts of the node's share of the dependency.
+REFILL_PART = 0.8  # the mean over the window stays under the share
+BUCKET_PART = 0.2  # of the share over its window
+AMPLE_TOKENS_PART = 0.1  # above it, more calls may be in flight
+
+# Calls in flight, as parts of the node's share.
+AMPLE_CALLS_PART = 0.8
+CAUTIOUS_CALLS_PART = 0.5
+SHORT_CALLS = 32  # calls are short where so many fit in the shortest latency objective
+
+SHORTEST_CALL_BIN = 2 * MS
+PRIOR_CALL_TIME = 30 * MS
+DEGRADE_MARGIN = 1.5  # times the mean call that must fit in the time left, else the call is left out
+USUAL_CALL_QUANTILE = 0.95  # of the calls' times: no call is abandoned before it, whatever time is left
+LONG_AGO = -(10**15)
+
+
+class DependencyCalls:
+    """The calls of all runs.
+
+    Invariant: `awaiting` holds RPCs in the state AWAITING_CALL, each once; `in_flight` counts those that are
+    CALLING.
+    """
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        port: Port,
+        runs: RunCounts,
+        gauges: LatestGauges,
+        slowdown: Slowdown,
+        deadlines: ResponseDeadlines,
+        shortest_objective: int,
+    ) -> None:
+        """No call was made; `shortest_objective`: the latency objective of all methods that is shortest."""
+        self._settings = settings
+        self._port = port
+        self._runs = runs
+        self._gauges = gauges
+        self._slowdown = slowdown
+        self._deadlines = deadlines
+        self._shortest_objective = shortest_objective
+        self._share_over_window = settings.calls_limit * settings.calls_window
+        self.awaiting: list[RpcHandle] = []
+        self.in_flight = 0
+        self.abandoned: list[int] = []  # when each abandoned call ends downstream
+        self.unreachable_at = LONG_AGO  # when a call last did not reach the dependency
+        self.call_time = Histogram(SHORTEST_CALL_BIN, PRIOR_CALL_TIME, HISTOGRAM_SAMPLES)
+        self.bucket = TokenBucket(BUCKET_PART * settings.calls_limit * settings.calls_window)
+
+    def start(self, now: int) -> None:
+        """Count call time from `now`."""
+        self.bucket.start(now)
+
+    def await_call(self, rpc: RpcHandle) -> None:
+        """Have a call made for a run as soon as the limits allow it."""
+        self.awaiting.append(rpc)
+
+    def withdraw(self, rpc: RpcHandle) -> None:
+        """Make no call for a run that is over."""
+        if rpc in self.awaiting:
+            self.awaiting.remove(rpc)
+
+    def make_calls(self, now: int) -> None:
+        """Make or leave out the calls that runs await, as far as the share of the dependency allows."""
+        # A dependency may come back cold: each node's share grows from when it was last unreachable.
+        progress = self._settings.warm_up_progress(now - self.unreachable_at)
+        share = self._settings.calls_limit * progress
+        size = BUCKET_PART * share * self._settings.calls_window
+        self.bucket.refill(now, REFILL_PART * share, size)
+        self._forget_abandoned(now)
+        if not self.awaiting:
+            return
+        awaiting = [rpc for rpc in self.awaiting if rpc.response_pending]
+        self.awaiting = []
+        capacity = self._gauges.call_capacity
+        if capacity is None:
+            limit = self._limit(share)
+        else:  # given by the fleet: all of it may be used
+            limit = min(capacity, max(1, int(capacity * progress)))
+            self.bucket.fill()
+            awaiting.sort(key=lambda rpc: rpc.priority)
+        for rpc in awaiting:
+            self._make_call(now, rpc, limit)
+
+    def record_success(self, spent: int) -> None:
+        """Learn from a call that returned after `spent` microseconds."""
+        self.call_time.add(max(1, spent))
+
+    def end(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
+        """Count out a call; one that was abandoned goes on downstream for a while."""
+        rpc.state = AWAITING_CALL
+        self.in_flight -= 1
+        self.bucket.take(now - rpc.called_at)
+        if outcome in (Outcome.TIMEOUT, Outcome.CONNECTION_LOST):
+            self.abandoned.append(now + self._settings.calls_linger)
+            self.bucket.take(self._settings.calls_linger)
+        elif outcome is Outcome.UNREACHABLE:
+            self.unreachable_at = now
+
+    def degrade(self, now: int, rpc: RpcHandle) -> None:
+        """Leave out the call that a run awaits."""
+        self._port.degrade(rpc.index)
+        self._runs.resume(now, rpc)
+
+    def _forget_abandoned(self, now: int) -> None:
+        while self.abandoned and self.abandoned[0] <= now:
+            self.abandoned.pop(0)
+
+    def _limit(self, share: float) -> int:
+        """Return the limit of calls in flight: a slow dependency, or one short of tokens, gets fewer."""
+        ample_tokens = AMPLE_TOKENS_PART * self._settings.calls_limit * self._settings.calls_window
+        are_short = SHORT_CALLS * self.call_time.mean < self._shortest_objective
+        is_ample = are_short and not self.abandoned and self.bucket.tokens > ample_tokens
+        return max(1, int((AMPLE_CALLS_PART if is_ample else CAUTIOUS_CALLS_PART) * share))
+
+    def _make_call(self, now: int, rpc: RpcHandle, limit: int) -> None:
+        is_full = self.in_flight + len(self.abandoned) >= limit
+        can_degrade = rpc.method.degraded_value > 0
+        if can_degrade and (self._lacks_time(now, rpc) or (self._gauges.dependency_down and is_full)):
+            self.degrade(now, rpc)
+        elif self.bucket.tokens <= 0 or is_full:
+            self.awaiting.append(rpc)
+        else:
+            rpc.state = CALLING
+            rpc.called_at = now
+            self.in_flight += 1
+            self._port.call(rpc.index, self._timeout(now, rpc, limit))
+
+    def _lacks_time(self, now: int, rpc: RpcHandle) -> bool:
+        """Return whether the call and the rest of the run no longer fit in the objective."""
+        rest = BEST_CASE_PART * rpc.expected_service_time * self._slowdown.factor
+        return rpc.objective_at - now < DEGRADE_MARGIN * self.call_time.mean + rest
+
+    def _timeout(self, now: int, rpc: RpcHandle, limit: int) -> int:
+        """Return the timeout of a call, which leaves time for a degraded answer where one has a value."""
+        timeout: float = rpc.due_at - now - self._deadlines.response_margin
+        if rpc.method.degraded_value > 0:
+            service_time = rpc.expected_service_time * self._slowdown.factor
+            time_for_call = rpc.objective_at - now - service_time
+            timeout = min(timeout, max(time_for_call, self.call_time.quantile(USUAL_CALL_QUANTILE)))
+        longest = self._share_over_window / limit
+        return max(self._settings.tick, int(min(timeout, longest)))
--- /dev/null
+++ b/finchcart/decisions/duplicates.py
@@ -0,0 +1,45 @@
+"""Duplicates: RPCs whose idempotency key is known here.
+
+Owns no state. A duplicate must never run, lest it take effect twice. See "Guards for the rules" in
+docs/design.md. Times are microseconds.
+"""
+
+from finchcart.decisions.completion import Completion
+from finchcart.decisions.deadlines import ResponseDeadlines
+from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import COMPLETED, SHARING, RpcHandle
+from finchcart.decisions.rpc_table import RpcTable
+
+
+class Duplicates:
+    """Shares results among the RPCs of one key."""
+
+    def __init__(
+        self,
+        port: Port,
+        table: RpcTable,
+        memory: MemoryAccount,
+        deadlines: ResponseDeadlines,
+        completion: Completion,
+    ) -> None:
+        """Find the first RPC of a key in this table."""
+        self._port = port
+        self._table = table
+        self._memory = memory
+        self._deadlines = deadlines
+        self._completion = completion
+
+    def answer(self, now: int, rpc: RpcHandle, first_index: int) -> bool:
+        """Have a duplicate share the first RPC's result, or fail it; false where that one never ran."""
+        first = self._table.find(first_index)
+        first_is_over = first is not None and first.state is COMPLETED
+        if first is not None and first_is_over and not first.has_run:
+            return False
+        has_failed = first is not None and first_is_over and first.failed
+        if not self._memory.can_share() or has_failed or self._deadlines.must_respond(now, rpc):
+            self._completion.fail(now, rpc)
+        else:
+            rpc.state = SHARING
+            self._port.answer_duplicate(rpc.index)
+        return True
--- /dev/null
+++ b/finchcart/decisions/expiry.py
@@ -0,0 +1,47 @@
+"""What is overdue at a timer: RPCs whose response must be sent, or that are no longer useful.
+
+Owns no state: it looks at all active RPCs. Times are microseconds.
+"""
+
+from finchcart.decisions.completion import Completion
+from finchcart.decisions.deadlines import ResponseDeadlines
+from finchcart.decisions.graceful_shutdown import GracefulShutdown
+from finchcart.decisions.rejection_reason import RejectionReason
+from finchcart.decisions.rpc import AWAITING_CALL, PAUSED, QUEUED, RUNNING, RpcHandle
+from finchcart.decisions.rpc_table import RpcTable
+
+
+class Expiry:
+    """Rejects or fails what is overdue."""
+
+    def __init__(
+        self,
+        table: RpcTable,
+        deadlines: ResponseDeadlines,
+        shutdown: GracefulShutdown,
+        completion: Completion,
+    ) -> None:
+        """Expire the RPCs of this table."""
+        self._table = table
+        self._deadlines = deadlines
+        self._shutdown = shutdown
+        self._completion = completion
+
+    def expire_overdue(self, now: int) -> None:
+        """Respond to each RPC that is overdue, in the order of arrival."""
+        for rpc in list(self._table.active.values()):
+            if rpc.response_sent:
+                continue
+            must_end = self._deadlines.must_respond(now, rpc) or self._shutdown.outlives_grace(now, rpc)
+            if rpc.state is QUEUED or rpc.state is PAUSED:
+                if must_end:
+                    self._completion.drop_queued(now, rpc, RejectionReason.DEADLINE_TOO_NEAR)
+                elif self._deadlines.misses_objective(now, rpc):
+                    self._completion.drop_queued(now, rpc, RejectionReason.MISSES_OBJECTIVE)
+            elif must_end or (now > rpc.objective_at and _is_worthless(rpc)):
+                self._completion.fail(now, rpc)
+
+
+def _is_worthless(rpc: RpcHandle) -> bool:
+    """Return whether a run that missed its objective may end without a result."""
+    return rpc.method.worthless_when_late and (rpc.state is RUNNING or rpc.state is AWAITING_CALL)
--- /dev/null
+++ b/finchcart/decisions/health.py
@@ -0,0 +1,57 @@
+"""Whether the node reports itself healthy in service.
+
+Owns the reported health until the graceful shutdown begins, which reports it unhealthy for good. See *Health*
+in docs/design.md.
+"""
+
+from finchcart.decisions.admission_control import BUSY_THRESHOLD
+from finchcart.decisions.arrival_statistics import ArrivalStatistics
+from finchcart.decisions.gauges import LatestGauges
+from finchcart.decisions.graceful_shutdown import GracefulShutdown
+from finchcart.decisions.hysteresis import Hysteresis
+from finchcart.decisions.port import Port
+from finchcart.decisions.rejection import FULL_FLEET_RETRY_RATIO
+from finchcart.decisions.runs import RunCounts
+
+UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)  # ingress queueing delay, as part of the shortest objective
+READS_PART = 0.5  # of the cores: above it reads keep the node from its runs
+
+
+class Health:
+    """The reported health. Invariant: `is_healthy` is the last value reported in service."""
+
+    def __init__(
+        self,
+        port: Port,
+        runs: RunCounts,
+        gauges: LatestGauges,
+        arrivals: ArrivalStatistics,
+        shutdown: GracefulShutdown,
+    ) -> None:
+        """Begin healthy."""
+        self._port = port
+        self._runs = runs
+        self._gauges = gauges
+        self._arrivals = arrivals
+        self._shutdown = shutdown
+        self.is_healthy = True
+
+    def update(self, delay_part: float) -> None:
+        """Report a change; `delay_part`: ingress queueing delay, as part of the shortest objective.
+
+        Unhealthy while the fleet ejects the node, or while reads take its cores and RPCs lose their time
+        unread; not where retries show a full fleet, as all nodes would leave at once.
+        """
+        reads = self._gauges.on_cores - self._runs.on_cores
+        is_busy_reading = reads > self._runs.cores * READS_PART or self._gauges.input_busy > BUSY_THRESHOLD
+        is_alone = is_busy_reading and self._arrivals.retry_ratio < FULL_FLEET_RETRY_RATIO
+        is_delayed = UNHEALTHY_DELAY.is_exceeded(delay_part, not self.is_healthy)
+        is_unhealthy = self._gauges.ejected or (is_alone and is_delayed)
+        if self._shutdown.termination_deadline is not None or self.is_healthy != is_unhealthy:
+            return
+        self.is_healthy = not self.is_healthy
+        self._port.set_health(self.is_healthy, True)
+        reason = f"{delay_part:.2f} of the objective lost unread"
+        if self._gauges.ejected:
+            reason = "ejected by the fleet"
+        self._port.log(f"{'healthy' if self.is_healthy else 'unhealthy'}: {reason}")
--- /dev/null
+++ b/finchcart/decisions/idle_timeout.py
@@ -0,0 +1,72 @@
+"""After how long idle connections are closed.
+
+Owns whether idle connections are kept; once the grace period is over, graceful_shutdown.py has set the
+timeout for good. See "Goodbye to connections" in docs/design.md. Times are microseconds.
+"""
+
+from finchcart.decisions.caller_reuse import REUSE_WINDOW, CallerReuse
+from finchcart.decisions.graceful_shutdown import DRAINING_IDLE_TIMEOUT, GracefulShutdown
+from finchcart.decisions.hysteresis import Hysteresis
+from finchcart.decisions.method import MethodSet
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.port import Port
+from finchcart.decisions.units import MS
+
+MIN_IDLE_TIMEOUT = DRAINING_IDLE_TIMEOUT
+MAX_IDLE_TIMEOUT = REUSE_WINDOW
+
+# Idle connections are kept above, above and below these.
+KEPT_REUSE = Hysteresis(enter=0.75, exit=0.6)  # caller reuse ratio
+KEPT_DELAY = Hysteresis(enter=0.2, exit=0.04)  # ingress queueing delay, as part of the shortest objective
+KEPT_PROBABILITY = Hysteresis(enter=0.6, exit=0.9)  # least admission probability, where no level is published
+
+
+class IdleTimeout:
+    """The idle timeout. Invariant: `keeps_connections` tells which of the two values was set."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        port: Port,
+        methods: MethodSet,
+        callers: CallerReuse,
+        shutdown: GracefulShutdown,
+    ) -> None:
+        """Begin with connections that are not kept."""
+        self._publishes_level = settings.feedback == "level"
+        self._highest = settings.idle_timeout_max
+        self._port = port
+        self._methods = methods
+        self._callers = callers
+        self._shutdown = shutdown
+        self.keeps_connections = False
+
+    def start(self) -> None:
+        """Set the first idle timeout."""
+        self._port.set_idle_timeout(MIN_IDLE_TIMEOUT)
+
+    def update(self, delay_part: float) -> None:
+        """Set the timeout anew where it changed; `delay_part`: see `Health.update`.
+
+        Idle connections are kept where callers soon come again: else they cost more than new ones. Also where
+        RPCs lose their time unread or no level keeps callers off: a full table rejects at the least cost.
+        """
+        keep = self._should_keep(delay_part)
+        if self._shutdown.is_past_grace or keep == self.keeps_connections:
+            return
+        self.keeps_connections = keep
+        timeout = MAX_IDLE_TIMEOUT if keep else MIN_IDLE_TIMEOUT
+        self._port.set_idle_timeout(min(self._highest, timeout))
+        reason = f"{self._callers.ratio:.2f} returning, {delay_part:.2f} lost unread"
+        self._port.log(f"idle timeout {timeout // MS} ms: {reason}")
+
+    def _should_keep(self, delay_part: float) -> bool:
+        are_kept = self.keeps_connections
+        if KEPT_REUSE.is_exceeded(self._callers.ratio, are_kept):
+            return True
+        if KEPT_DELAY.is_exceeded(delay_part, are_kept):
+            return True
+        if self._publishes_level:
+            return False
+        least = min((method.admission_probability for method in self._methods.all), default=1)
+        return KEPT_PROBABILITY.is_undercut(least, are_kept)
--- /dev/null
+++ b/finchcart/decisions/pausing.py
@@ -0,0 +1,73 @@
+"""Runs that yield their core to RPCs that are more than twice as critical.
+
+Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake" in
+docs/design.md. It acts only where the settings say that runs can be paused.
+"""
+
+from finchcart.decisions.method import Method
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import RUNNING, RpcHandle
+from finchcart.decisions.rpc_table import RpcTable
+from finchcart.decisions.run_queue import RunQueue
+from finchcart.decisions.runs import RunCounts
+from finchcart.decisions.slowdown import Slowdown
+
+YIELDS_BELOW = 0.5  # part of the other's criticality
+MIN_REMAINING_FRACTION = 4  # a paused run has its expected service time over this left at least
+
+
+class Pausing:
+    """The pausing of runs. Invariant: only runs whose response is pending are told to pause."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        port: Port,
+        table: RpcTable,
+        queue: RunQueue,
+        runs: RunCounts,
+        slowdown: Slowdown,
+    ) -> None:
+        """Nothing is paused."""
+        self.is_enabled = settings.can_pause
+        self._port = port
+        self._table = table
+        self._queue = queue
+        self._runs = runs
+        self._slowdown = slowdown
+
+    def yields(self, method: Method, criticality: float) -> bool:
+        """Return whether a run of the method may be paused for an RPC of this criticality."""
+        return self.is_enabled and method.criticality < YIELDS_BELOW * criticality
+
+    def work_not_yielding(self, criticality: float) -> float:
+        """Return the expected service time of the runs on cores that do not yield to this criticality."""
+        running = [rpc for rpc in self._table.active.values() if rpc.state is RUNNING]
+        return sum(rpc.expected_service_time for rpc in running if not self.yields(rpc.method, criticality))
+
+    def pause_least_critical(self, criticality: float) -> bool:
+        """Pause the least critical run that yields, the last started of its like; false where none does."""
+        # Not one without a pending response: a stop would end it for good, with effects half done.
+        pausable = [
+            rpc
+            for rpc in self._table.active.values()
+            if rpc.state is RUNNING
+            and self.yields(rpc.method, criticality)
+            and rpc.response_pending
+            and rpc not in self._runs.pausing
+        ]
+        least = min(pausable, key=lambda rpc: (rpc.method.criticality, -rpc.started_at), default=None)
+        if least is None:
+            return False
+        self._runs.mark_pausing(least)
+        self._port.stop(least.index)
+        return True
+
+    def requeue(self, rpc: RpcHandle, spent: int) -> None:
+        """Queue a run that was paused after `spent` microseconds; it keeps its memory and what was done."""
+        expected = rpc.expected_service_time
+        remaining = max(expected / MIN_REMAINING_FRACTION, expected - spent / self._slowdown.factor)
+        self._slowdown.record_work(expected - remaining)
+        self._runs.pause(rpc, spent, remaining)
+        self._queue.push(rpc)
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -1,13 +1,18 @@
-"""The record of one RPC and its states. Decides nothing: what becomes of it is up to controller.py."""
+"""One RPC: its states, what is known of it, and the handle on which the host reports its events.
+
+Owns the record. It must never decide: events go on to the `RpcEvents` that admitted the RPC. Points in time
+and durations are microseconds, memory is in units of 1024 bytes.
+"""
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from finchcart.decisions.arrival import RpcArrival
-    from finchcart.decisions.controller import Method, NodeController
+from finchcart.decisions.arrival import RpcArrival
+from finchcart.decisions.method import Method
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rejection_reason import RejectionReason
 
 
 class RpcState(Enum):
@@ -18,22 +23,44 @@
     AWAITING_CALL = "awaiting call"  # its run needs a call to the dependency that was not made yet
     CALLING = "calling"  # its run waits for the dependency's reply
     SHARING = "sharing"  # a duplicate: waits for the result of the first RPC of its key
-    PAUSED = "paused"  # its run gave its core up and waits in the queue to go on
-    COMPLETED = "completed"  # nothing is owed and nothing runs
+    PAUSED = "paused"  # its run yielded its core and waits in the queue to go on
+    COMPLETED = "completed"  # no response is pending and nothing runs
+
+
+# Names of their own: a member that is looked up in its Enum costs a call on Python 3.11.
+QUEUED, RUNNING, AWAITING_CALL, CALLING, SHARING, PAUSED, COMPLETED = RpcState
+
+
+class RpcEvents(Protocol):
+    """What the handle of an RPC calls: see the handle's methods of the same names."""
+
+    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+        """Act on the end of a run, or of the wait of a duplicate."""
+
+    def caller_gone(self, now: int, rpc: RpcHandle) -> None:
+        """Act on the loss of the caller."""
+
+    def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
+        """Act on a run that needs its call to the dependency."""
 
+    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+        """Act on the end of a call."""
 
-class RpcRecord:
-    """What is known of one RPC. Points in time and durations are microseconds, memory is kilobytes."""
+
+class RpcHandle:
+    """The record and handle of one RPC: the host reports here what happens to it.
+
+    Each field is written by one module, given in the list below; fields without one never change.
+    """
 
     __slots__ = (
-        "answered",
+        "_events",
         "awaiting_since",
         "called_at",
         "caller_is_gone",
-        "control",
         "due_at",
         "duplicate_of",
-        "expected_cost",
+        "expected_service_time",
         "extra_run_kb",
         "failed",
         "failed_calls",
@@ -47,6 +74,8 @@
         "priority",
         "quota",
         "reached_at",
+        "rejection_reason",
+        "response_sent",
         "service_time_hint",
         "shed_rank",
         "spent_before_pause",
@@ -55,50 +84,62 @@
         "time_at_calls",
     )
 
-    # Set by the decision module as it admits the RPC.
-    expected_cost: float  # time on a core that is left, as far as is learned
-    objective_at: int  # when its answer still meets the latency objective
+    # Set by admission.py as it admits the RPC.
+    expected_service_time: float  # that is left, as far as is learned; less after a pause (runs.py)
+    objective_at: int  # when its response still meets the latency objective
     priority: tuple[float, float]  # order of the queue, the smallest first
-    awaiting_since: int  # when its run last began to await a call
-    called_at: int  # when its last call was made
+    # Set as its run comes to a call.
+    awaiting_since: int  # when it last began to await a call: runs.py
+    called_at: int  # when its last call was made: dependency_calls.py
 
     def __init__(
-        self,
-        control: NodeController,
-        now: int,
-        index: int,
-        method: Method,
-        arrival: RpcArrival,
+        self, events: RpcEvents, now: int, index: int, method: Method, arrival: RpcArrival, run_factor: float
     ) -> None:
-        """Record an RPC that was read `now`."""
-        self.control = control
+        """Record an RPC that was read `now`; `run_factor`: memory of a run over that of a queued RPC."""
+        self._events = events
         self.index = index  # names the RPC at the port
         self.method = method
         self.memory_kb = arrival.memory_kb  # held until it is completed
-        self.extra_run_kb = self.memory_kb * (control.settings.run_factor - 1)  # held besides by its run
-        self.reached_at = now - arrival.waited
-        self.due_at = arrival.expires_at or self.reached_at + method.deadline  # its answer is owed until then
-        self.shed_rank = arrival.shed_rank  # 0 to 1, of its user; the lowest are shed first
-        self.service_time_hint = (
-            arrival.service_time_hint
-        )  # what a run takes by the caller's estimate; 0: not told
+        self.extra_run_kb = self.memory_kb * (run_factor - 1)  # held besides from when it began to run
+        self.reached_at = now - arrival.waited  # the machine
+        self.due_at = arrival.expires_at or self.reached_at + method.deadline  # its response
+        self.shed_rank = arrival.shed_rank
+        self.service_time_hint = arrival.service_time_hint
         self.is_retry = arrival.is_retry
-        self.duplicate_of = (
-            arrival.duplicate_of
-        )  # index of the first RPC of its key; -1: it is not known any more
-        self.quota = arrival.quota  # what is left here of the fleet's limits on it
-        self.state = RpcState.QUEUED
-        self.answered = False
-        self.caller_is_gone = False
-        self.has_run = False  # it started; an effect may have come of it
-        self.failed = False
-        self.started_at = 0
-        self.spent_before_pause = 0
-        self.time_at_calls = 0
-        self.failed_calls = 0
-        self.key_expires_at = 0  # 0: its idempotency key is not stored
+        self.duplicate_of = arrival.duplicate_of
+        self.quota = arrival.quota
+        self.state = QUEUED  # runs.py, dependency_calls.py, completion.py; SHARING: admission.py
+        self.response_sent = False  # completion.py
+        self.rejection_reason: RejectionReason | None = None  # completion.py
+        self.caller_is_gone = False  # rpc_events.py
+        self.has_run = False  # it began, an effect may have come of it: runs.py; at its end rpc_events.py
+        self.failed = False  # rpc_events.py
+        self.failed_calls = 0  # rpc_events.py
+        self.started_at = 0  # runs.py
+        self.spent_before_pause = 0  # runs.py
+        self.time_at_calls = 0  # runs.py
+        self.key_expires_at = 0  # 0: its idempotency key is not stored; idempotency_keys.py
 
     @property
-    def is_owed(self) -> bool:
-        """Whether its caller still waits for an answer."""
-        return not (self.answered or self.caller_is_gone)
+    def response_pending(self) -> bool:
+        """Whether its caller still waits for a response."""
+        return not (self.response_sent or self.caller_is_gone)
+
+    def run_ended(self, now: int, outcome: Outcome, spent: int) -> None:
+        """Report that a run, or the wait of a duplicate, ended; with OK and ERROR its response was sent.
+
+        `spent`: microseconds since it began or last went on.
+        """
+        self._events.run_ended(now, self, outcome, spent)
+
+    def caller_gone(self, now: int) -> None:
+        """Report that the caller no longer waits for a response."""
+        self._events.caller_gone(now, self)
+
+    def awaiting_call(self, now: int) -> None:
+        """Report that the run needs its call to the dependency to go on."""
+        self._events.awaiting_call(now, self)
+
+    def call_ended(self, now: int, outcome: Outcome, spent: int) -> None:
+        """Report that the call ended after `spent`; with OK the run goes on by itself."""
+        self._events.call_ended(now, self, outcome, spent)
--- /dev/null
+++ b/finchcart/decisions/rpc_events.py
@@ -0,0 +1,123 @@
+"""What follows from the events that a host reports on an RPC's handle.
+
+Owns no state but `failed`, `failed_calls` and `caller_is_gone` of the RPC. Arrivals are admission.py's. Times
+are microseconds.
+"""
+
+from finchcart.decisions.completion import Completion
+from finchcart.decisions.dependency_calls import DependencyCalls
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.pausing import Pausing
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import CALLING, COMPLETED, PAUSED, QUEUED, RUNNING, SHARING, RpcHandle
+from finchcart.decisions.run_queue import RunQueue
+from finchcart.decisions.run_starter import RunStarter
+from finchcart.decisions.runs import RunCounts
+from finchcart.decisions.slowdown import Slowdown
+
+MAX_CALL_ATTEMPTS = 2  # of one run
+
+
+class RpcEventHandler:
+    """The events of all RPCs, see `RpcEvents`. Events of what is over are ignored, as they may cross."""
+
+    def __init__(
+        self,
+        port: Port,
+        queue: RunQueue,
+        runs: RunCounts,
+        slowdown: Slowdown,
+        calls: DependencyCalls,
+        pausing: Pausing,
+        completion: Completion,
+        starter: RunStarter,
+    ) -> None:
+        """Act on these parts."""
+        self._port = port
+        self._queue = queue
+        self._runs = runs
+        self._slowdown = slowdown
+        self._calls = calls
+        self._pausing = pausing
+        self._completion = completion
+        self._starter = starter
+
+    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+        """Queue a run that was paused, else complete the RPC; then start others."""
+        if rpc.state is COMPLETED:
+            return
+        was_stopped = outcome is Outcome.STOPPED
+        lacks_response = rpc.response_pending and (was_stopped or outcome is Outcome.NOT_STARTED)
+        if lacks_response and was_stopped and rpc.state is RUNNING and self._pausing.is_enabled:
+            self._pausing.requeue(rpc, spent)
+            self._starter.start_queued(now)
+            return
+        if rpc.state is not SHARING:
+            self._record_run(rpc, outcome, spent)
+        if lacks_response:
+            self._port.fail(rpc.index)  # it may have run: a response is pending, and never a rejection
+        self._completion.complete(now, rpc)
+        self._starter.start_queued(now)
+
+    def caller_gone(self, now: int, rpc: RpcHandle) -> None:
+        """Complete what does not run; stop a run where that is allowed."""
+        if rpc.state is COMPLETED or rpc.caller_is_gone:
+            return
+        rpc.caller_is_gone = True
+        if rpc.state in (QUEUED, PAUSED):
+            self._queue.remove(rpc)
+        if rpc.state in (QUEUED, PAUSED, SHARING):
+            self._completion.complete(now, rpc)
+        elif rpc.state is RUNNING and rpc.method.stoppable and not rpc.response_sent:
+            self._port.stop(rpc.index)
+
+    def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
+        """Take a run off its core and have its call made; no call is made without a pending response."""
+        if rpc.state is not RUNNING:
+            return
+        self._runs.suspend(now, rpc)
+        if rpc.response_pending:
+            self._calls.await_call(rpc)
+            self._calls.make_calls(now)
+        self._starter.start_queued(now)
+
+    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+        """Let the run go on after a successful call; else retry it, leave it out, or fail the RPC."""
+        if rpc.state is not CALLING:
+            return
+        self._calls.end(now, rpc, outcome)
+        if outcome is Outcome.OK:
+            self._calls.record_success(spent)
+            self._runs.resume(now, rpc)
+        elif rpc.response_pending:
+            self._call_failed(now, rpc, outcome)
+        self._calls.make_calls(now)
+        self._starter.start_queued(now)
+
+    def _record_run(self, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+        rpc.failed = outcome is not Outcome.OK
+        rpc.has_run = outcome is not Outcome.NOT_STARTED  # else nothing is learned of it, nor its key kept
+        if rpc.has_run:
+            self._slowdown.record_work(rpc.expected_service_time)
+        if not rpc.failed:
+            run_duration = spent + rpc.spent_before_pause
+            service_time = max(1, run_duration - rpc.time_at_calls)
+            rpc.method.estimates.learn(rpc.service_time_hint, service_time, max(1, run_duration))
+
+    def _call_failed(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
+        """Retry the call, leave it out, or fail the RPC.
+
+        A call must not take effect twice, and a failing dependency gets no further load: it is retried once,
+        where the method is idempotent or the call never ran.
+        """
+        rpc.failed_calls += 1
+        can_degrade = rpc.method.degraded_value > 0
+        may_retry = rpc.method.idempotent or outcome.never_ran
+        if outcome is Outcome.TIMEOUT and can_degrade:
+            may_retry = False
+        if may_retry and rpc.failed_calls < MAX_CALL_ATTEMPTS:
+            self._calls.await_call(rpc)
+        elif can_degrade:
+            self._calls.degrade(now, rpc)
+        else:
+            self._completion.fail(now, rpc)
--- /dev/null
+++ b/finchcart/decisions/run_starter.py
@@ -0,0 +1,71 @@
+"""The start of queued RPCs, in order, as far as the limits allow.
+
+Owns no state. It must never change the order of the queue or a limit.
+"""
+
+from finchcart.decisions.completion import Completion
+from finchcart.decisions.concurrency import ConcurrencyLimit
+from finchcart.decisions.deadlines import ResponseDeadlines
+from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.pausing import Pausing
+from finchcart.decisions.port import Port
+from finchcart.decisions.rejection_reason import RejectionReason
+from finchcart.decisions.rpc import RpcHandle
+from finchcart.decisions.run_queue import RunQueue
+from finchcart.decisions.runs import RunCounts
+
+
+class RunStarter:
+    """Starts and resumes runs."""
+
+    def __init__(
+        self,
+        port: Port,
+        queue: RunQueue,
+        runs: RunCounts,
+        memory: MemoryAccount,
+        concurrency: ConcurrencyLimit,
+        pausing: Pausing,
+        deadlines: ResponseDeadlines,
+        completion: Completion,
+    ) -> None:
+        """Start RPCs of this queue."""
+        self._port = port
+        self._queue = queue
+        self._runs = runs
+        self._memory = memory
+        self._concurrency = concurrency
+        self._pausing = pausing
+        self._deadlines = deadlines
+        self._completion = completion
+
+    def start_queued(self, now: int) -> None:
+        """Start queued RPCs and resume paused ones; drop those that miss their objective on busy cores."""
+        queue = self._queue.entries
+        if not queue:
+            return
+        runs = self._runs
+        limit = self._concurrency.max_in_progress(now)
+        while queue and runs.in_progress < limit:
+            rpc = queue[0][2]
+            if runs.on_cores * 2 >= runs.cores and self._deadlines.misses_objective(now, rpc):
+                self._completion.drop_queued(now, rpc, RejectionReason.MISSES_OBJECTIVE)
+            elif self._may_start(rpc):
+                self._start_first(now, rpc)
+            else:
+                break
+
+    def _start_first(self, now: int, rpc: RpcHandle) -> None:
+        self._queue.remove_first()
+        if not rpc.has_run:
+            self._memory.reserve(rpc.extra_run_kb)
+        self._runs.begin(now, rpc)
+        self._port.run(rpc.index)
+
+    def _may_start(self, rpc: RpcHandle) -> bool:
+        further_kb = 0 if rpc.has_run else rpc.extra_run_kb
+        if not self._memory.can_start(further_kb):
+            return False
+        runs = self._runs
+        has_core = runs.on_cores - len(runs.pausing) < self._concurrency.limit
+        return has_core or self._pausing.pause_least_critical(rpc.method.criticality)
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from finchcart.decisions.controller import NodeController
+from finchcart.decisions.graceful_shutdown import GracefulShutdown
 from finchcart.node.idempotency import IdempotencyCache, KeyEntry
 from finchcart.node.unknown_runs import UnknownRuns
 from finchcart.node.worker_pool import WorkerPool
@@ -53,14 +53,14 @@
 
 def serve_past_the_grace() -> None:
     """Rule 3: the grace never ends."""
-    NodeController._end_grace = lambda self, now: None
-    drain = NodeController.drain
+    GracefulShutdown.end_grace = lambda self, now: None
+    begin = GracefulShutdown.begin
 
-    def drain_without_grace(self: NodeController, now: int, kill_at: int) -> None:
-        drain(self, now, kill_at)
-        self.grace_end = kill_at
+    def begin_without_grace(self: GracefulShutdown, now: int, termination_deadline: int) -> None:
+        begin(self, now, termination_deadline)
+        self.grace_end = termination_deadline
 
-    NodeController.drain = drain_without_grace
+    GracefulShutdown.begin = begin_without_grace
 
 
 def forget_runs() -> None:
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from finchcart.decisions.rpc import RpcRecord
+    from finchcart.decisions.rpc import RpcHandle
     from finchcart.node.frontend import Frontend
     from finchcart.node.idempotency import KeyEntry
     from finchcart.node.limiters import RpcConcurrencyLimiter
@@ -80,7 +80,7 @@
         self.body = body
         self.index: int | None = None  # set once it is accepted
         self.key_entry: KeyEntry | None = None  # of its idempotency key
-        self.handle: RpcRecord | None = None  # of the decision module; None until it is admitted there
+        self.handle: RpcHandle | None = None  # of the decision module; None until it is admitted there
         self.answer_owed = True
         self.arrival_uncertainty_us = 0
         self.started = False  # the decision module had it run
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -21,7 +21,7 @@
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.port import Port
-from finchcart.decisions.rpc import RpcRecord, RpcState
+from finchcart.decisions.rpc import RpcHandle, RpcState
 
 # What is counted, in the words of the log line.
 ADMITTED_WOULD_REJECT = "taken, would be pushed back"
@@ -97,10 +97,10 @@
 
     __slots__ = ("active", "owner", "shadow")
 
-    def __init__(self, owner: "ShadowController", active: RpcRecord) -> None:
+    def __init__(self, owner: "ShadowController", active: RpcHandle) -> None:
         self.owner = owner
         self.active = active
-        self.shadow: RpcRecord | None = None
+        self.shadow: RpcHandle | None = None
 
     def run_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
         """Its run, or its wait as a duplicate, is over."""
@@ -162,8 +162,8 @@
 
     def tell_both(
         self,
-        active: NodeController | RpcRecord,
-        shadow: NodeController | RpcRecord | None,
+        active: NodeController | RpcHandle,
+        shadow: NodeController | RpcHandle | None,
         method: str,
         now: int,
         *arguments: object,
@@ -240,7 +240,7 @@
         self.counts[ADVICE] += rejected and would_reject and active.rejection != shadow.rejection
         self.counts[FAILED_OR_PAUSED] += active.failed_or_paused != shadow.failed_or_paused
 
-    def _end_in_shadow(self, handle: RpcRecord, now: int) -> None:
+    def _end_in_shadow(self, handle: RpcHandle, now: int) -> None:
         if self.shadow and handle.state is not RpcState.COMPLETED:
             self._guarded(handle.caller_gone, now)
         if self.shadow and handle.state is not RpcState.COMPLETED:
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -13,8 +13,9 @@
 
 from finchcart import wire
 from finchcart.decisions.arrival import RpcArrival
-from finchcart.decisions.controller import NodeController, RpcHandle
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.rpc import RpcHandle
 from finchcart.wire import WireError
 
 UNKNOWN_INDEX = -1  # of the first RPC of a key, where that one is released
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 
 from finchcart.decisions.arrival import RpcArrival
-from finchcart.decisions.controller import NodeController, RpcHandle
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
-from finchcart.decisions.rpc import RpcState
+from finchcart.decisions.rpc import RpcHandle, RpcState
 
 KINDS = ("idempotent", "keyed", "non_idempotent")
 MS = 1000
@@ -324,7 +324,7 @@
         rpc.state = RpcState.PAUSED
         rpc.stop_requested = False
         rpc.handle.run_ended(self.now, Outcome.STOPPED, self.now - rpc.since)
-        assert (index in self.control.active) != rpc.answered, "neither active nor answered"
+        assert (index in self.control.state.table.active) != rpc.answered, "neither active nor answered"
 
     def end_older(self, age, skip=0):
         """End the runs that are older than `age`, but for the first `skip`."""
@@ -375,19 +375,19 @@
             has_started = rpc.state not in (RpcState.QUEUED, RpcState.SHARING)
             rpcs_kb += rpc.memory_kb * (self.settings["run_factor"] if has_started else 1)
         assert rpcs_kb + len(self.keys) * entry_kb <= self.settings["memory_kb"], "fall-over: memory"
-        known = [*self.control.active.values(), *self.control.completed.values()]
+        known = [*self.control.state.table.active.values(), *self.control.state.table.completed.values()]
         counted_keys = sum(bool(rpc.key_expires_at) for rpc in known)
-        counted_kb = self.control.memory_used_kb - entry_kb * counted_keys
+        counted_kb = self.control.state.memory.used_kb - entry_kb * counted_keys
         assert abs(counted_kb - rpcs_kb) < 0.1, "memory is counted wrongly"
 
     def check_counts(self):
-        control = self.control
-        assert control.runs_in_progress == len(self.in_state(*IN_PROGRESS)), "runs are counted wrongly"
+        state = self.control.state
+        assert state.runs.in_progress == len(self.in_state(*IN_PROGRESS)), "runs are counted wrongly"
         running = (rpc for rpc in self.open.values() if rpc.state is RpcState.RUNNING)
-        work_on_cores = sum(rpc.handle.expected_cost for rpc in running)
-        assert abs(control.work_on_cores - work_on_cores) <= 1, "the work on cores is counted wrongly"
-        assert len(control.active) <= len(self.open), "what is completed is still looked at"
-        assert control.pausing <= {rpc.handle for rpc in self.open.values()}, "pausing what is completed"
+        work_on_cores = sum(rpc.handle.expected_service_time for rpc in running)
+        assert abs(state.runs.expected_work - work_on_cores) <= 1, "the work on cores is counted wrongly"
+        assert len(state.table.active) <= len(self.open), "what is completed is still looked at"
+        assert state.runs.pausing <= {rpc.handle for rpc in self.open.values()}, "pausing what is completed"
 
     def check_overload(self):
         progress = 1.0
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -546,11 +546,11 @@
     assert states == expected, "as many as may try it; others answer poorer"
     node.fleet_gauges = {"min_shed_level": 1.0, "ejected": True}
     node.step(40 * MS)
-    assert not node.healthy and node.control.published_feedback == 1.0
+    assert not node.healthy and node.control.control_loop.feedback.published == 1.0
     assert node.rpcs[node.arrive(0)].state is RpcState.COMPLETED, "though cores are free"
     node.fleet_gauges = {}
     node.step(40 * MS)
-    assert node.healthy and node.control.published_feedback == 0.0
+    assert node.healthy and node.control.control_loop.feedback.published == 0.0
 
 
 def test_settings_are_checked_and_the_check_warns_of_a_single_report():
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -133,7 +133,7 @@
 
 
 def shares_of(node):
-    return [method.admitted_share for method in node.control.methods]
+    return [method.admission_probability for method in node.control.state.methods.all]
 
 
 def may_yield(settings):
@@ -221,9 +221,9 @@
     node = Node({**PLAIN, "can_stop": True, "can_pause": True})
     for method in (0, 0, 0, 1):
         node.arrive(method)
-    assert len(node.control.pausing) == 1
+    assert len(node.control.state.runs.pausing) == 1
     node.step(50 * MS)
-    assert not node.control.pausing and node.control.runs_on_cores == 3
+    assert not node.control.state.runs.pausing and node.control.state.runs.on_cores == 3
 
 
 def test_idle_connections_are_kept_where_no_level_keeps_callers_off():
@@ -257,7 +257,7 @@
         node.step(20 * MS)
         for index in node.in_state(RpcState.RUNNING):
             node.end(index)
-    assert len(node.control.callers_seen) < 1100 and not node.control.active
+    assert len(node.control.state.callers.last_seen) < 1100 and not node.control.state.table.active
 
 
 def test_one_long_run_does_not_make_a_node_slow():
@@ -269,7 +269,7 @@
         if step % 8 == 0:
             node.arrive(0)
         node.end_older(150 * MS, skip=1)
-    assert node.control.slowness < 2
+    assert node.control.state.slowdown.factor < 2
 
 
 @pytest.mark.parametrize("pauses", [False, True])
@@ -281,7 +281,7 @@
         for method in (0, 1):
             node.arrive(method, waited=800 * MS)
         node.end_older(150 * MS)
-    low, high = (method.admitted_share for method in node.control.methods)
+    low, high = (method.admission_probability for method in node.control.state.methods.all)
     assert low < 0.2 and low < high and (high == 1) is pauses
 
 
@@ -353,7 +353,7 @@
 def test_a_retry_has_less_time_left():
     """Its latency objective passes while other nodes reject it."""
     node = Node(PLAIN)
-    node.control.retry_ratio = 0.5
+    node.control.state.arrivals.retry_ratio = 0.5
     first, retry = node.arrive(0), node.arrive(0, is_retry=True)
     late = node.arrive(0, is_retry=True, waited=450 * MS, service_time_hint=400 * MS)
     times_left = [node.rpcs[index].handle.objective_at - node.now for index in (first, retry)]
@@ -363,8 +363,8 @@
 def test_nothing_is_cut_while_a_core_is_free_and_nothing_waits():
     """A node of two cores would otherwise reject RPCs beside an idle core."""
     node = Node(PLAIN)
-    for method in node.control.methods:
-        method.admitted_share = 0.0
+    for method in node.control.state.methods.all:
+        method.admission_probability = 0.0
     states = [node.rpcs[node.arrive(0)].state for _ in range(3)]
     assert states == [RpcState.RUNNING, RpcState.RUNNING, RpcState.COMPLETED]
 
@@ -429,7 +429,7 @@
 
 def test_health_tells_of_a_node_that_has_no_time_to_read_and_of_its_end():
     node = Node(dict(PLAIN))
-    objective = min(method.latency_objective for method in node.control.methods)
+    objective = min(method.latency_objective for method in node.control.state.methods.all)
     ring_timers(node, 0.97, objective // 3)
     assert not node.healthy
     ring_timers(node, 0.97, objective // 8, times=40)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -346,11 +346,11 @@
     harness.step(MS)
     harness.lose_pool_connection()
     while harness.now < harness.attempts[name].due:
-        assert harness.core.control.runs_in_progress == 1  # it may be running
+        assert harness.core.control.state.runs.in_progress == 1  # it may be running
         harness.step(10 * MS)
     assert how(harness, name) == "failed" and name not in harness.runs
     harness.step(100 * MS)
-    assert harness.core.control.runs_in_progress == 0  # for as long as the settings let it
+    assert harness.core.control.state.runs.in_progress == 0  # for as long as the settings let it
     again = harness.submit(harness.open(), 1, name)
     harness.step(MS)
     assert how(harness, again) == "failed" and not harness.runs
@@ -419,12 +419,12 @@
     harness.end_run(first, Outcome.OK)
     harness.step(MS)
     assert [each.outcome for each in harness.attempts.values() if each.body == b"other"][1:] == ["failed"] * 2
-    odd, done = harness.submit(harness.open(), 1), harness.core.control.work_completed
+    odd, done = harness.submit(harness.open(), 1), harness.core.control.state.slowdown.work_completed
     harness.step(0)
     harness.commands.clear()
     harness.deliver(harness.pool_connection, ("undone", True, odd))
     harness.step(0)
-    assert how(harness, odd) == "failed" and harness.core.control.work_completed == done
+    assert how(harness, odd) == "failed" and harness.core.control.state.slowdown.work_completed == done
     true = harness.submit(harness.open(), 1, odd)
     harness.step(MS)
     harness.step(MS)
@@ -577,7 +577,10 @@
     harness.step(MS)
     ((kind, _, _, args),) = told
     assert kind == thrift.EXCEPTION and words in args[1, thrift.STRING].decode() and not harness.runs
-    assert not harness.core.control.read_delay and not harness.core.control.callers_seen
+    assert (
+        not harness.core.control.state.arrivals.ingress_queueing_delay
+        and not harness.core.control.state.callers.last_seen
+    )
 
 
 def test_a_body_over_the_limit_an_unknown_method_and_the_33rd_open_rpc_are_answered():
@@ -793,6 +796,6 @@
         for name in kept:
             assert not getattr(piece, name), name
     assert all(harness.connections[link] != "closed" for link in core.turn.connection_owners)
-    assert not core.control.active and len(core.turn.timers) < 12 + 2 * len(
+    assert not core.control.state.table.active and len(core.turn.timers) < 12 + 2 * len(
         harness.frontend.table.connections
     )
