--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -31,9 +31,9 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.rpc import RpcState
 from finchcart.errors import SettingsError
-from finchcart.fault_injection.consensus_fault_run import SeededRun
-from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
-from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fault_injection.consensus.fault_run import SeededRun
+from finchcart.fault_injection.consensus.simulation import ConsensusSimulation
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
@@ -44,8 +44,8 @@
 from finchcart.node.inputs import MessagesReceived
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.observer import NodeObserver
+from finchcart.protocol.messages import HeartbeatCall
 from finchcart.quota.limits import Limit
-from finchcart.thrift.messages import HeartbeatCall
 from tests.core_harness import CoreHarness
 from tests.harness import MS, Node, draw_settings
 from tests.test_control import PLAIN, one_step
