--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -46,7 +46,7 @@
         starter: RunStarter,
     ) -> None:
         """Admit RPCs to these parts; `events`: what their handles call."""
-        self._run_factor = settings.run_factor
+        self._run_factor = settings.run_memory_factor
         self._methods_by_name = methods.by_name
         self._events = events
         self._callers = callers
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -4,8 +4,6 @@
 to the modules in the table of finchcart/decisions/__init__.py, in that order.
 """
 
-from collections.abc import Mapping
-
 from finchcart.decisions.admission import Admission
 from finchcart.decisions.admission_checks import AdmissionChecks
 from finchcart.decisions.arrival import RpcArrival
@@ -24,32 +22,20 @@
 from finchcart.decisions.rpc import COMPLETED, RpcHandle
 from finchcart.decisions.rpc_events import RpcEventHandler
 from finchcart.decisions.run_starter import RunStarter
-from finchcart.decisions.units import MS, SECOND
-
-DEFAULTS = {
-    "overload_factor": 4,
-    "calls_window": 5 * SECOND,
-    "calls_linger": 200 * MS,
-    "tick": MS,
-    "feedback": "level",
-    "feedback_lifetime": SECOND,
-    "idle_timeout_max": 8 * SECOND,
-}
 
 
 class NodeController:
     """The decisions of one node; its port is called inside these calls. Times are whole microseconds."""
 
-    def __init__(self, port: Port, settings: Mapping[str, object], seed: int) -> None:
-        """`settings`: see node_settings.py; `seed`: of all that is left to chance."""
-        picked = NodeSettings.pick(settings, DEFAULTS)
-        state = NodeState(port, picked, settings)
+    def __init__(self, port: Port, settings: NodeSettings, seed: int) -> None:
+        """Begin without an RPC; `seed`: of all that is left to chance."""
+        state = NodeState(port, settings)
         self.state = state
         self._port = port
         self._maintained_at = 0
-        self._pausing = Pausing(picked, port, state.table, state.queue, state.runs, state.slowdown)
+        self._pausing = Pausing(settings, port, state.table, state.queue, state.runs, state.slowdown)
         wait = WaitForecast(state.runs, state.queue, self._pausing, state.slowdown, state.concurrency)
-        self._completion = self._make_completion(picked)
+        self._completion = self._make_completion(settings)
         self._starter = RunStarter(
             port,
             state.queue,
@@ -61,8 +47,8 @@
             self._completion,
         )
         self._expiry = Expiry(state.table, state.deadlines, state.shutdown, self._completion)
-        self._admission = self._make_admission(picked, seed, wait)
-        self.control_loop = ControlLoop(port, picked, state, self._pausing, wait)
+        self._admission = self._make_admission(settings, seed, wait)
+        self.control_loop = ControlLoop(port, settings, state, self._pausing, wait)
 
     @property
     def own_level(self) -> float:
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -28,7 +28,7 @@
         """Begin with timers that are on time."""
         self._shutdown = shutdown
         self._slowdown = slowdown
-        self._two_ticks = 2 * settings.tick
+        self._two_ticks = 2 * settings.tick_us
         self._set_timer_lateness(0)
 
     def record_timer(self, elapsed: int) -> None:
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -8,7 +8,12 @@
 from finchcart.decisions.deadlines import BEST_CASE_PART, ResponseDeadlines
 from finchcart.decisions.gauges import LatestGauges
 from finchcart.decisions.histogram import Histogram
-from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_settings import (
+    DEFAULT_CALLS_LINGER_US,
+    UNLIMITED_CALLS,
+    Dependency,
+    NodeSettings,
+)
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import AWAITING_CALL, CALLING, RpcHandle
@@ -60,13 +65,18 @@
         self._slowdown = slowdown
         self._deadlines = deadlines
         self._shortest_objective = shortest_objective
-        self._share_over_window = settings.calls_limit * settings.calls_window
+        # A tier decides for itself: no share of it is kept to.
+        is_shared = settings.dependency is Dependency.SHARED
+        self._share = settings.calls_limit if is_shared else UNLIMITED_CALLS
+        self._window = settings.calls_window_us
+        linger_us = settings.calls_linger_us
+        self._linger = DEFAULT_CALLS_LINGER_US if linger_us is None else linger_us
         self.awaiting: list[RpcHandle] = []
         self.in_flight = 0
         self.abandoned: list[int] = []  # when each abandoned call ends downstream
         self.unreachable_at = LONG_AGO  # when a call last did not reach the dependency
         self.call_time = Histogram(SHORTEST_CALL_BIN, PRIOR_CALL_TIME, HISTOGRAM_SAMPLES)
-        self.bucket = TokenBucket(BUCKET_PART * settings.calls_limit * settings.calls_window)
+        self.bucket = TokenBucket(BUCKET_PART * self._share * self._window)
 
     def start(self, now: int) -> None:
         """Count call time from `now`."""
@@ -85,8 +95,8 @@
         """Make or leave out the calls that runs await, as far as the share of the dependency allows."""
         # A dependency may come back cold: each node's share grows from when it was last unreachable.
         progress = self._settings.warm_up_progress(now - self.unreachable_at)
-        share = self._settings.calls_limit * progress
-        size = BUCKET_PART * share * self._settings.calls_window
+        share = self._share * progress
+        size = BUCKET_PART * share * self._window
         self.bucket.refill(now, REFILL_PART * share, size)
         self._forget_abandoned(now)
         if not self.awaiting:
@@ -113,8 +123,8 @@
         self.in_flight -= 1
         self.bucket.take(now - rpc.called_at)
         if outcome in (Outcome.TIMEOUT, Outcome.CONNECTION_LOST):
-            self.abandoned.append(now + self._settings.calls_linger)
-            self.bucket.take(self._settings.calls_linger)
+            self.abandoned.append(now + self._linger)
+            self.bucket.take(self._linger)
         elif outcome is Outcome.UNREACHABLE:
             self.unreachable_at = now
 
@@ -129,7 +139,7 @@
 
     def _limit(self, share: float) -> int:
         """Return the limit of calls in flight: a slow dependency, or one short of tokens, gets fewer."""
-        ample_tokens = AMPLE_TOKENS_PART * self._settings.calls_limit * self._settings.calls_window
+        ample_tokens = AMPLE_TOKENS_PART * self._share * self._window
         are_short = SHORT_CALLS * self.call_time.mean < self._shortest_objective
         is_ample = are_short and not self.abandoned and self.bucket.tokens > ample_tokens
         return max(1, int((AMPLE_CALLS_PART if is_ample else CAUTIOUS_CALLS_PART) * share))
@@ -159,5 +169,5 @@
             service_time = rpc.expected_service_time * self._slowdown.factor
             time_for_call = rpc.objective_at - now - service_time
             timeout = min(timeout, max(time_for_call, self.call_time.quantile(USUAL_CALL_QUANTILE)))
-        longest = self._share_over_window / limit
-        return max(self._settings.tick, int(min(timeout, longest)))
+        longest = self._share * self._window / limit
+        return max(self._settings.tick_us, int(min(timeout, longest)))
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -9,7 +9,7 @@
 from finchcart.decisions.concurrency import ConcurrencyLimit
 from finchcart.decisions.gauges import LatestGauges
 from finchcart.decisions.method import MethodSet
-from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_settings import Feedback, NodeSettings
 from finchcart.decisions.port import Port
 from finchcart.decisions.slowdown import Slowdown
 from finchcart.decisions.units import SECOND
@@ -36,7 +36,7 @@
     ) -> None:
         """Nothing is published yet."""
         self._kind = settings.feedback
-        self._lifetime = settings.feedback_lifetime
+        self._lifetime = settings.feedback_lifetime_us
         self._port = port
         self._methods = methods
         self._gauges = gauges
@@ -48,9 +48,9 @@
 
     def publish(self, now: int) -> None:
         """Publish what the settings ask for, where it changed."""
-        if self._kind == "level":
+        if self._kind is Feedback.LEVEL:
             self._publish_level()
-        elif self._kind == "credit":
+        elif self._kind is Feedback.CREDIT:
             self._publish_credit(now)
 
     def _publish_level(self) -> None:
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -29,7 +29,7 @@
         self._port = port
         self._runs = runs
         self._queue = queue
-        self._grace_period = settings.drain_grace
+        self._grace_period = settings.drain_grace_us
         self.grace_end: int | None = None
         self.termination_deadline: int | None = None
         self.is_past_grace = False
--- a/finchcart/decisions/idempotency_keys.py
+++ b/finchcart/decisions/idempotency_keys.py
@@ -22,7 +22,7 @@
         self._port = port
         self._memory = memory
         self._entry_kb = settings.key_entry_kb
-        self._expiry_margin = 2 * settings.tick  # after it the host has surely expired the key
+        self._expiry_margin = 2 * settings.tick_us  # after it the host has surely expired the key
         self._expirations: list[tuple[int, int, RpcHandle]] = []  # heap of (time, index, RPC)
 
     def store(self, now: int, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -8,7 +8,7 @@
 from finchcart.decisions.graceful_shutdown import DRAINING_IDLE_TIMEOUT, GracefulShutdown
 from finchcart.decisions.hysteresis import Hysteresis
 from finchcart.decisions.method import MethodSet
-from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_settings import Feedback, NodeSettings
 from finchcart.decisions.port import Port
 from finchcart.decisions.units import MS
 
@@ -33,8 +33,8 @@
         shutdown: GracefulShutdown,
     ) -> None:
         """Begin with connections that are not kept."""
-        self._publishes_level = settings.feedback == "level"
-        self._highest = settings.idle_timeout_max
+        self._publishes_level = settings.feedback is Feedback.LEVEL
+        self._highest = settings.idle_timeout_max_us
         self._port = port
         self._methods = methods
         self._callers = callers
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -1,38 +1,73 @@
-"""The methods of a node: their settings, the estimates of their runs, and how much of each is admitted.
+"""The methods of a node: what their settings mean, the estimates of their runs, and how much is admitted.
 
-Owns the link between the three. `admission_probability` and `relative_latency` are written by
-admission_control.py alone. Times are microseconds.
+Owns these facts, worked out once at start. `admission_probability` and `relative_latency` are written by
+admission_control.py alone, the estimates by rpc_events.py. Times are microseconds.
 """
 
-from collections.abc import Mapping
+from __future__ import annotations
 
-from finchcart.decisions.node_settings import MethodSettings, order_by_criticality
+from finchcart.decisions.node_settings import (
+    DEFAULT_CRITICALITY,
+    DEFAULT_DEADLINE_US,
+    MethodKind,
+    MethodSettings,
+    NodeSettings,
+)
 from finchcart.decisions.service_time import ServiceTimeEstimates
 from finchcart.decisions.units import SECOND
 
-DEFAULT_DEADLINE = 5 * SECOND
 OBJECTIVE_WITHOUT_METHODS = SECOND
+MIN_COLD_SPEED = 0.1  # part of the full speed; slower starts are not believed
 
 
-class Method(MethodSettings):
+class Method:
     """One method. Invariant: `admission_probability` is above 0, and 1 at most."""
 
-    def __init__(self, settings: Mapping[str, object], number: int, cold_factor: float) -> None:
-        """Read method `number` (from 0) of the settings; `cold_factor`: see `ServiceTimeEstimates`."""
-        super().__init__(settings, number, DEFAULT_DEADLINE)
+    def __init__(self, settings: MethodSettings, can_stop: bool, cold_factor: float) -> None:
+        """Work out the method's facts.
+
+        `can_stop`: running work can be stopped; `cold_factor`: see `ServiceTimeEstimates`.
+        """
+        criticality = settings.criticality
+        deadline_us = settings.deadline_us
+        objective_us = settings.latency_objective_us
+        self.name = settings.name
+        self.keyed = settings.kind is MethodKind.KEYED
+        self.idempotent = settings.kind is MethodKind.IDEMPOTENT
+        self.criticality: float = DEFAULT_CRITICALITY if criticality is None else criticality
+        self.criticality_rank = 0  # among those of the node; 0: the least critical
+        self.more_critical: list[Method] = []
+        self.less_critical: list[Method] = []
+        self.deadline = DEFAULT_DEADLINE_US if deadline_us is None else deadline_us
+        self.latency_objective = self.deadline if objective_us is None else objective_us
+        self.key_window = settings.key_window_us
+        self.degraded_value = settings.degraded_value
+        self.needs_call = settings.makes_call and not settings.degraded_value
+        self.stoppable = self.idempotent and can_stop
+        self.worthless_when_late = self.stoppable and not settings.late_value
+        self.estimates = ServiceTimeEstimates(self.latency_objective, cold_factor)
         self.admission_probability = 1.0
         self.relative_latency = 0.0  # expected latency over its setpoint
-        self.estimates = ServiceTimeEstimates(self.latency_objective, cold_factor)
 
 
 class MethodSet:
     """All methods of a node. Invariant: the criticality ranks of `all` are 0 to `rank_count` - 1."""
 
-    def __init__(self, settings: Mapping[str, object], cold_factor: float) -> None:
+    def __init__(self, settings: NodeSettings) -> None:
         """Take the methods of these settings, in their order."""
-        numbers = range(settings.get("methods.count", 0))
-        self.all = [Method(settings, number, cold_factor) for number in numbers]
+        cold_speed = settings.cold_start_speed if settings.fresh_start else 1
+        cold_factor = 1 / max(cold_speed, MIN_COLD_SPEED)
+        self.all = [Method(method, settings.can_stop, cold_factor) for method in settings.methods]
         self.by_name = {method.name: method for method in self.all}
-        self.rank_count = order_by_criticality(self.all)
+        self.rank_count = self._rank_by_criticality()
         objectives = (method.latency_objective for method in self.all)
         self.shortest_objective = min(objectives, default=OBJECTIVE_WITHOUT_METHODS)
+
+    def _rank_by_criticality(self) -> int:
+        """Set each method's rank, and those above and below it; return the number of ranks."""
+        criticalities = sorted({method.criticality for method in self.all})
+        for method in self.all:
+            method.criticality_rank = criticalities.index(method.criticality)
+            method.more_critical = [other for other in self.all if other.criticality > method.criticality]
+            method.less_critical = [other for other in self.all if other.criticality < method.criticality]
+        return len(criticalities)
--- a/finchcart/decisions/node_state.py
+++ b/finchcart/decisions/node_state.py
@@ -3,8 +3,6 @@
 Owns the parts, and no field besides: each part's module says what it owns and what always holds of it.
 """
 
-from collections.abc import Mapping
-
 from finchcart.decisions.arrival_statistics import ArrivalStatistics
 from finchcart.decisions.caller_reuse import CallerReuse
 from finchcart.decisions.concurrency import ConcurrencyLimit
@@ -23,17 +21,14 @@
 from finchcart.decisions.slowdown import Slowdown
 from finchcart.decisions.warm_up import WarmUp
 
-MIN_COLD_SPEED = 0.1  # part of the full speed; slower starts are not believed
-
 
 class NodeState:
     """The parts that own the state of a node."""
 
-    def __init__(self, port: Port, settings: NodeSettings, method_settings: Mapping[str, object]) -> None:
+    def __init__(self, port: Port, settings: NodeSettings) -> None:
         """Begin without an RPC."""
-        cold_speed = settings.cold_start_speed if settings.fresh_start else 1
         # What is known of methods and callers
-        self.methods = MethodSet(method_settings, 1 / max(cold_speed, MIN_COLD_SPEED))
+        self.methods = MethodSet(settings)
         self.warm_up = WarmUp(settings)
         self.callers = CallerReuse(self.warm_up)
         self.arrivals = ArrivalStatistics()
--- a/finchcart/decisions/rejection.py
+++ b/finchcart/decisions/rejection.py
@@ -50,7 +50,7 @@
         """
         is_heeded = self._callers.ratio > MIN_REUSE_FOR_ADVICE
         if expected_wait > MIN_ADVISED_WAIT and is_heeded:
-            return int(min(self._settings.retry_after_max, expected_wait))
+            return int(min(self._settings.retry_after_max_us, expected_wait))
         return 0
 
     def _is_fleet_full(self, rpc: RpcHandle) -> bool:
