--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -17,10 +17,12 @@
 
 from collections import deque
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 from finchcart.fleet.codec import name_hash
 from finchcart.fleet.units import MS, SECOND
+from finchcart.membership.config import MembershipConfig
+from finchcart.membership.member import Member
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import MemberState
 from finchcart.quota.effects import LimitAllowance
@@ -29,16 +31,12 @@
 from finchcart.quota.limit_table import reconcile
 from finchcart.quota.limits import Limit, QuotaConfig
 
-if TYPE_CHECKING:
-    from finchcart.membership.config import MembershipConfig
-    from finchcart.membership.member import Member
-
 ALLOWANCE_DURATION_US = 2 * SECOND  # a node whose fleet thread ends falls back to its floor after this
 RENEWAL_INTERVAL_US = SECOND // 2  # of an allowance that did not change
 IN_USE_PUBLICATIONS = 2  # there and back: others receive the demand, and this node what they had by then
 
 
-def freshness_bound(membership: "MembershipConfig", member_count: int, loss: float) -> int:
+def freshness_bound(membership: MembershipConfig, member_count: int, loss: float) -> int:
     """Return the microseconds within which new demand reaches all, and reports of members in contact.
 
     Arguments:
@@ -107,7 +105,7 @@
         self.joined_at: int | None = None  # when it first knew of others
         self.age = 0  # how old the report of a member in contact can be
         self.view = PartitionView(now, 1, 1)
-        self.recent_views: deque[PartitionView] = deque()  # as far back as `_view_memory`
+        self.recent_views: deque[PartitionView] = deque()  # as long as views of two sides can differ
         self.connected: list[int] = []  # ids of members with recent two-way contact
         self.unconfirmed: list[int] = []  # ids of members that are alive, without recent two-way contact
 
@@ -120,7 +118,7 @@
                 return self.on_config(quota)
         return []
 
-    def turn(self, now: int, member: "Member") -> list[LimitAllowance]:
+    def turn(self, now: int, member: Member) -> list[LimitAllowance]:
         """Publish the demand and compute the allocations, with each tick of the member; return effects."""
         self.observe(now, member)
         counters = [(each.id, each.in_use, each.demand) for each in self.allocations.values()]
@@ -158,7 +156,7 @@
 
     # ---- the view of the fleet
 
-    def observe(self, now: int, member: "Member") -> None:
+    def observe(self, now: int, member: Member) -> None:
         """Sort the members by contact, and compute which part of the fleet is seen."""
         self.age = freshness_bound(member.config, len(member.known_members), member.loss)
         failed = self._sort_members(now, member)
@@ -178,7 +176,7 @@
             self.recent_views.popleft()
         self.view = min(self.recent_views, key=lambda view: view.fraction)
 
-    def _sort_members(self, now: int, member: "Member") -> int:
+    def _sort_members(self, now: int, member: Member) -> int:
         """Set `connected` and `unconfirmed`; return how many have failed."""
         self.connected = []
         self.unconfirmed = []
@@ -199,7 +197,7 @@
 
     # ---- the allocation
 
-    def share(self, now: int, member: "Member", allocation: LocalAllocation) -> int:
+    def share(self, now: int, member: Member, allocation: LocalAllocation) -> int:
         """Return what this node may use of a limit."""
         limit = allocation.limit
         if self.joined_at is None or now - self.joined_at < self.age:
@@ -225,9 +223,7 @@
             share += (allowance - demanded) // (1 + len(self.connected) + len(self.unconfirmed))
         return share
 
-    def received_demands(
-        self, member: "Member", allocation: LocalAllocation
-    ) -> Iterable[tuple[int, int, int]]:
+    def received_demands(self, member: Member, allocation: LocalAllocation) -> Iterable[tuple[int, int, int]]:
         """Yield (id of a member in contact, in use, demand) of a limit."""
         for member_id in self.connected:
             published = member.gossip.received.get((member_id, GossipTopic.QUOTA))
