--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -53,9 +53,9 @@
 
 
 def _quota_lines(quota: QuotaConfig) -> Iterator[str]:
-    for limit in quota.loose:
+    for limit in quota.loose_limits:
         yield from _loose_limit_lines(quota, limit)
-    for limit in quota.strict:
+    for limit in quota.strict_limits:
         if limit.per == "rate":
             yield (
                 f"  limit {limit.name}: at most {quota.window_bound(limit, SECOND)} in any second, "
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -181,7 +181,7 @@
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Tell the holder of strict limits, or the members, what this node uses and wants of a limit."""
         usage = UsageReported(limit, in_use, demand, priority_demand)
-        if any(strict.name == limit for strict in self._quota.strict):
+        if any(strict.name == limit for strict in self._quota.strict_limits):
             self._datagrams.post(quota_messages.CHANNEL, usage)
         else:
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -182,8 +182,8 @@
         standing = [member for member in pair if not member.has_stepped_down]
         if len(standing) != 1:
             self._fail(f"{len(standing)} of two processes stand under the name {name}")
-        youngest = max(member.record.seniority for member in pair)
-        if standing[0].record.seniority != youngest:
+        youngest = max(member.record.start_order for member in pair)
+        if standing[0].record.start_order != youngest:
             self._fail(f"the elder stands under the name {name}")
 
     # ---- faults
--- a/finchcart/fault_injection/scripted_runs/limit_bounds.py
+++ b/finchcart/fault_injection/scripted_runs/limit_bounds.py
@@ -26,7 +26,7 @@
     if quota is None:
         return None
     limit = quota.limits[0]
-    return 0 if limit.strict else quota.loose_overshoot_bound(limit, script.nodes)
+    return 0 if limit.is_strict else quota.loose_overshoot_bound(limit, script.nodes)
 
 
 def bucket_bound(script: Script) -> float | None:
@@ -36,6 +36,6 @@
     many may come in one moment.
     """
     quota = quota_of(script)
-    if quota is None or quota.limits[0].per != "rate" or not quota.limits[0].strict:
+    if quota is None or quota.limits[0].per != "rate" or not quota.limits[0].is_strict:
         return None
     return quota.window_bound(quota.limits[0], 0)
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -65,7 +65,7 @@
         return self.incarnation, self.version, self.session
 
     @property
-    def seniority(self) -> tuple[int, int]:
+    def start_order(self) -> tuple[int, int]:
         """The order of two processes of one name: the higher started later."""
         return self.started_ms, self.session
 
--- a/finchcart/membership/name_contest.py
+++ b/finchcart/membership/name_contest.py
@@ -38,7 +38,7 @@
             return Reception.UNUSABLE
         self._contests += 1
         outbox.count("contests")
-        if self._contests >= MAX_CONTESTS and record.seniority > own.seniority:
+        if self._contests >= MAX_CONTESTS and record.start_order > own.start_order:
             self.step_down(record)
             return Reception.KNOWN
         if self._contests == MAX_CONTESTS:
@@ -53,7 +53,7 @@
         own = self.table.own_record
         if record.name != own.name or record.session == own.session:
             return
-        if record.seniority > own.seniority:
+        if record.start_order > own.start_order:
             self.step_down(record)
         else:
             self.receive(now, record)
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -141,7 +141,7 @@
             time_limit_us = min(time_limit_us or self.probe_timeout_us, self.probe_timeout_us)
         if rate:
             rate.try_acquire()
-        strict = permit.leased or (rate is not None and rate.limit.strict)
+        strict = permit.leased or (rate is not None and rate.limit.is_strict)
         return LimitedCall(permit.leased, time_limit_us, self.now_us + self.slack_us if strict else None)
 
     # ---- RPCs
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -66,7 +66,7 @@
         self.processes = processes
         self.now_us = 0
         self.removed = False  # the limit is in the settings no more
-        self.floor = limit.floor if limit.strict else 0
+        self.floor = limit.floor if limit.is_strict else 0
         self.amount = 0  # allowed beyond the floor
         self.until = 0  # for so long, on the boot clock
         self.refusals = 0
@@ -111,7 +111,7 @@
         """The permission for one more call, or None where there is no capacity."""
         if self.removed:
             return CallPermit(False, None)
-        if not self.limit.strict:
+        if not self.limit.is_strict:
             if calls.in_flight(False) < self.capacity(calls):
                 return CallPermit(False, None)
         else:
@@ -125,7 +125,7 @@
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
         """What to publish where it changed; `waiting`: runs that await a call."""
-        if not self.limit.strict:
+        if not self.limit.is_strict:
             in_use = calls.in_flight(False)
             return self._if_changed(Usage(in_use, max(in_use, waiting), waiting_with_priority))
         demand = max(0, waiting - self.floor)
@@ -233,7 +233,7 @@
         demand = 0
         if self.demand_per_second + backlog > 0.5:
             demand = ceil(DEMAND_HEADROOM * self.demand_per_second) + backlog
-        floor = self.floor if self.limit.strict else 0
+        floor = self.floor if self.limit.is_strict else 0
         return self._if_changed(Usage(0, max(0, demand - floor), 0))
 
 
--- a/finchcart/quota/allocation_targets.py
+++ b/finchcart/quota/allocation_targets.py
@@ -38,7 +38,7 @@
         """Return what a holder is to have of a limit in the end."""
         is_stale = now - self._computed_at >= TARGETS_LIFETIME_US
         if is_stale or key not in self._by_limit.get(limit.name, ()):
-            self._by_limit = {each.name: self._shares(each, holders) for each in self.quota.strict}
+            self._by_limit = {each.name: self._shares(each, holders) for each in self.quota.strict_limits}
             self._computed_at = now
         return self._by_limit[limit.name].get(key, 0)
 
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -71,7 +71,7 @@
         self.next_request_at = now
         self.last_request_at = now
         self.answered_at = now
-        self.held = {limit.name: HeldLease(limit) for limit in quota.strict}
+        self.held = {limit.name: HeldLease(limit) for limit in quota.strict_limits}
         self.local_status: Callable[[int], list[dict[str, Any]]] = _no_local_limits
         self.is_leaving = False
 
@@ -122,7 +122,7 @@
 
     def on_config(self, quota: QuotaConfig) -> None:
         """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
-        self.effects += reconcile(self.held, quota.strict, HeldLease)
+        self.effects += reconcile(self.held, quota.strict_limits, HeldLease)
         self.quota = quota
 
     def on_shutdown(self) -> None:
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -58,7 +58,7 @@
     weight: float = 1.0  # of this node, where the limit is divided
 
     @property
-    def strict(self) -> bool:
+    def is_strict(self) -> bool:
         """Whether planners allocate it."""
         return self.mode == "strict"
 
@@ -98,14 +98,14 @@
         return cls(limits, planners, **fields)
 
     @property
-    def strict(self) -> tuple[Limit, ...]:
+    def strict_limits(self) -> tuple[Limit, ...]:
         """The limits that planners allocate."""
-        return tuple(limit for limit in self.limits if limit.strict)
+        return tuple(limit for limit in self.limits if limit.is_strict)
 
     @property
-    def loose(self) -> tuple[Limit, ...]:
+    def loose_limits(self) -> tuple[Limit, ...]:
         """The limits that each node takes by its own view of the members."""
-        return tuple(limit for limit in self.limits if not limit.strict)
+        return tuple(limit for limit in self.limits if not limit.is_strict)
 
     def timing_text(self) -> str:
         """Return what all planners must have alike, as text."""
@@ -209,14 +209,14 @@
         yield FieldProblem("limits", "two have one name")
     if len({limit.scope for limit in config.limits}) < len(config.limits):
         yield FieldProblem("limits", "two limit the same: one limit holds it")
-    if config.strict:
+    if config.strict_limits:
         yield from leases.group_size_problems("planners", config.planners)
     yield from leases.duplicate_problems("planners", config.planners)
     yield from _timing_errors(config)
 
 
 def _limit_errors(path: str, limit: Limit, max_processes: int) -> Iterator[FieldProblem]:
-    if limit.strict and limit.counts == "rpcs" and limit.per == "in_hand":
+    if limit.is_strict and limit.counts == "rpcs" and limit.per == "in_hand":
         yield FieldProblem(
             f"{path}.mode",
             "an RPC in hand can't be ended with a grant, so this can't be strict: loose, or a rate",
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -101,7 +101,7 @@
 
     def __init__(self, quota: QuotaConfig, now: int) -> None:
         self.quota = quota
-        self.allocations = {limit.name: LocalAllocation(limit) for limit in quota.loose}
+        self.allocations = {limit.name: LocalAllocation(limit) for limit in quota.loose_limits}
         self.joined_at: int | None = None  # when it first knew of others
         self.age = 0  # how old the report of a member in contact can be
         self.view = PartitionView(now, 1, 1)
@@ -141,7 +141,7 @@
     def on_config(self, quota: QuotaConfig) -> list[LimitAllowance]:
         """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
         self.quota = quota
-        return reconcile(self.allocations, quota.loose, LocalAllocation)
+        return reconcile(self.allocations, quota.loose_limits, LocalAllocation)
 
     def _allowances(self, now: int, allocation: LocalAllocation) -> Iterable[LimitAllowance]:
         """Yield the allowance, where it is new or has to be renewed."""
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -137,7 +137,7 @@
         holder = self.allocator.register(self.now, request)
         lines = {line.limit: line for line in request.limits}
         leases = []
-        for limit in self.quota.strict:
+        for limit in self.quota.strict_limits:
             line = lines.get(limit.name)
             if line is None:
                 self.count(f"a holder knows no limit {limit.name}")
@@ -157,7 +157,7 @@
             "term": self.election.term if is_leader else 0,
             "leads": is_leader,
             "leader": self.election.leader(self.now),
-            "limits": [self._limit_status(limit) for limit in self.quota.strict],
+            "limits": [self._limit_status(limit) for limit in self.quota.strict_limits],
             "counts": self.counts,
         }
 
