--- /dev/null
+++ b/finchcart/simulator/codec.py
@@ -0,0 +1,288 @@
+"""Codec of the simulator's line protocol: lines are read into events, and written from values.
+
+A line is the name of a message and `name=value` fields, separated by tabs. Owns all words of the protocol but
+those of settings (finchcart/settings.py): nothing else in the program knows one. It must never decide
+anything; host.py checks which message follows which.
+"""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.outcome import Outcome
+from finchcart.errors import ProtocolError
+from finchcart.settings import whole
+from finchcart.simulator.events import (
+    BatchEnded,
+    BatchStarted,
+    CallAwaited,
+    CallEnded,
+    CallerGone,
+    DrainNotice,
+    Event,
+    InstanceKilled,
+    InstanceStarted,
+    RpcArrived,
+    RunEnded,
+    TimerFired,
+)
+
+OUTCOMES = {
+    200: Outcome.OK,
+    502: Outcome.ERROR,
+    429: Outcome.REJECTED,
+    408: Outcome.TIMEOUT,
+    521: Outcome.UNREACHABLE,
+    520: Outcome.CONNECTION_LOST,
+    444: Outcome.STOPPED,
+    409: Outcome.NOT_STARTED,
+}
+FLAGS = {"1": True, "0": False, "true": True, "false": False}
+NO_ID = "0"
+HEX_DIGITS = frozenset("0123456789abcdef")
+ID_LENGTH = 16
+TIMER_NAME = "sweep"  # of an instance's one timer
+MAX_QUOTED = 40  # characters of a line that an error quotes
+MAX_FAULT_LENGTH = 120  # characters of a fault that are reported
+LEVEL_DIGITS = 4  # of a shed level, after the point
+
+
+class WireError(ProtocolError):
+    """A line that can't be read: names the message, the field and what was expected."""
+
+
+# ---- Reading
+
+
+class FieldType(NamedTuple):
+    """How the text of a field is read; `read` raises ValueError or KeyError where it can't be."""
+
+    read: Callable[[str], object]
+    expected: str
+
+
+class Field(NamedTuple):
+    """A field of a message."""
+
+    word: str  # in the protocol
+    type: FieldType
+    name: str | None  # of the event's field; None: it is checked and not used
+
+
+class EventFormat(NamedTuple):
+    """How a message is read into an event. An optional field that is absent or empty keeps its default."""
+
+    event: Callable[..., Event]
+    required: tuple[Field, ...]
+    optional: tuple[Field, ...] = ()
+
+
+def _read_id(text: str) -> str:
+    if len(text) != ID_LENGTH or not HEX_DIGITS.issuperset(text):
+        raise ValueError(text)
+    return text
+
+
+def _read_optional_id(text: str) -> str | None:
+    return None if text == NO_ID else _read_id(text)
+
+
+def _read_gauges(text: str) -> Gauges:
+    pairs = (part.partition(":") for part in text.split(",") if part)
+    return Gauges.from_readings({name: float(value) for name, _, value in pairs})
+
+
+def _read_outcome(text: str) -> Outcome:
+    return OUTCOMES[int(text)]
+
+
+WHOLE_NUMBER = FieldType(whole, "a whole number")
+NUMBER = FieldType(float, "a number")
+TEXT = FieldType(str, "text")
+FLAG = FieldType(FLAGS.__getitem__, "1 or 0")
+ID = FieldType(_read_id, "16 hex digits")
+OPTIONAL_ID = FieldType(_read_optional_id, "16 hex digits or 0")
+OUTCOME = FieldType(_read_outcome, "a known outcome code")
+GAUGES = FieldType(_read_gauges, "name:value pairs")
+
+INSTANCE = Field("who", WHOLE_NUMBER, "instance")
+RPC = Field("call", ID, "rpc")
+ENDED = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
+SPENT = Field("spent", WHOLE_NUMBER, "spent")
+
+EVENTS = {
+    "CREATE": EventFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
+    "KILL": EventFormat(InstanceKilled, (INSTANCE,)),
+    "KNOCK": EventFormat(
+        RpcArrived,
+        (INSTANCE, RPC, Field("profile", TEXT, "method"), Field("footprint", NUMBER, "memory_kb")),
+        (
+            Field("neighbour", WHOLE_NUMBER, "caller"),
+            Field("place", NUMBER, "shed_rank"),
+            Field("isWrite", FLAG, None),
+            Field("repeats", OPTIONAL_ID, "first_rpc"),
+            Field("estimate", WHOLE_NUMBER, "service_time_hint"),
+            Field("expires", WHOLE_NUMBER, "expires_at"),
+            Field("againByClient", FLAG, "is_retry"),
+            Field("backlogTime", WHOLE_NUMBER, "waited"),
+        ),
+    ),
+    "WOUND_UP": EventFormat(RunEnded, ENDED, (SPENT,)),
+    "LEFT": EventFormat(CallerGone, (INSTANCE, RPC)),
+    "WANTS_CALL": EventFormat(CallAwaited, (INSTANCE, RPC)),
+    "DOWNSTREAM": EventFormat(CallEnded, ENDED, (SPENT,)),
+    "DRAIN": EventFormat(DrainNotice, (INSTANCE, Field("expires", WHOLE_NUMBER, "kill_at"))),
+    "WAKE": EventFormat(
+        TimerFired, (INSTANCE, Field("name", TEXT, None)), (Field("feedback", GAUGES, "gauges"),)
+    ),
+    "TICK": EventFormat(BatchStarted, (Field("wall", WHOLE_NUMBER, "now"),)),
+    "END": EventFormat(BatchEnded, ()),
+}
+NAMES = {event_format.event: message for message, event_format in EVENTS.items()}
+
+
+def parse(line: str) -> Event:
+    """Return the event that a line reports. Unknown fields are ignored.
+
+    Raise WireError for a line that can't be read.
+    """
+    message, *parts = line.split("\t")
+    if message not in EVENTS:
+        raise WireError(f"message {message[:MAX_QUOTED]!r}: expected one of {', '.join(EVENTS)}")
+    event, required, optional = EVENTS[message]
+    raw = _split_parts(message, parts)
+    fields: dict[str, object] = {}
+    for field in required:
+        if field.word not in raw:
+            raise WireError(f"{message}: field {field.word} is missing, expected {field.type.expected}")
+        _read_field(message, field, raw, fields)
+    for field in optional:
+        if raw.get(field.word, "") != "":
+            _read_field(message, field, raw, fields)
+    if event is InstanceStarted:
+        fields["settings"] = raw
+    return event(**fields)
+
+
+def _split_parts(message: str, parts: list[str]) -> dict[str, str]:
+    raw = {}
+    for part in parts:
+        name, separator, value = part.partition("=")
+        if not separator:
+            raise WireError(f"{message}: part {part[:MAX_QUOTED]!r}: expected name=value")
+        raw[name] = value
+    return raw
+
+
+def _read_field(message: str, field: Field, raw: dict[str, str], fields: dict[str, object]) -> None:
+    word, field_type, name = field
+    text = raw[word]
+    try:
+        value = field_type.read(text)
+    except (ValueError, KeyError):
+        found = f"{word}={text[:MAX_QUOTED]!r}"
+        raise WireError(f"{message}: field {found}: expected {field_type.expected}") from None
+    if name is not None:
+        fields[name] = value
+
+
+# ---- Errors of the order in which messages come
+
+
+def out_of_order(event: Event, batch_is_open: bool) -> WireError:
+    """Return the error of a message that can't come here: a batch has begun, or has not."""
+    expected = "an event or END" if batch_is_open else "TICK"
+    return WireError(f"{NAMES[type(event)]}: expected {expected} here")
+
+
+def no_such_instance(event: Event, instance: int) -> WireError:
+    """Return the error of an event of an instance that was not started."""
+    return WireError(f"{NAMES[type(event)]}: field who={instance}: expected an instance that was started")
+
+
+def unfinished_batch() -> WireError:
+    """Return the error of an input that ends inside a batch."""
+    return WireError("the input ends inside a batch, expected END")
+
+
+# ---- Writing: one line each, of the answer to a batch. Arguments as those of Port's verbs.
+
+BATCH_ANSWERED = "FINISHED"
+
+
+def run(instance: int, rpc: str) -> str:
+    """Return the line that starts or resumes a run."""
+    return f"TAKE\twho={instance}\tcall={rpc}"
+
+
+def stop(instance: int, rpc: str) -> str:
+    """Return the line that stops or pauses a run."""
+    return f"STOP\twho={instance}\tcall={rpc}"
+
+
+def reject(instance: int, rpc: str, retry_after: int, do_not_retry: bool) -> str:
+    """Return the line that answers that an RPC never ran."""
+    advice = f"\twait={retry_after}" if retry_after else ""
+    request = "\tlast=1" if do_not_retry else ""
+    return f"BUSY\twho={instance}\tcall={rpc}{advice}{request}"
+
+
+def fail(instance: int, rpc: str) -> str:
+    """Return the line that answers that an RPC failed."""
+    return f"END_FAILED\twho={instance}\tcall={rpc}"
+
+
+def call(instance: int, rpc: str, timeout: int) -> str:
+    """Return the line that makes the call of a run."""
+    return f"CALL_DEP\twho={instance}\tcall={rpc}\tlimit={timeout}"
+
+
+def degrade(instance: int, rpc: str) -> str:
+    """Return the line that leaves out the call of a run."""
+    return f"SKIP\twho={instance}\tcall={rpc}"
+
+
+def answer_duplicate(instance: int, rpc: str) -> str:
+    """Return the line that answers a duplicate with the result of the first RPC of its key."""
+    return f"SHARE\twho={instance}\tcall={rpc}"
+
+
+def store_key(instance: int, rpc: str, ttl: int) -> str:
+    """Return the line that keeps an idempotency key."""
+    return f"PIN\twho={instance}\tcall={rpc}\tkeepFor={ttl}"
+
+
+def evict_key(instance: int, rpc: str) -> str:
+    """Return the line that removes an idempotency key."""
+    return f"DROP_KEY\twho={instance}\tcall={rpc}"
+
+
+def set_health(instance: int, healthy: bool, cached: bool) -> str:
+    """Return the line that sets how health checks are answered."""
+    return f"READINESS\twho={instance}\twant={int(healthy)}\tstored={int(cached)}"
+
+
+def publish_feedback(instance: int, value: float) -> str:
+    """Return the line that publishes a value with all answers, be it a shed level or a credit."""
+    return f"HINT_OUT\twho={instance}\tx={round(value, LEVEL_DIGITS)}"
+
+
+def set_idle_timeout(instance: int, timeout: int) -> str:
+    """Return the line that sets after which silence connections are closed."""
+    return f"IDLE_LIMIT\twho={instance}\tkeepFor={timeout}"
+
+
+def set_timer(instance: int, delay: int) -> str:
+    """Return the line that asks for the timer's event."""
+    return f"NOTIFY_ME\twho={instance}\tfromNow={delay}\tname={TIMER_NAME}"
+
+
+def log(instance: int, text: str) -> str:
+    """Return a line for the operators."""
+    return f"TRACE\twho={instance}\twhat={text}"
+
+
+def instance_failed(instance: int, fault: Exception) -> str:
+    """Return the line that reports that an instance has failed and does nothing any more."""
+    text = f"{type(fault).__name__}: {fault}"[:MAX_FAULT_LENGTH].replace("\n", " ")
+    return f"BROKEN\twho={instance}\twhat={text}"
--- /dev/null
+++ b/finchcart/simulator/host.py
@@ -0,0 +1,96 @@
+"""All instances of one process of the adapter, and the batches of events that it answers.
+
+Owns the order of messages, and what becomes of an instance that fails: it ends alone.
+"""
+
+import traceback
+from collections.abc import Iterable
+from typing import TextIO
+
+from finchcart import settings
+from finchcart.simulator import codec
+from finchcart.simulator.codec import WireError
+from finchcart.simulator.events import (
+    BatchEnded,
+    BatchStarted,
+    Event,
+    InstanceEvent,
+    InstanceKilled,
+    InstanceStarted,
+)
+from finchcart.simulator.instance import SimulatorInstance
+
+
+class SimulatorHost:
+    """The instances, and the batch that is being read: its time and the lines of its answer."""
+
+    def __init__(self, sink: TextIO) -> None:
+        """Make a host without instances that answers on `sink`."""
+        self.sink = sink
+        self.instances: dict[int, SimulatorInstance] = {}  # by their numbers in the protocol
+        self.lines: list[str] = []
+        self.now: int | None = None  # None: between two batches
+
+    def handle(self, event: Event) -> None:
+        """Act on one event. Raise WireError where it can't come here."""
+        if isinstance(event, BatchStarted):
+            if self.now is not None:
+                raise codec.out_of_order(event, batch_is_open=True)
+            self.now = event.now
+        elif self.now is None:
+            raise codec.out_of_order(event, batch_is_open=False)
+        elif isinstance(event, BatchEnded):
+            self._answer_batch()
+        else:
+            self._handle_of_instance(self.now, event)
+
+    def _answer_batch(self) -> None:
+        self.lines.append(codec.BATCH_ANSWERED)
+        self.sink.write("\n".join(self.lines) + "\n")
+        self.sink.flush()
+        self.lines.clear()
+        self.now = None
+
+    def _handle_of_instance(self, now: int, event: InstanceStarted | InstanceKilled | InstanceEvent) -> None:
+        number = event.instance
+        if number not in self.instances and not isinstance(event, InstanceStarted):
+            raise codec.no_such_instance(event, number)
+        if isinstance(event, InstanceKilled):
+            del self.instances[number]
+            return
+        try:
+            if isinstance(event, InstanceStarted):
+                self._start(now, event)
+            elif not self.instances[number].failed:
+                self.instances[number].handle(now, event)
+        except Exception as fault:
+            # Guards the other instances: a fault of one, whatever it is, ends that one alone.
+            traceback.print_exc()
+            self._instance_failed(number, fault)
+
+    def _start(self, now: int, event: InstanceStarted) -> None:
+        node_settings = settings.from_pairs(event.settings)
+        instance = SimulatorInstance(event.instance, self.lines.append, node_settings, event.seed)
+        self.instances[event.instance] = instance
+        instance.control.start(now)
+
+    def _instance_failed(self, number: int, fault: Exception) -> None:
+        if number in self.instances:
+            self.instances[number].failed = True
+        self.lines.append(codec.instance_failed(number, fault))
+
+
+def serve(source: Iterable[str], sink: TextIO) -> None:
+    """Answer batches until the input ends. Raise WireError, with the line's number, for bad input."""
+    host = SimulatorHost(sink)
+    line_number = 0
+    for line_number, line in enumerate(source, start=1):
+        text = line.rstrip("\r\n")
+        if not text:
+            continue
+        try:
+            host.handle(codec.parse(text))
+        except WireError as error:
+            raise WireError(f"line {line_number}: {error}") from None
+    if host.now is not None:
+        raise WireError(f"line {line_number}: {codec.unfinished_batch()}")
--- /dev/null
+++ b/finchcart/simulator/instance.py
@@ -0,0 +1,162 @@
+"""One instance of the decision module, as the simulator sees it.
+
+Maps the simulator's identifiers to small indices and back, turns events into calls on the decision module,
+and its calls on the port into lines. It must never decide anything.
+"""
+
+from collections.abc import Callable
+
+from finchcart.decisions.arrival import RpcArrival
+from finchcart.decisions.controller import NodeController, RpcHandle
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.simulator import codec
+from finchcart.simulator.events import (
+    CallAwaited,
+    CallEnded,
+    CallerGone,
+    DrainNotice,
+    InstanceEvent,
+    RpcArrived,
+    RpcEvent,
+    RunEnded,
+    TimerFired,
+)
+
+UNKNOWN_INDEX = -1  # of the first RPC of a key, where that one is released
+
+
+class SimulatorInstance:
+    """One instance; the `Port` of its decision module (see decisions/port.py).
+
+    Bounds: identifiers and handles are kept until the decision module releases their RPC.
+    """
+
+    def __init__(self, number: int, write: Callable[[str], None], settings: NodeSettings, seed: int) -> None:
+        """Make an instance that writes its lines to `write`; `number` names it in the protocol."""
+        self.number = number
+        self.write = write
+        self.identifiers: dict[int, str] = {}  # by index
+        self.rpcs: dict[str, tuple[int, RpcHandle | None]] = {}  # identifier -> (index, handle)
+        self.next_index = 0
+        self.failed = False  # the decision module raised an exception: it is not called any more
+        self.control = NodeController(self, settings, seed)
+
+    # ---- The port
+
+    def run(self, index: int) -> None:
+        """Start or resume an RPC."""
+        self.write(codec.run(self.number, self.identifiers[index]))
+
+    def stop(self, index: int) -> None:
+        """Stop or pause a run."""
+        self.write(codec.stop(self.number, self.identifiers[index]))
+
+    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
+        """Answer that it never ran."""
+        self.write(codec.reject(self.number, self.identifiers[index], retry_after, do_not_retry))
+
+    def fail(self, index: int) -> None:
+        """Answer that it failed."""
+        self.write(codec.fail(self.number, self.identifiers[index]))
+
+    def call(self, index: int, timeout: int) -> None:
+        """Make the call to the dependency."""
+        self.write(codec.call(self.number, self.identifiers[index], timeout))
+
+    def degrade(self, index: int) -> None:
+        """Leave out the call to the dependency."""
+        self.write(codec.degrade(self.number, self.identifiers[index]))
+
+    def answer_duplicate(self, index: int) -> None:
+        """Share the result of the first RPC of the key."""
+        self.write(codec.answer_duplicate(self.number, self.identifiers[index]))
+
+    def store_key(self, index: int, ttl: int) -> None:
+        """Keep the idempotency key for `ttl` microseconds."""
+        self.write(codec.store_key(self.number, self.identifiers[index], ttl))
+
+    def evict_key(self, index: int) -> None:
+        """Remove the idempotency key."""
+        self.write(codec.evict_key(self.number, self.identifiers[index]))
+
+    def set_health(self, healthy: bool, cached: bool) -> None:
+        """Set how health checks are answered."""
+        self.write(codec.set_health(self.number, healthy, cached))
+
+    def set_shed_level(self, level: float) -> None:
+        """Publish the shed level with all answers."""
+        self.write(codec.publish_feedback(self.number, level))
+
+    def set_credit(self, credit: float) -> None:
+        """Publish the credit with all answers."""
+        self.write(codec.publish_feedback(self.number, credit))
+
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` microseconds."""
+        self.write(codec.set_idle_timeout(self.number, timeout))
+
+    def set_timer(self, delay: int) -> None:
+        """Ask for a timer event after `delay` microseconds."""
+        self.write(codec.set_timer(self.number, delay))
+
+    def log(self, text: str) -> None:
+        """Write a line for the operators."""
+        self.write(codec.log(self.number, text))
+
+    def release(self, index: int) -> None:
+        """Forget an RPC."""
+        self.rpcs.pop(self.identifiers.pop(index), None)
+
+    # ---- Events
+
+    def handle(self, now: int, event: InstanceEvent) -> None:
+        """Hand one event to the decision module."""
+        match event:
+            case RpcArrived():
+                self._admit(now, event)
+            case TimerFired():
+                self.control.on_timer(now, event.gauges)
+            case DrainNotice():
+                self.control.drain(now, event.kill_at)
+            case _:
+                _, handle = self.rpcs.get(event.rpc, (None, None))
+                if handle is not None:  # else the RPC is completed and released
+                    _report(handle, now, event)
+
+    def _admit(self, now: int, event: RpcArrived) -> None:
+        index = self.next_index
+        self.next_index += 1
+        self.identifiers[index] = event.rpc
+        self.rpcs[event.rpc] = index, None
+        arrival = RpcArrival(
+            event.method,
+            event.memory_kb,
+            caller=event.caller,
+            expires_at=event.expires_at,
+            waited=event.waited,
+            shed_rank=event.shed_rank,
+            service_time_hint=event.service_time_hint,
+            is_retry=event.is_retry,
+            duplicate_of=self._index_of(event.first_rpc),
+        )
+        handle = self.control.admit(now, index, arrival)
+        if event.rpc in self.rpcs:  # else it is completed and released
+            self.rpcs[event.rpc] = index, handle
+
+    def _index_of(self, identifier: str | None) -> int | None:
+        if identifier is None:
+            return None
+        index, _ = self.rpcs.get(identifier, (UNKNOWN_INDEX, None))
+        return index
+
+
+def _report(handle: RpcHandle, now: int, event: RpcEvent) -> None:
+    match event:
+        case RunEnded():
+            handle.run_ended(now, event.outcome, event.spent)
+        case CallerGone():
+            handle.caller_gone(now)
+        case CallAwaited():
+            handle.awaiting_call(now)
+        case CallEnded():
+            handle.call_ended(now, event.outcome, event.spent)
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -33,9 +33,9 @@
     UnservedCall,
 )
 from finchcart.quota import messages as quota
+from finchcart.simulator.codec import OUTCOMES
 from finchcart.thrift import codec as thrift
 from finchcart.thrift import fields as thrift_fields
-from finchcart.wire import OUTCOMES
 
 FLEET = "example"
 PLAIN_OUTCOME = {outcome: code for code, outcome in OUTCOMES.items()}
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -7,7 +7,7 @@
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
 from finchcart.settings import from_pairs
-from finchcart.wire import OUTCOMES
+from finchcart.simulator.codec import OUTCOMES
 from tests.pins.adapter import as_text
 
 # Verb of the port -> pinned action, and the names of its values; "call" is the index of an RPC.
