--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -7,8 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MS = 1_000  # microseconds
-SECOND = 1_000_000
+from finchcart.decisions.units import MS, SECOND
 
 UNLIMITED_CALLS = 1e9
 UNLIMITED_MEMORY_KB = 1e12
--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 
 from finchcart.decisions.arrival import RpcArrival
-from finchcart.decisions.controller import NodeController, RpcHandle
+from finchcart.decisions.controller import NodeController
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.rpc import RpcHandle
 from finchcart.simulator import codec
 from finchcart.simulator.events import (
     CallAwaited,
