--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -7,15 +7,15 @@
 
 from msgspec import UNSET
 
-from finchcart.cli.settings_schema import (
-    Settings,
+from finchcart.consensus.config import ConsensusConfig, config_warnings
+from finchcart.consensus.decision import fault_thresholds
+from finchcart.fleet_settings.configs import (
     consensus_config,
     key_lease_config,
     membership_config,
     quota_config,
 )
-from finchcart.consensus.config import ConsensusConfig, config_warnings
-from finchcart.consensus.decision import fault_thresholds
+from finchcart.fleet_settings.schema import Settings
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.quota.limits import Limit, QuotaConfig
--- a/finchcart/cli/commands.py
+++ b/finchcart/cli/commands.py
@@ -46,8 +46,8 @@
 def check(settings: str | None) -> None:
     """Read a settings file; tell all its mistakes, or the bounds that follow from it."""
     from finchcart.cli.check_report import report
-    from finchcart.cli.settings_file import load_settings
     from finchcart.errors import SettingsError
+    from finchcart.fleet_settings.file import load_settings
 
     if not settings:
         raise click.UsageError("--settings or FINCHCART_SETTINGS has to name a file")
@@ -100,12 +100,12 @@
     click.echo(indent + ", ".join(shown))
 
 
-@fleet.command()
+@fleet.command(help="The members as the process at HOST:PORT (its `fleet.listen`) sees them.")
 @click.argument("where")
 @json_option
 def members(where: str, as_json: bool) -> None:
-    """The members as the process at HOST:PORT (its `fleet.listen`) sees them."""
-    from finchcart.cli.queries import query_members
+    """Print the view of one member."""
+    from finchcart.fleet_queries import query_members
 
     view = _query(query_members, where, as_json)
     alone = ", isolated" if view["isolated"] else ""
@@ -118,12 +118,12 @@
         )
 
 
-@fleet.command()
+@fleet.command(help="The limits as the node (its `fleet.listen`) or planner at HOST:PORT holds them.")
 @click.argument("where")
 @json_option
 def limits(where: str, as_json: bool) -> None:
-    """The limits as the node (its `fleet.listen`) or planner at HOST:PORT holds them."""
-    from finchcart.cli.queries import query_limits
+    """Print the limits of one process."""
+    from finchcart.fleet_queries import query_limits
 
     view = _query(query_limits, where, as_json)
     _print_fields(view, without=("limits", "counts"))
@@ -131,12 +131,14 @@
         _print_fields(limit, indent="  ")
 
 
-@fleet.command()
+@fleet.command(
+    help="What the node at HOST:PORT (its `fleet.listen`) takes the fleet to hold, and how old that can be."
+)
 @click.argument("where")
 @json_option
 def verdicts(where: str, as_json: bool) -> None:
-    """What the node at HOST:PORT (its `fleet.listen`) takes the fleet to hold, and how old that can be."""
-    from finchcart.cli.queries import query_consensus
+    """Print the consensus as one node holds it."""
+    from finchcart.fleet_queries import query_consensus
 
     view = _query(query_consensus, where, as_json)
     _print_fields(view, without=("verdicts", "counts", "pages"))
@@ -148,10 +150,10 @@
     settings: str | None, at: str | None, kind: str, name: str, value: str, seconds: int, why: str
 ) -> None:
     """Tell an operator's override to one node, which tells all; without a value it is taken back."""
-    from finchcart.cli.queries import send_override
-    from finchcart.cli.settings_file import load_settings
     from finchcart.consensus import subjects
     from finchcart.errors import SettingsError
+    from finchcart.fleet_queries import send_override
+    from finchcart.fleet_settings.file import load_settings
     from finchcart.membership.codec import DatagramError, parse_address
 
     try:
@@ -181,7 +183,10 @@
     return seconds
 
 
-@fleet.command()
+@fleet.command(
+    help="An operator's word for a time, over all opinions: "
+    "source 10.0.0.7 out | slowed | in, node NAME out | in, store down | slow | working, level 0.25."
+)
 @kind_argument
 @click.argument("words", nargs=-1, required=True)
 @click.option("--for", "span", default="10m", show_default=True, help="90s, 10m, 2h")
@@ -189,21 +194,20 @@
 @at_option
 @settings_option
 def say(kind: str, words: tuple[str, ...], span: str, why: str, at: str | None, settings: str | None) -> None:
-    """An operator's word for a time, over all opinions: source 10.0.0.7 out | slowed | in, node NAME out |
-    in, store down | slow | working, level 0.25."""
+    """Send an operator's override of the consensus."""
     *name, value = words
     if len(name) != (kind in NAMED_SUBJECTS) or len(why) > MAX_REASON_LENGTH:
         raise click.UsageError("source and node take a name and a value, store and level a value")
     _send_override(settings, at, kind, name[0] if name else "", value, _parse_seconds(span), why)
 
 
-@fleet.command()
+@fleet.command(help="Takes an operator's word back.")
 @kind_argument
 @click.argument("name", default="")
 @at_option
 @settings_option
 def unsay(kind: str, name: str, at: str | None, settings: str | None) -> None:
-    """Takes an operator's word back."""
+    """Revoke an operator's override."""
     _send_override(settings, at, kind, name, "", 0, "")
 
 
@@ -212,9 +216,9 @@
     """Many processes with faults between them."""
 
 
-@trial.command("list")
+@trial.command("list", help="The scripts that come with the program.")
 def list_scripts() -> None:
-    """The scripts that come with the program."""
+    """Print the scripts that are part of the program."""
     from finchcart.fault_injection.script import shipped_scripts
 
     for name, script in shipped_scripts():
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -14,18 +14,18 @@
 from msgspec import UNSET
 
 from finchcart.cli.log_output import LOG_FORMATS
-from finchcart.cli.settings_file import load_settings
-from finchcart.cli.settings_schema import (
-    Settings,
+from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.store import ConsensusStore
+from finchcart.errors import SettingsError
+from finchcart.fleet_participant import FleetParticipant, Reduce
+from finchcart.fleet_settings.configs import (
     consensus_config,
     key_lease_config,
     membership_config,
     quota_config,
 )
-from finchcart.consensus import messages as consensus_messages
-from finchcart.consensus.store import ConsensusStore
-from finchcart.errors import SettingsError
-from finchcart.fleet_participant import FleetParticipant, Reduce
+from finchcart.fleet_settings.file import load_settings
+from finchcart.fleet_settings.schema import Settings
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.membership import messages as membership_messages
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -12,9 +12,10 @@
 from loguru import logger
 
 from finchcart.cli.log_output import LOG_FORMATS
-from finchcart.cli.settings_file import load_settings
-from finchcart.cli.settings_schema import Settings, key_lease_config, quota_config
 from finchcart.errors import SettingsError
+from finchcart.fleet_settings.configs import key_lease_config, quota_config
+from finchcart.fleet_settings.file import load_settings
+from finchcart.fleet_settings.schema import Settings
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.replica import KeyLeaseReplica
 from finchcart.membership.codec import parse_address
--- a/finchcart/fault_injection/limit_bounds.py
+++ b/finchcart/fault_injection/limit_bounds.py
@@ -1,14 +1,13 @@
 """The bounds of a script's limit, by the formulas of its settings."""
 
 from finchcart.fault_injection.script import Script
+from finchcart.fleet_settings.configs import quota_config
+from finchcart.fleet_settings.file import check_settings
 from finchcart.quota.limits import QuotaConfig
 
 
 def quota_of(script: Script) -> QuotaConfig | None:
     """Return the limits of a script as its processes have them; None where nothing holds them."""
-    from finchcart.cli.settings_file import check_settings
-    from finchcart.cli.settings_schema import quota_config
-
     if script.static or not script.limits:
         return None
     planners = [f"127.0.0.1:{number + 2}" for number in range(script.planners)]
--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -12,6 +12,7 @@
 from finchcart.node.idempotency import IdempotencyCache, KeyEntry
 from finchcart.node.unknown_runs import UnknownRuns
 from finchcart.node.worker_pool import WorkerPool
+from finchcart.node_process import exit_process, run_node
 from finchcart.thrift.frontend import ThriftFrontend
 
 VARIABLE = "FINCHCART_PLANT"
@@ -107,9 +108,7 @@
 def main() -> None:
     """Plant the defect, and run a node."""
     DEFECTS[os.environ[VARIABLE]]()
-    from finchcart.__main__ import start
-
-    start()
+    exit_process(run_node())
 
 
 if __name__ == "__main__":
--- a/finchcart/fault_injection/process_run.py
+++ b/finchcart/fault_injection/process_run.py
@@ -20,6 +20,7 @@
 )
 from finchcart.fault_injection.run_record import Facts, RunRecord
 from finchcart.fault_injection.script import Script, StepKind
+from finchcart.fleet_queries import query_members
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.membership.config import MS
 from finchcart.net.clock import boot_clock
@@ -41,8 +42,6 @@
     """
     script = plan.script
     fleet = ProcessFleet(folder, plan.names, plan.seed, script.fleet, FleetOptions.of_script(script, talk))
-    if script.verdicts is not None:
-        import finchcart.cli.queries  # noqa: F401  (else the first override comes late by this import)
     facts: Facts = {"driver": "processes", "stats": {}}
     try:
         for name in fleet.planners + plan.first:
@@ -189,8 +188,6 @@
 
 def process_statistics(fleet: ProcessFleet, name: str) -> dict:
     """Return what a process used, and what it tells of itself."""
-    from finchcart.cli.queries import query_members
-
     cpu_s, peak_mb = fleet.usage(name)
     view = {}
     if fleet.options.talk and name not in fleet.planners:
--- a/finchcart/fault_injection/processes.py
+++ b/finchcart/fault_injection/processes.py
@@ -14,12 +14,14 @@
 
 import json5
 
+from finchcart.consensus import subjects
 from finchcart.fault_injection.child_processes import ChildProcesses, cpu_and_peak_memory
 from finchcart.fault_injection.fault_injecting_proxy import UP_LINE
 from finchcart.fault_injection.fleet_options import FleetOptions
 from finchcart.fault_injection.loopback_addresses import MEMBER_PORT, LoopbackAddresses
 from finchcart.fault_injection.node_configuration import fleet_settings, node_configuration, store_share
 from finchcart.fault_injection.script import Load
+from finchcart.fleet_queries import query_limits, send_override
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.store import StoreState
 
@@ -239,9 +241,6 @@
 
     def override(self, name: str, kind: str, subject: str, value: str) -> None:
         """Issue an operator's override at that node; without a value it is withdrawn."""
-        from finchcart.cli.queries import send_override
-        from finchcart.consensus import subjects
-
         with suppress(TimeoutError):  # stopped, or not there
             send_override(
                 self.addresses.member(name),
@@ -261,8 +260,6 @@
 
     def find_leader(self) -> str | None:
         """Return the planner that leads, by its own word; the last one known where none says so."""
-        from finchcart.cli.queries import query_limits
-
         for name in self.planners:
             with suppress(TimeoutError):
                 if (
--- a/finchcart/cli/queries.py
+++ b/finchcart/fleet_queries.py
@@ -12,8 +12,6 @@
 from types import ModuleType
 from typing import Any
 
-from msgspec import Struct
-
 from finchcart.consensus import messages as consensus
 from finchcart.membership import messages as membership
 from finchcart.membership.codec import DatagramError
@@ -21,6 +19,7 @@
 
 Address = tuple[str, int]
 View = dict[str, Any]
+StatusRequest = quota.StatusRequest | consensus.StatusRequest | consensus.OverrideRequest
 
 TIMEOUT_S = 2.0
 ATTEMPTS = 8  # within the timeout
@@ -67,7 +66,7 @@
 
 def send_override(
     address: Address,
-    subject: tuple,
+    subject: int,
     value: int,
     lifetime_s: float,
     reason: str,
@@ -82,7 +81,7 @@
     return _query(address, consensus, request, timeout_s)
 
 
-def _query(address: Address, messages: ModuleType, request: Struct, timeout_s: float) -> View:
+def _query(address: Address, messages: ModuleType, request: StatusRequest, timeout_s: float) -> View:
     """Return the view that answers a request of that module of messages; one that is lost is sent again."""
     with _connected_socket(address, timeout_s) as sock:
         for _ in range(ATTEMPTS):
--- a/finchcart/cli/settings_file.py
+++ b/finchcart/fleet_settings/file.py
@@ -1,7 +1,7 @@
 """The settings file: JSON5, read by a library, checked against typed structs.
 
 Owns how mistakes are told: all at once, each as `FILE: path.to.field: reason`. The fields and their ranges:
-settings_schema.py; what must hold between them: settings_rules.py.
+schema.py; what must hold between them: rules.py.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,9 +13,9 @@
 import msgspec
 from msgspec import Struct
 
-from finchcart.cli.settings_rules import Mistake, find_mistakes
-from finchcart.cli.settings_schema import Settings
 from finchcart.errors import SettingsError
+from finchcart.fleet_settings.rules import Mistake, find_mistakes
+from finchcart.fleet_settings.schema import Settings
 
 MIN_SIMILARITY = 0.5  # of the name that is meant to the one that is given
 
--- a/finchcart/cli/settings_rules.py
+++ b/finchcart/fleet_settings/rules.py
@@ -9,15 +9,14 @@
 
 from msgspec import UNSET
 
-from finchcart.cli.settings_schema import (
-    Fleet,
-    Settings,
+from finchcart.consensus import config as consensus
+from finchcart.fleet_settings.configs import (
     consensus_config,
     key_lease_config,
     membership_config,
     quota_config,
 )
-from finchcart.consensus import config as consensus
+from finchcart.fleet_settings.schema import FleetSettings, Settings
 from finchcart.key_leases import config as key_leases
 from finchcart.membership.codec import DatagramError, parse_address
 from finchcart.membership.config import SECOND
@@ -37,7 +36,7 @@
 
 
 Rule = Callable[[Settings], Iterator[Mistake]]
-FleetRule = Callable[[Fleet], Iterator[Mistake]]
+FleetRule = Callable[[FleetSettings], Iterator[Mistake]]
 
 
 def find_mistakes(settings: Settings) -> Iterator[Mistake]:
@@ -105,23 +104,23 @@
 # ---- The fleet
 
 
-def _own_addresses_are_possible(fleet: Fleet) -> Iterator[Mistake]:
+def _own_addresses_are_possible(fleet: FleetSettings) -> Iterator[Mistake]:
     for name in ("listen", "advertise"):
         address = getattr(fleet, name)
         if address is not UNSET and not _is_possible(address):
             yield _impossible_address(f"fleet.{name}", address)
 
 
-def _others_can_reach_it(fleet: Fleet) -> Iterator[Mistake]:
+def _others_can_reach_it(fleet: FleetSettings) -> Iterator[Mistake]:
     if fleet.advertise is UNSET and fleet.listen.startswith(ANY_HOST):
         yield Mistake("fleet.advertise", "is missing: others can't reach 0.0.0.0, which fleet.listen names")
 
 
-def _seeds_are_possible(fleet: Fleet) -> Iterator[Mistake]:
+def _seeds_are_possible(fleet: FleetSettings) -> Iterator[Mistake]:
     yield from _address_mistakes("fleet.seeds", fleet.seeds)
 
 
-def _patience_is_ordered(fleet: Fleet) -> Iterator[Mistake]:
+def _patience_is_ordered(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
     if config.patience_most < config.patience:
         yield Mistake(
@@ -129,7 +128,7 @@
         )
 
 
-def _members_are_remembered_long_enough(fleet: Fleet) -> Iterator[Mistake]:
+def _members_are_remembered_long_enough(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
     oldest = config.staleness_bound(config.max_members, ASSUMED_LOSS)
     if config.forget_after <= oldest:
@@ -140,7 +139,7 @@
         )
 
 
-def _datagrams_suffice(fleet: Fleet) -> Iterator[Mistake]:
+def _datagrams_suffice(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
     need = 2 * config.watch + config.revive + SPARE_DATAGRAMS
     if config.max_datagrams < need:
--- /dev/null
+++ b/finchcart/fleet_settings/schema.py
@@ -0,0 +1,125 @@
+"""The fields of the settings file.
+
+Owns the names, units and ranges of what users set. It must never hold a default that decides: those are in
+the `config.py` of each part.
+"""
+
+from typing import Annotated, Literal
+
+from msgspec import UNSET, Meta, Struct, UnsetType
+
+Text = Annotated[str, Meta(min_length=1, max_length=64)]
+Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
+
+
+class FleetSettings(Struct, forbid_unknown_fields=True):
+    """How the nodes talk. Times in milliseconds or seconds, as the name ends."""
+
+    name: Text
+    listen: Address
+    advertise: Address | UnsetType = UNSET
+    seeds: list[Address] = []
+    period_ms: Annotated[int, Meta(ge=100, le=60_000)] | UnsetType = UNSET
+    patience: Annotated[int, Meta(ge=2, le=50)] | UnsetType = UNSET
+    patience_most: Annotated[int, Meta(ge=2, le=100)] | UnsetType = UNSET
+    suspect_ms: Annotated[int, Meta(ge=0, le=600_000)] | UnsetType = UNSET
+    rise_ms: Annotated[int, Meta(ge=0, le=600_000)] | UnsetType = UNSET
+    watch: Annotated[int, Meta(ge=2, le=96)] | UnsetType = UNSET
+    remember_s: Annotated[int, Meta(ge=10, le=7 * 86_400)] | UnsetType = UNSET
+    revive: Annotated[int, Meta(ge=1, le=64)] | UnsetType = UNSET
+    members: Annotated[int, Meta(ge=2, le=100_000)] | UnsetType = UNSET
+    news: Annotated[int, Meta(ge=16, le=65_536)] | UnsetType = UNSET
+    datagrams: Annotated[int, Meta(ge=20, le=100_000)] | UnsetType = UNSET
+
+
+class LimitSettings(Struct, forbid_unknown_fields=True):
+    """One limit of the whole fleet."""
+
+    name: Text
+    in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # at any moment; this or `rate`
+    rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # a second
+    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # at once, beside the rate
+    mode: Literal["strict", "loose"] = "strict"
+    floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # each node's own, whatever fails
+    weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # of this node where a strict limit is divided
+    counts: Literal["calls", "rpcs"] = "calls"  # to the store, or RPCs that are taken
+    method: Text | UnsetType = UNSET  # of RPCs: those of one method, of one dispatcher
+    dispatcher: Text | UnsetType = UNSET
+
+
+class QuotaSettings(Struct, forbid_unknown_fields=True):
+    """Who shares the limits out, and by which times."""
+
+    planners: list[Address] = []
+    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # nodes at once, with stopped ones
+    life_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
+    round_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
+    lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
+    slack_ms: Annotated[int, Meta(ge=1, le=10_000)] | UnsetType = UNSET
+    drift: Annotated[float, Meta(ge=0.0, le=0.1)] | UnsetType = UNSET
+    step: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = UNSET
+    room: Annotated[float, Meta(ge=0.0, le=0.5)] | UnsetType = UNSET
+    holders: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET
+    over: Annotated[float, Meta(ge=0.0, le=10.0)] | UnsetType = UNSET
+
+
+class ConsensusSettings(Struct, forbid_unknown_fields=True):
+    """The fleet's consensus on its store, sources, nodes and level: see consensus/config.py."""
+
+    zone: Text | UnsetType = UNSET
+    zones: Annotated[int, Meta(ge=1, le=64)] | UnsetType = UNSET
+    look_ms: Annotated[int, Meta(ge=50, le=10_000)] | UnsetType = UNSET
+    span_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
+    pace_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
+    life_ms: Annotated[int, Meta(ge=1_000, le=600_000)] | UnsetType = UNSET
+    quiet_ms: Annotated[int, Meta(ge=0, le=600_000)] | UnsetType = UNSET
+    count: Annotated[int, Meta(ge=1, le=1_000)] | UnsetType = UNSET
+    part: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = UNSET
+    hold_ms: Annotated[int, Meta(ge=0, le=600_000)] | UnsetType = UNSET
+    hold_most_ms: Annotated[int, Meta(ge=0, le=600_000)] | UnsetType = UNSET
+    again_ms: Annotated[int, Meta(ge=0, le=3_600_000)] | UnsetType = UNSET
+    calls: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET
+    failed: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = UNSET
+    slower: Annotated[float, Meta(ge=1.1, le=1000.0)] | UnsetType = UNSET
+    trials: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET
+    trial_ms: Annotated[int, Meta(ge=10, le=60_000)] | UnsetType = UNSET
+    rise_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
+    bad: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET
+    bad_span_ms: Annotated[int, Meta(ge=1_000, le=600_000)] | UnsetType = UNSET
+    source_part: Annotated[float, Meta(ge=0.0, le=1.0)] | UnsetType = UNSET
+    shut_ms: Annotated[int, Meta(ge=1_000, le=86_400_000)] | UnsetType = UNSET
+    slowed: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET
+    most_out: Annotated[float, Meta(ge=0.0, le=1.0)] | UnsetType = UNSET
+    runs: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET
+    out_part: Annotated[float, Meta(ge=0.0, le=1.0)] | UnsetType = UNSET
+    node_hold_ms: Annotated[int, Meta(ge=1_000, le=3_600_000)] | UnsetType = UNSET
+    level_step: Annotated[float, Meta(ge=0.0, le=1.0)] | UnsetType = UNSET
+    opinions: Annotated[int, Meta(ge=1, le=24)] | UnsetType = UNSET
+    subjects: Annotated[int, Meta(ge=1, le=65_536)] | UnsetType = UNSET
+    words: Annotated[int, Meta(ge=1, le=256)] | UnsetType = UNSET
+
+
+class KeyLeaseSettings(Struct, forbid_unknown_fields=True):
+    """Key leases, one run of a key in the whole fleet: see key_leases/config.py."""
+
+    keepers: list[Address] = []
+    life_ms: Annotated[int, Meta(ge=1_000, le=3_600_000)] | UnsetType = UNSET
+    command_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
+    answer_ms: Annotated[int, Meta(ge=20, le=10_000)] | UnsetType = UNSET
+    again_ms: Annotated[int, Meta(ge=10, le=10_000)] | UnsetType = UNSET
+    wait_ms: Annotated[int, Meta(ge=0, le=60_000)] | UnsetType = UNSET
+    ask_ms: Annotated[int, Meta(ge=20, le=10_000)] | UnsetType = UNSET
+    drift: Annotated[float, Meta(ge=0.0, le=0.1)] | UnsetType = UNSET
+    result: Annotated[int, Meta(ge=0, le=256)] | UnsetType = UNSET
+    entries: Annotated[int, Meta(ge=16, le=10_000_000)] | UnsetType = UNSET
+    batch: Annotated[int, Meta(ge=1, le=16)] | UnsetType = UNSET
+
+
+class Settings(Struct, forbid_unknown_fields=True):
+    """The whole file."""
+
+    fleet: FleetSettings | UnsetType = UNSET
+    verdicts: ConsensusSettings | UnsetType = UNSET
+    claims: KeyLeaseSettings | UnsetType = UNSET
+    limits: list[LimitSettings] = []
+    quota: QuotaSettings | UnsetType = UNSET
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -10,8 +10,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.settings_file import check_settings
-from finchcart.cli.settings_schema import consensus_config
 from finchcart.consensus import decision, standing, subjects
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
 from finchcart.consensus.decision import decide, median_without
@@ -34,6 +32,8 @@
 from finchcart.fault_injection.consensus_fault_run import SeededRun
 from finchcart.fault_injection.consensus_simulation import ConsensusSimulation
 from finchcart.fault_injection.invariants import InvariantError
+from finchcart.fleet_settings.configs import consensus_config
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -7,12 +7,12 @@
 import json5
 import pytest
 
-from finchcart.cli.settings_file import check_settings
-from finchcart.cli.settings_schema import key_lease_config
 from finchcart.fault_injection.invariants import InvariantError
 from finchcart.fault_injection.key_lease_fault_run import SeededRun
 from finchcart.fault_injection.key_lease_simulation import TICK_US, KeyLeaseSimulation
 from finchcart.fault_injection.key_lease_state_space import KEY, explore, perform
+from finchcart.fleet_settings.configs import key_lease_config
+from finchcart.fleet_settings.file import check_settings
 from finchcart.key_leases import messages
 from finchcart.key_leases.client import KeyLeaseClient
 from finchcart.key_leases.config import MS, SECOND, KeyLeaseConfig, config_errors
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.checker import check_plan
 from finchcart.fault_injection.invariants import InvariantError
@@ -16,6 +15,7 @@
 from finchcart.fault_injection.plan import make_plan
 from finchcart.fault_injection.script import Script
 from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership import failure_detection, messages, view
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.codec import encode_value, name_hash, parse_address, xxh64_digest
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -172,6 +172,8 @@
     loaded = set(done.stdout.split())
     optional = (
         "cli",
+        "fleet_settings",
+        "fleet_queries",
         "membership",
         "quota",
         "consensus",
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.invariants import InvariantError
 from finchcart.fault_injection.quota_fault_run import SeededRun
 from finchcart.fault_injection.quota_simulation import QuotaSimulation
 from finchcart.fault_injection.quota_state_space import explore
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership.codec import parse_address
 from finchcart.net.clock import boot_clock
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.queries import query_members
 from finchcart.fault_injection.checker import Event, EventKind, History, check
 from finchcart.fault_injection.plan import Plan, PlannedExpectation, make_plan
 from finchcart.fault_injection.processes import ProcessFleet
@@ -17,6 +16,7 @@
 from finchcart.fault_injection.script import read_script, shipped_scripts
 from finchcart.fault_injection.simulated_network import SimulatedNetwork
 from finchcart.fault_injection.virtual_run import play_on_virtual_clock
+from finchcart.fleet_queries import query_members
 from finchcart.net.datagrams import DatagramEndpoint
 
 
@@ -185,6 +185,7 @@
     code = (
         "import finchcart.__main__, sys\n"
         "new = ('finchcart.membership', 'finchcart.fault_injection', 'finchcart.cli',\n"
+        "       'finchcart.fleet_settings', 'finchcart.fleet_queries',\n"
         "       'finchcart.simulated_peers',\n"
         "       'finchcart.quota', 'finchcart.consensus', 'finchcart.key_leases',\n"
         "       'finchcart.node.observer', 'finchcart.node.limiters', 'finchcart.node.key_leases',\n"
