--- a/finchcart/net/buffers.py
+++ b/finchcart/net/buffers.py
@@ -19,7 +19,8 @@
 
     def __init__(self, limits: Limits) -> None:
         self.size = limits.buffer_size
-        self.spare: deque[bytearray] = deque(maxlen=limits.spare_buffers)
+        self.max_spare = limits.spare_buffers
+        self.spare: deque[bytearray] = deque(maxlen=self.max_spare)
         self.in_use: set[int] = set()  # by id
 
     def acquire(self) -> bytearray:
@@ -48,5 +49,5 @@
             self.release(buffer)
 
     def may_keep_empty(self) -> bool:
-        """Whether a connection may keep its empty buffer while it waits: as many as are kept for reuse."""
-        return len(self.in_use) <= self.spare.maxlen
+        """Return whether a connection may keep its empty buffer while it waits: `max_spare` may."""
+        return len(self.in_use) <= self.max_spare
--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -13,7 +13,7 @@
 from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
 from finchcart.net.connections import Address, Connection
-from finchcart.net.late_threads import LateThreads
+from finchcart.net.deferred_threads import DeferredThreadStarter
 from finchcart.net.listener import Listener
 from finchcart.net.registry_reports import RegistryReporter
 from finchcart.net.sockets import start_thread
@@ -60,7 +60,7 @@
         self._outgoing: dict[int, list[bytes]] = {}  # what this turn sends, by connection
         self._unbatched: set[int] = set()  # connections whose messages do not wait for the turn's end
         self._reporter = RegistryReporter()
-        self._late_threads = LateThreads()
+        self._thread_starter = DeferredThreadStarter()
 
     def listen(self) -> None:
         """Accept connections, in a thread of the listener's."""
@@ -82,7 +82,7 @@
             self._limits,
             sock=sock,
             on_closed=on_closed,
-            late_threads=self._late_threads,
+            thread_starter=self._thread_starter,
         )
         self._inputs.put(ConnectionOpened(number, self._frontend, host))
 
@@ -98,15 +98,15 @@
                 self._buffers,
                 self._limits,
                 address=address,
-                late_threads=self._late_threads,
+                thread_starter=self._thread_starter,
             )
         except OSError as error:
             # Guards against an end of the node where threads run out: nothing was sent, so it is tried again.
-            self._inputs.put(ConnectionRefused(number, error.strerror))
+            self._inputs.put(ConnectionRefused(number, error.strerror or str(error)))
             self._inputs.put(ConnectionClosed(number))
 
-    def decode(self, number: int, frames: Sequence[bytes]) -> tuple[list[Message], str | None]:
-        """Return the frames' messages, and what is wrong with the first that can't be read, or None."""
+    def decode(self, number: int, frames: Sequence[bytes]) -> tuple[list[Message], ProtocolError | None]:
+        """Return the frames' messages up to one that cannot be read, and the error in that one, or None."""
         connection = self._connections.get(number)
         messages: list[Message] = []
         if connection:
@@ -115,10 +115,11 @@
                 for frame in frames:
                     messages.append(connection.codec.decode(frame))
             except ProtocolError as error:
-                return messages, str(error)
-            except Exception as error:  # a fault of a codec costs this connection alone
+                return messages, error
+            except Exception as error:
+                # Guards the node against a defect of a codec: only this connection is closed.
                 logger.exception("reading connection {}", number)
-                return messages, f"{type(error).__name__}: {error}"
+                return messages, ProtocolError(f"{type(error).__name__}: {error}")
         return messages, None
 
     def request_batch(self, number: int) -> None:
@@ -165,13 +166,13 @@
             self._connections[number].close()
 
     def close_if_idle(self, number: int) -> bool:
-        """See `Connection.close_if_idle`; one that is gone is closed."""
+        """Close if nothing is on its way, see `Connection.close_if_idle`; return whether it is closed."""
         self._flush_one(number)
         connection = self._connections.get(number)
         return connection is None or connection.close_if_idle()
 
     def drop(self, number: int) -> None:
-        """Close a connection at once, and forget it."""
+        """Close a connection immediately, and remove it."""
         self._flush_one(number)
         self._unbatched.discard(number)
         connection = self._connections.pop(number, None)
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -17,10 +17,11 @@
 from queue import SimpleQueue
 from typing import NamedTuple
 
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.net.buffers import Buffers
 from finchcart.net.clock import boot_clock
-from finchcart.net.late_threads import LateThread, LateThreads
+from finchcart.net.deferred_threads import DeferredThread, DeferredThreadStarter
 from finchcart.net.reader import FrameReader
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, shut_down, start_thread, timeval
 from finchcart.net.transient_errors import is_transient
@@ -37,20 +38,19 @@
 
 Address = tuple[str, int]
 
-
-SHORTAGE_COST = 4 * 1024  # bytes of what is read past: a read that fails for want of memory counts so much
+SHORTAGE_COST = 4 * 1024  # bytes that a read which fails for want of memory counts as, when discarding
 
 
 class ReadEnd(NamedTuple):
     """Why a connection is not read any more. Neither: the peer closed, or the connection broke."""
 
-    fault: str = ""  # what could not be read
+    fault: ProtocolError | None = None  # what could not be read
     close_ordered: bool = False
 
     @property
     def peer_may_send(self) -> bool:
         """Whether the peer may go on sending."""
-        return bool(self.fault or self.close_ordered)
+        return self.fault is not None or self.close_ordered
 
 
 class Connection:
@@ -58,7 +58,7 @@
 
     `request_batch`, `send`, `close`, `close_if_idle` and `drop` never block. `on_closed()` is called once its
     descriptor is free again. Raises OSError where its reader thread cannot be started; with
-    `late_threads` that holds only for a connection that is to be opened.
+    `thread_starter` that holds only for a connection that is to be opened.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         sock: socket.socket | None = None,
         address: Address | None = None,
         on_closed: Callable[[], None] | None = None,
-        late_threads: LateThreads | None = None,
+        thread_starter: DeferredThreadStarter | None = None,
     ) -> None:
         self.number = number
         self.codec = codec
@@ -91,25 +91,25 @@
         self._batches_delivered = 0  # by the reader thread
         max_frames = limits.outbound_batch if address else limits.frontend_batch
         self.reader = FrameReader(number, codec.find_frame_end, buffers, max_frames)
-        self._writes = PendingWrites(number, inputs, self._lock, self._half_close_if_closing, late_threads)
+        self._writes = PendingWrites(number, inputs, self._lock, self._half_close_if_closing, thread_starter)
         if sock:
             # Before the reader runs, which may be late: what is sent until then goes out.
-            self._set_open()
-        self._start_reader(late_threads)
+            self._set_open(sock)
+        self._start_reader(thread_starter)
 
-    def _start_reader(self, late_threads: LateThreads | None) -> None:
+    def _start_reader(self, thread_starter: DeferredThreadStarter | None) -> None:
         """Start the reader, or have it started later; raise OSError where nobody does that."""
         name = f"read {self.number}"
         try:
             start_thread(self._run, name)
         except OSError:
-            if late_threads is None or self._address:
+            if thread_starter is None or self._address:
                 raise  # one that is to be opened counts as refused, and is tried again
-            late_threads.start(LateThread(self._run, name, self._give_up_reader))
+            thread_starter.start(DeferredThread(self._run, name, self._abandon_reader))
 
-    def _give_up_reader(self) -> None:
-        """It was never read: the end is told, and the socket closed."""
-        self._inputs.put(ConnectionEnded(self.number, ""))
+    def _abandon_reader(self) -> None:
+        """End a connection that was never read: report its end, and close the socket."""
+        self._inputs.put(ConnectionEnded(self.number, None))
         self._finish(ReadEnd())
 
     # ---- Called by the one thread that carries out effects
@@ -119,7 +119,7 @@
         self._requests.put(True)
 
     def send(self, data: bytes, deadline: int | None = None) -> None:
-        """Write, at once or by a thread. What misses `deadline`, on the boot clock, breaks the connection."""
+        """Write, by a thread if need be. Data that misses `deadline` (boot clock) breaks the connection."""
         with self._lock:
             self._write_deadline = deadline
             if deadline is not None and boot_clock() > deadline:
@@ -127,26 +127,27 @@
                 if self.sock:
                     shut_down(self.sock, socket.SHUT_RDWR)
                 return
-            if self.is_open and not self._writes.parts and not self._writes.thread:
+            sock = self.sock if self.is_open else None
+            if sock is not None and not self._writes.parts and not self._writes.thread:
                 try:
-                    data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
+                    data = data[sock.send(data, socket.MSG_DONTWAIT) :]
                 except OSError as error:
-                    # The peer does not read, or the system has no memory for it now: a writer goes on.
+                    # The peer does not read, or the system has no memory for it now: a writer continues.
                     if not is_transient(error):
-                        shut_down(self.sock, socket.SHUT_RDWR)  # broken: the reader learns of it and tells
+                        shut_down(sock, socket.SHUT_RDWR)  # broken: the reader notices and reports it
                         return
                 if not data:
                     return
                 self._inputs.put(WriteBlocked(self.number))
             self._writes.parts.append(data)
-            if self.is_open:
-                self._writes.start(self.sock)
+            if sock is not None:
+                self._writes.start(sock)
 
     def close(self) -> None:
         """Close once all that was sent is written."""
         with self._lock:
             self._is_closing = True
-            if self.is_open and not self._writes.thread:
+            if self.is_open and self.sock and not self._writes.thread:
                 shut_down(self.sock, socket.SHUT_WR)
         self._requests.put(False)
 
@@ -157,12 +158,13 @@
         buffer, in the reader's hands, or read and not yet seen by the core; an answer that is not written.
         """
         with self._lock:
-            if self._writes.parts or self._writes.thread or not self.is_open:
+            sock = self.sock if self.is_open else None
+            if sock is None or self._writes.parts or self._writes.thread:
                 return False
             # The system's buffer before the reader's marks: the reader takes bytes out of the one and sets
             # the others after, so that what was there is seen in one of the two places.
             try:
-                if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
+                if sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                     return False
             except BlockingIOError:
                 pass  # nothing waits
@@ -172,12 +174,12 @@
             if self.reader.has_undelivered_bytes or self._batches_delivered != self.batches_taken:
                 return False
             self._is_closing = True
-            shut_down(self.sock, socket.SHUT_WR)
+            shut_down(sock, socket.SHUT_WR)
         self._requests.put(False)
         return True
 
     def drop(self) -> None:
-        """Close at once, whatever is on its way."""
+        """Close immediately, and lose what is on its way."""
         with self._lock:
             self._is_dropped = True
             self._is_closing = True
@@ -190,64 +192,70 @@
     def _run(self) -> None:
         end = ReadEnd()
         try:
-            self._establish()
+            sock = self._establish()
         except OSError as error:
             if self._address:
                 self._inputs.put(ConnectionRefused(self.number, error.strerror or str(error)))
             else:
-                self._inputs.put(ConnectionEnded(self.number, ""))
+                self._inputs.put(ConnectionEnded(self.number, None))
+            self._await_close_order()
         else:
-            end = self._read_to_end()
+            end = self._read_to_end(sock)
             if not end.close_ordered:
                 self._inputs.put(ConnectionEnded(self.number, end.fault))
-        while not end.close_ordered and self._requests.get():
-            pass  # until the close is ordered
-        if end.peer_may_send and not self._is_dropped:
-            self._discard()
+                self._await_close_order()
+            if end.peer_may_send and not self._is_dropped:
+                self._discard(sock)
         self._finish(end)
 
-    def _establish(self) -> None:
-        """Connect where that is still to be done, and write what waited for it."""
-        if self.sock is None:
-            self._connect()
+    def _await_close_order(self) -> None:
+        while self._requests.get():
+            pass
+
+    def _establish(self) -> socket.socket:
+        """Connect unless the connection was accepted, and write what waited for it."""
+        sock = self.sock or self._connect()
         if self._write_deadline is not None and boot_clock() > self._write_deadline:
             # Guards against a call that outlives the lease that it was made under.
             raise ConnectionAbortedError(errno.ECONNABORTED, "too late for its grant")
         with self._lock:
             if not self.is_open:
-                self._set_open()
+                self._set_open(sock)
             if self._writes.parts:
-                self._writes.start(self.sock)
+                self._writes.start(sock)
             else:
-                self._half_close_if_closing()
+                self._half_close_if_closing(sock)
+        return sock
 
-    def _connect(self) -> None:
+    def _connect(self) -> socket.socket:
+        if self._address is None:
+            raise OSError(errno.EDESTADDRREQ, "neither a socket nor an address was given")
         timeout_s = self._limits.connect_timeout / MICROSECONDS_PER_SECOND
-        self.sock = socket.create_connection(self._address, timeout_s)
-        self.sock.settimeout(None)
+        sock = self.sock = socket.create_connection(self._address, timeout_s)
+        sock.settimeout(None)
         if self._is_dropped:
             raise ConnectionAbortedError(errno.ECONNABORTED, "given up")
-        if self.sock.getsockname() == self.sock.getpeername():
+        if sock.getsockname() == sock.getpeername():
             # Guards against a connection to itself, where nobody listens on a port given by chance.
             raise ConnectionRefusedError(errno.ECONNREFUSED, "connected to itself")
+        return sock
 
-    def _set_open(self) -> None:
-        """Small writes are not held back, and one that makes no progress ends."""
+    def _set_open(self, sock: socket.socket) -> None:
+        """Send small writes without delay, and end a write that makes no progress."""
         # An option that can't be set for a moment costs speed, and the connection is served without it.
         with suppress(OSError):
-            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(self._limits.send_timeout))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(self._limits.send_timeout))
         self.is_open = True
 
-    def _half_close_if_closing(self) -> None:
-        """Called with the lock held, and nothing pending."""
+    def _half_close_if_closing(self, sock: socket.socket) -> None:
+        """End the writing direction; the lock is held, and nothing is pending."""
         if self._is_closing:
-            shut_down(self.sock, socket.SHUT_WR)
+            shut_down(sock, socket.SHUT_WR)
 
-    def _read_to_end(self) -> ReadEnd:
+    def _read_to_end(self, sock: socket.socket) -> ReadEnd:
         """Deliver batches until the peer closes, sends what cannot be read, or the close is ordered."""
-        sock = self.sock
         try:
             with self.reader as reader:
                 while self._requests.get():
@@ -258,13 +266,13 @@
                         received = FramesReceived(self.number, frames, boot_clock(), empty_at, was_waiting)
                         self._inputs.put(received)
                     if fault:
-                        return ReadEnd(fault=str(fault))
+                        return ReadEnd(fault=fault)
                 return ReadEnd(close_ordered=True)
         except (EOFError, OSError):
             return ReadEnd()
 
-    def _discard(self) -> None:
-        """Read on without a look until the peer closes, for a bounded time and number of bytes.
+    def _discard(self, sock: socket.socket) -> None:
+        """Read and discard until the peer closes, for a bounded time and number of bytes.
 
         Closing over unread bytes would reset the connection, and with it answers on their way. While answers
         are still being written, which ends by itself, silence is no reason to stop.
@@ -273,11 +281,11 @@
         with self._buffers.borrow() as buffer:
             try:
                 linger = timeval(self._limits.linger_timeout)
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, linger)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, linger)
                 while remaining > 0:
                     is_writing = self._writes.thread
                     try:
-                        count = self.sock.recv_into(buffer)
+                        count = sock.recv_into(buffer)
                     except BlockingIOError:
                         if not is_writing:
                             break
@@ -294,7 +302,7 @@
                 pass
 
     def _finish(self, end: ReadEnd) -> None:
-        """Close the socket once the writer is done, and tell."""
+        """Close the socket once the writer has ended, and report it."""
         with self._lock:
             self.is_open = False
             writer = self._writes.thread
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -32,7 +32,7 @@
 
     def __init__(self, address: tuple[str, int], limits: Limits) -> None:
         self.capacity = threading.Semaphore(limits.max_accepted)
-        self.on_accepted: OnAccepted | None = None  # to be set before `accept` or `stop`
+        self.on_accepted: OnAccepted  # to be set before `accept` or `stop`
         self._limits = limits
         self._numbers = count(1)
         self._is_stopped = False
--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -1,7 +1,7 @@
-"""The frames of one connection, read into a buffer of the pool.
+"""Reading the frames of one connection into a buffer of the pool.
 
-Owns the buffer, while it holds bytes, and where the next frame begins. It must never decode a message, take a
-lock or know what its frames are for.
+Owns the buffer while it has bytes, and where the next frame begins. It must never decode a message or take a
+lock.
 """
 
 import errno
@@ -17,14 +17,14 @@
 from finchcart.net.clock import boot_clock
 from finchcart.net.transient_errors import MOST_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 
-WAITED_US = 2_000  # a read that took so long found nothing there
+MIN_WAIT_US = 2_000  # of a read that found nothing there at first
 
 
 class FrameBatch(NamedTuple):
-    """Frames of one connection, and what is wrong with the bytes that follow them (None: nothing)."""
+    """Frames of one connection, and the error in the bytes that follow them, or None."""
 
     frames: list[bytes]
-    fault: Exception | None
+    fault: ProtocolError | None
     empty_at: int  # the connection was read empty then, on the boot clock in microseconds
     was_waiting: bool  # for the first byte: it came while the reader waited
 
@@ -67,23 +67,25 @@
     def read_batch(self, sock: socket.socket) -> FrameBatch:
         """Wait for at least one frame, or for bytes that are none.
 
-        Raises EOFError where the peer closed, OSError where the connection broke.
+        Raises:
+            EOFError: the peer closed.
+            OSError: the connection broke.
         """
         while True:
             frames, fault = self._split()
             if frames or fault:
                 return FrameBatch(frames, fault, self._empty_at, self._was_waiting)
             asked_at = boot_clock()
-            self._make_room(sock)
+            buffer = self._make_room(sock)
             if self._filled == self._max_size:
                 error = ProtocolError(f"a message of over {self._filled} bytes")
                 return FrameBatch([], error, self._empty_at, self._was_waiting)
-            self._receive(sock, asked_at)
+            self._receive(sock, buffer, asked_at)
 
-    def _split(self) -> tuple[list[bytes], Exception | None]:
-        """Cut frames off what is read; return them, and what is wrong with the bytes that follow."""
-        frames = []
-        fault = None
+    def _split(self) -> tuple[list[bytes], ProtocolError | None]:
+        """Split frames off the bytes that are read; return them, and the error in what follows, or None."""
+        frames: list[bytes] = []
+        fault: ProtocolError | None = None
         data = self._data
         start = self._start
         try:
@@ -96,36 +98,40 @@
         except ProtocolError as error:
             fault = error
         except Exception as error:
-            # Guards the node against a fault of a codec: it costs this connection alone.
+            # Guards the node against a defect of a codec: only this connection is closed.
             logger.exception("reading connection {}", self._number)
-            fault = error
+            fault = ProtocolError(str(error))
         self._start = start
         self.has_undelivered_bytes = start < len(data)
         return frames, fault
 
-    def _make_room(self, sock: socket.socket) -> None:
-        """See to a buffer with the bytes of an incomplete frame at its beginning."""
-        if self._start == len(self._data):
+    def _make_room(self, sock: socket.socket) -> bytearray:
+        """Return a buffer with the bytes of an incomplete frame at its beginning."""
+        is_empty = self._start == len(self._data)
+        if is_empty:
             self._data = b""
             self._start = 0
             self._filled = 0
-            if self._buffer is None or not self._buffers.may_keep_empty():
-                self._wait_without_buffer(sock)
-        elif self._start or self._filled == 0:
+        buffer = self._buffer
+        if buffer is None or (is_empty and not self._buffers.may_keep_empty()):
+            return self._wait_without_buffer(sock)
+        if self._start:
             self._data = self._data[self._start :]
             self._start = 0
             self._filled = len(self._data)
-            self._buffer[: self._filled] = self._data
+            buffer[: self._filled] = self._data
+        return buffer
 
-    def _wait_without_buffer(self, sock: socket.socket) -> None:
-        """Wait for the first byte, which is only looked at: one of many idle connections holds no buffer."""
+    def _wait_without_buffer(self, sock: socket.socket) -> bytearray:
+        """Wait for the first byte, which is only peeked at: one of many idle connections has no buffer."""
         self._release_buffer()
         if not self._read(sock, self._first_byte, socket.MSG_PEEK):
             raise EOFError
-        self._buffer = self._buffers.acquire()
+        buffer = self._buffer = self._buffers.acquire()
+        return buffer
 
-    def _receive(self, sock: socket.socket, asked_at: int) -> None:
-        with memoryview(self._buffer) as view:
+    def _receive(self, sock: socket.socket, buffer: bytearray, asked_at: int) -> None:
+        with memoryview(buffer) as view:
             count = self._read(sock, view[self._filled :], 0)
             if not count:
                 raise EOFError
@@ -135,7 +141,7 @@
             self._data = bytes(view[: self._filled])
 
     def _read(self, sock: socket.socket, target: memoryview | bytearray, flags: int) -> int:
-        """Read, again where the system has no memory for a moment: nothing of the connection is lost."""
+        """Read, and retry where the system has no memory for a moment: nothing of the connection is lost."""
         for _ in range(MOST_SHORTAGES):
             try:
                 return sock.recv_into(target, 0, flags)
@@ -146,11 +152,11 @@
         raise ConnectionAbortedError(errno.ECONNABORTED, "no memory to read it")
 
     def _note_arrival(self, asked_at: int, took_all: bool) -> None:
-        """Keep what bounds the age of the bytes that were read: see `FrameBatch`."""
+        """Record the bounds on the age of the bytes that were read: see `FrameBatch`."""
         is_continued = self._start < len(self._data)  # a frame began with bytes that came before
         if not is_continued:
             self._empty_at = self._emptied_at
-            self._was_waiting = boot_clock() - asked_at > WAITED_US
+            self._was_waiting = boot_clock() - asked_at > MIN_WAIT_US
         if took_all:
             self._emptied_at = asked_at
 
--- a/finchcart/net/writer.py
+++ b/finchcart/net/writer.py
@@ -1,4 +1,4 @@
-"""What one connection has still to write, and the thread that writes it while the peer is behind.
+"""The pending writes of one connection, and the thread that writes them while the peer is behind.
 
 Owns that thread. It must never shut a connection down before all that is pending is written, unless the
 connection broke.
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from time import sleep
 
-from finchcart.net.late_threads import LateThread, LateThreads
+from finchcart.net.deferred_threads import DeferredThread, DeferredThreadStarter
 from finchcart.net.sockets import shut_down, start_thread
 from finchcart.net.transient_errors import MOST_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 from finchcart.protocol.connection_events import EventSink, WriteResumed
@@ -18,8 +18,8 @@
 class PendingWrites:
     """The bytes that the system did not take at once. Its fields are read and set with `lock` held.
 
-    `on_drained()` is called, with the lock held, once all is written. The lock is the connection's own. Where
-    no thread can be started, `late_threads` does it later; None: the connection breaks.
+    `on_drained(sock)` is called, with the lock held, once all is written. The lock is the connection's own.
+    Where no thread can be started, `thread_starter` does it later; None: the connection breaks.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         number: int,
         inputs: EventSink,
         lock: threading.Lock,
-        on_drained: Callable[[], None],
-        late_threads: LateThreads | None = None,
+        on_drained: Callable[[socket.socket], None],
+        thread_starter: DeferredThreadStarter | None = None,
     ) -> None:
         self.parts: list[bytes] = []
-        self.thread: threading.Thread | LateThread | None = None
-        self._late_threads = late_threads
+        self.thread: threading.Thread | DeferredThread | None = None
+        self._thread_starter = thread_starter
         self._number = number
         self._inputs = inputs
         self._lock = lock
@@ -46,19 +46,21 @@
         try:
             self.thread = start_thread(lambda: self._run(sock), name)
         except OSError:
-            if self._late_threads:
+            if self._thread_starter:
                 # Guards against answers that are lost where threads run out for a moment.
-                self.thread = LateThread(lambda: self._run(sock), name, lambda: self._give_up_late(sock))
-                self._late_threads.start(self.thread)
+                self.thread = DeferredThread(
+                    lambda: self._run(sock), name, lambda: self._abandon_deferred(sock)
+                )
+                self._thread_starter.start(self.thread)
             else:
-                self._give_up(sock)
+                self._abandon(sock)
 
-    def _give_up_late(self, sock: socket.socket) -> None:
+    def _abandon_deferred(self, sock: socket.socket) -> None:
         with self._lock:
             self.thread = None
-            self._give_up(sock)
+            self._abandon(sock)
 
-    def _give_up(self, sock: socket.socket) -> None:
+    def _abandon(self, sock: socket.socket) -> None:
         shut_down(sock, socket.SHUT_RDWR)
         self.parts = []
         self._inputs.put(WriteResumed(self._number))  # or its close would wait for a write for ever
@@ -70,7 +72,7 @@
                 self.parts = []
                 if not data:
                     self.thread = None
-                    self._on_drained()
+                    self._on_drained(sock)
                     self._inputs.put(WriteResumed(self._number))
                     return
             try:
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -11,6 +11,7 @@
 from heapq import heappop, heappush
 from typing import Protocol
 
+from finchcart.errors import ProtocolError
 from finchcart.node.effects import Connect, Effect, Log
 from finchcart.node.fault_log import FaultLog
 from finchcart.node.inputs import Input
@@ -35,8 +36,8 @@
     def connection_refused(self, connection: int, reason: str) -> None:
         """A connection of the node's own was never established."""
 
-    def connection_ended(self, connection: int, reason: str) -> None:
-        """Nothing more will be read; `reason` is empty where the peer closed."""
+    def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
+        """Nothing more will be read; `fault` is None where the peer closed."""
 
     def connection_closed(self, connection: int) -> None:
         """The connection is gone."""
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -9,6 +9,7 @@
 from typing import NamedTuple
 
 from finchcart.decisions.interface import Outcome
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Read, Send, SendBefore
@@ -155,9 +156,9 @@
         """Its call never ran."""
         self._lose(number, Outcome.UNREACHABLE, reason)
 
-    def connection_ended(self, number: int, reason: str) -> None:
+    def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
         """Its call may have run."""
-        self._lose(number, Outcome.CONNECTION_LOST, reason)
+        self._lose(number, Outcome.CONNECTION_LOST, str(fault or ""))
 
     def write_blocked(self, number: int) -> None:
         """Nothing: the call's own time limit bounds it."""
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -11,6 +11,7 @@
 from typing import NamedTuple, Protocol
 
 from finchcart.decisions.interface import Outcome
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop, Log, Read, Send
@@ -275,17 +276,17 @@
         if connection == self.connection:
             self._lose(reason)
 
-    def connection_ended(self, connection: int, reason: str) -> None:
+    def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
         """Connects again."""
         if connection != self.connection:
             return
-        if reason and self.state is LinkState.BOUND:
+        if fault is not None and self.state is LinkState.BOUND:
             # Guards against a notice that can't be read and comes again right after each bind: it may have
             # been damaged on its way once; then it is passed over, and its run is answered in time even so.
             if self._unreadable_after == self.cursor and self.settle_ticket is not None:
                 self._pass_over_notice()
             self._unreadable_after = self.cursor
-        self._lose(reason)
+        self._lose(str(fault or ""))
 
     def connection_closed(self, connection: int) -> None:
         """Nothing: it was left before."""
--- a/finchcart/protocol/connection_events.py
+++ b/finchcart/protocol/connection_events.py
@@ -7,6 +7,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
 
+from finchcart.errors import ProtocolError
+
 
 class ConnectionOpened(NamedTuple):
     """A peer connected to the listener of a frontend."""
@@ -17,43 +19,43 @@
 
 
 class FramesReceived(NamedTuple):
-    """A batch of frames, not decoded yet: becomes `MessagesReceived` before the core sees it."""
+    """A batch of frames, not decoded yet: converted to `MessagesReceived` before the core receives it."""
 
     connection: int
     frames: Sequence[bytes]
     received_at: int
-    empty_at: int  # the connection was read empty then: what came is not older
-    was_waiting: bool  # for the first of the bytes, so that they were read as they came
+    empty_at: int  # the connection had been read empty at this moment: the bytes are not older
+    was_waiting: bool  # the reader waited for the first byte: the bytes were read when they arrived
 
 
 class WriteBlocked(NamedTuple):
-    """The peer does not read what is sent."""
+    """The peer does not read what it is sent: data is pending."""
 
     connection: int
 
 
 class WriteResumed(NamedTuple):
-    """All that was pending is written."""
+    """All pending data is written."""
 
     connection: int
 
 
 class ConnectionRefused(NamedTuple):
-    """A connection of the node's own was never established."""
+    """A connection that the node opened was never established."""
 
     connection: int
     reason: str
 
 
 class ConnectionEnded(NamedTuple):
-    """Nothing more will be read; `reason` is empty where the peer closed."""
+    """Nothing more will be read."""
 
     connection: int
-    reason: str
+    fault: ProtocolError | None  # what could not be read; None: the peer closed, or the connection broke
 
 
 class ConnectionClosed(NamedTuple):
-    """The socket is closed and its number is not used any more."""
+    """The socket is closed, and its number is not used again."""
 
     connection: int
 
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from finchcart.errors import InvalidRpcError
+from finchcart.errors import InvalidRpcError, ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effects import Read
 from finchcart.node.frontend import FrontendHost
@@ -90,15 +90,15 @@
         """All is written."""
         self.table.write_resumed(number)
 
-    def connection_ended(self, number: int, reason: str) -> None:
-        """Nothing more will be read; `reason` is empty where the dispatcher closed."""
+    def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
+        """End the connection; `fault` is None where the dispatcher closed it."""
         connection = self.table.usable(number)
         if connection is None:
             return  # one that sent what can't be read may end after that, and is owed its answers still
-        if reason:
+        if fault is not None:
             # Not readable: what was read before is answered, then this connection alone is closed.
             owed = len(connection.open_rpcs)
-            text = f"connection {number}: {reason}; closed once {owed} answers are out"
+            text = f"connection {number}: {fault}; closed once {owed} answers are out"
             self.turn.log_fault(PARTY, "unreadable", text)
             connection.unreadable = True
             self.core.record_invalid_traffic(number)
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 from finchcart.decisions.interface import Outcome
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node import effects
 from finchcart.node.core import Core
@@ -365,7 +366,7 @@
         self.inboxes.pop(connection, None)
         del self.reads_requested[connection]
         self.commands = [command for command in self.commands if command[0] != connection]
-        self.feed(ConnectionEnded(connection, reason))
+        self.feed(ConnectionEnded(connection, ProtocolError(reason) if reason else None))
 
     def on_reply(self, connection, data):
         _, name, sequence, arguments = read_answer(data)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -619,7 +619,7 @@
     name = running(harness)
     link = harness.attempts[name].connection
     harness.end_connection(link, "rubbish")
-    harness.feed(ConnectionEnded(link, ""))  # the reader sees the end of what it goes on to read
+    harness.feed(ConnectionEnded(link, None))  # the reader sees the end of what it goes on to read
     ends_well(harness, name)
     assert harness.connections[link] == "closed"
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -58,8 +58,8 @@
         del self.rpcs[rpc.reference]  # a second answer, or one after `leave`, fails here
         self.turn.emit(Send(rpc.reference[0], (rpc.reference[1], outcome, result)))
 
-    def connection_ended(self, link, reason):
-        if reason:
+    def connection_ended(self, link, fault):
+        if fault:
             return  # what was read before is answered still
         for ref in [ref for ref in self.rpcs if ref[0] == link]:
             self.core.abandon(self.rpcs.pop(ref))
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -5,6 +5,7 @@
 import pytest
 
 from finchcart.decisions.interface import Outcome
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
@@ -138,7 +139,7 @@
             store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
             assert rpc.call_connection == connection and store.connections[connection].retired
         elif chance < 0.16:
-            store.connection_ended(connection, "cut")
+            store.connection_ended(connection, ProtocolError("cut"))
         elif chance < 0.18:
             store.drop(rpc)
             self.ended.append(rpc.index)
@@ -196,7 +197,7 @@
     host.rpcs = {safe.name: safe, effect.name: effect}
     pool.send_command(safe, b"run safe", b"run safe", is_start=True)
     pool.send_command(effect, b"run effect", None)
-    pool.connection_ended(pool.connection, "")
+    pool.connection_ended(pool.connection, None)
     turn.begin(turn.now + 1_000 * MS)
     pool.message_received(pool.connection, Subscribed(False, 1_005_000))
     settle = pool.settle_ticket
@@ -263,7 +264,11 @@
         link = rng.choice((-2, -1, 1, 2))
         words.append(
             rng.choice(
-                (MessagesReceived(link, [n], n), ConnectionEnded(link, f"{n}"), CloseAttempted(link, n))
+                (
+                    MessagesReceived(link, [n], n),
+                    ConnectionEnded(link, ProtocolError(f"{n}")),
+                    CloseAttempted(link, n),
+                )
             )
         )
     rng.shuffle(words)
