--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -13,12 +13,17 @@
 """
 
 from collections import Counter
-from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple, TypeVar
+from collections.abc import Callable
+from typing import NamedTuple, TypeVar
 
+from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController
-from finchcart.decisions.interface import Gauges, Outcome, Port
-from finchcart.decisions.rpc_record import RpcRecord, RpcState
+from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.port import Port
+from finchcart.decisions.rpc import RpcRecord, RpcState
+from finchcart.node.supported_settings import ShadowSettings
 
 # What is counted, in the words of the log line.
 ADMITTED_WOULD_REJECT = "taken, would be pushed back"
@@ -117,7 +122,7 @@
 
 
 class ShadowController:
-    """Called like a `NodeController`. `period_us`: between log lines; `log(text)`: one line.
+    """Called like a `NodeController`. `shadow`: what is watched; `log(text)`: one line.
 
     Bounds: handles by what the active instance has open, and the shadow's own memory of idempotency keys.
     """
@@ -125,16 +130,15 @@
     def __init__(
         self,
         port: Port,
-        settings: Mapping[str, Any],
-        watched_settings: Mapping[str, Any],
+        settings: NodeSettings,
+        shadow: ShadowSettings,
         seed: int,
-        period_us: int,
         log: Callable[[str], None],
     ) -> None:
         self.port = RecordingPort(port)
         self.shadow_port = RecordingPort()
         self.active = NodeController(self.port, settings, seed)
-        self.period_us = period_us
+        self.period_us = shadow.period_us
         self.log = log
         self.logged_at = 0
         self.counts: Counter[str] = Counter()
@@ -142,7 +146,7 @@
         self.handles: dict[int, ShadowedHandle] = {}  # by index, of what the active instance has open
         # None: the watching is over.
         self.shadow: NodeController | None = self._guarded(
-            NodeController, self.shadow_port, watched_settings, seed
+            NodeController, self.shadow_port, shadow.settings, seed
         )
 
     def _guarded(self, act: Callable[..., T], *arguments: object, **keywords: object) -> T | None:
@@ -191,9 +195,9 @@
         """See `NodeController`."""
         self.tell_both(self.active, self.shadow, "drain", now, kill_at)
 
-    def on_timer(self, now: int, name: str, gauges: Gauges) -> None:
+    def on_timer(self, now: int, gauges: Gauges) -> None:
         """See `NodeController`; also counts what is published otherwise, and logs the counts each period."""
-        self.tell_both(self.active, self.shadow, "on_timer", now, name, gauges)
+        self.tell_both(self.active, self.shadow, "on_timer", now, gauges)
         self.counts[FEEDBACK] += self.port.feedback != self.shadow_port.feedback
         self.counts[HEALTH] += self.port.healthy != self.shadow_port.healthy
         if self.shadow and now - self.logged_at >= self.period_us:
@@ -203,11 +207,11 @@
             self.counts = Counter()
             self.rpcs_seen = 0
 
-    def admit(self, now: int, index: int, *arguments: object, **keywords: object) -> ShadowedHandle:
+    def admit(self, now: int, index: int, arrival: RpcArrival) -> ShadowedHandle:
         """See `NodeController`."""
-        handle = ShadowedHandle(self, self.active.admit(now, index, *arguments, **keywords))
+        handle = ShadowedHandle(self, self.active.admit(now, index, arrival))
         if self.shadow:
-            handle.shadow = self._guarded(self.shadow.admit, now, index, *arguments, **keywords)
+            handle.shadow = self._guarded(self.shadow.admit, now, index, arrival)
         if self.shadow:
             self.rpcs_seen += 1
             self.handles[index] = handle
--- a/finchcart/protocol/messages.py
+++ b/finchcart/protocol/messages.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 
 # ---- From the worker pool. `cursor` is the number of a notice, from 1 on.
 
--- a/finchcart/protocol/store_codec.py
+++ b/finchcart/protocol/store_codec.py
@@ -5,7 +5,7 @@
 whatever the bytes.
 """
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.protocol.framing import Codec
 from finchcart.protocol.messages import StoreReply
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -6,7 +6,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node import effects
@@ -34,6 +34,7 @@
 from finchcart.thrift import codec as thrift
 from finchcart.thrift.codec import STRING, STRUCT
 from finchcart.thrift.frontend import ThriftFrontend
+from tests.typed_settings import typed
 
 MS = 1000
 NOW = 1_700_000_000_000_000
@@ -90,7 +91,7 @@
         self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
         self.addresses = {"pool": ("pool", 1), "store": ("store", 1), "registry": ("registry", 1)}
         self.core = Core(
-            settings,
+            typed(settings),
             self.limits,
             seed,
             "n1",
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -7,10 +7,10 @@
 import json5
 import pytest
 
-from finchcart.fault_injection.invariants import InvariantError
-from finchcart.fault_injection.key_lease_fault_run import SeededRun
-from finchcart.fault_injection.key_lease_simulation import TICK_US, KeyLeaseSimulation
-from finchcart.fault_injection.key_lease_state_space import KEY, explore, perform
+from finchcart.fault_injection.key_leases.fault_run import SeededRun
+from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation
+from finchcart.fault_injection.key_leases.state_space import KEY, explore, perform
+from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet_settings.configs import key_lease_config
 from finchcart.fleet_settings.file import check_settings
 from finchcart.key_leases import messages
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
