--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.membership.fault_run import SeededRun
 from finchcart.fault_injection.membership.simulation import MembershipSimulation
@@ -18,6 +17,7 @@
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet.codec import encode_value, name_hash, parse_address, xxh64_digest
 from finchcart.fleet.inputs import DatagramReceived, Tick
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership import failure_detection, messages, view
 from finchcart.membership.anti_entropy import AntiEntropy
 from finchcart.membership.config import SECOND, MembershipConfig
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.quota.fault_run import SeededRun
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
@@ -20,6 +19,7 @@
 from finchcart.fleet.codec import parse_address
 from finchcart.fleet.effects import SendDatagram
 from finchcart.fleet.inputs import DatagramReceived, Tick
+from finchcart.fleet_settings.file import check_settings
 from finchcart.net.clock import boot_clock
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota import local_limits, messages
