--- a/finchcart/decisions/completion.py
+++ b/finchcart/decisions/completion.py
@@ -56,9 +56,9 @@
 
     def reject(self, now: int, rpc: RpcHandle, reason: RejectionReason, expected_wait: float = 0) -> None:
         """Reject an RPC that never ran; `expected_wait`: until it might have got a core here."""
-        rpc.rejection_reason = reason
         do_not_retry = self._advice.do_not_retry(now, rpc)
-        self._port.reject(rpc.index, self._advice.retry_after(expected_wait), do_not_retry)
+        retry_after = self._advice.retry_after(expected_wait)
+        self._port.reject(rpc.index, reason, retry_after, do_not_retry)
         self.complete(now, rpc)
 
     def fail(self, now: int, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/port.py
+++ b/finchcart/decisions/port.py
@@ -6,6 +6,8 @@
 
 from typing import Protocol
 
+from finchcart.decisions.rejection_reason import RejectionReason
+
 
 class Port(Protocol):
     """What the decision module can do. `index` names an RPC. Calls take effect in the order made."""
@@ -20,11 +22,11 @@
         `Outcome.STOPPED` reports that it took effect; it may not, during a stall or a call.
         """
 
-    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
+    def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
         """Send the final answer that it never ran here.
 
-        The caller may come back after `retry_after` microseconds (0: no advice); `do_not_retry` asks it not
-        to try another node either.
+        `reason` is for the host's statistics alone. The caller may come back after `retry_after` microseconds
+        (0: no advice); `do_not_retry` asks it not to try another node either.
         """
 
     def fail(self, index: int) -> None:
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -12,7 +12,6 @@
 from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.method import Method
 from finchcart.decisions.outcome import Outcome
-from finchcart.decisions.rejection_reason import RejectionReason
 
 
 class RpcState(Enum):
@@ -74,7 +73,6 @@
         "priority",
         "quota",
         "reached_at",
-        "rejection_reason",
         "response_sent",
         "service_time_hint",
         "shed_rank",
@@ -110,7 +108,6 @@
         self.quota = arrival.quota
         self.state = QUEUED  # runs.py, dependency_calls.py, completion.py; SHARING: admission.py
         self.response_sent = False  # completion.py
-        self.rejection_reason: RejectionReason | None = None  # completion.py
         self.caller_is_gone = False  # rpc_events.py
         self.has_run = False  # it began, an effect may have come of it: runs.py; at its end rpc_events.py
         self.failed = False  # rpc_events.py
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer, Log
 from finchcart.node.inputs import CallNotMade, RunNotStarted
@@ -65,8 +66,9 @@
 
     # ---- Final answers
 
-    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
-        """Final answer: it never ran here."""
+    def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
+        """Final answer: it never ran here; counted by its reason."""
+        self.turn.statistics.count(f"rejections: {reason.value}")
         rpc = self.rpcs[index]
         self.lifecycle.answer(rpc, FinalOutcome.REJECTED, b"", retry_after, do_not_retry)
 
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -28,7 +28,7 @@
     caller: str | int  # who is admitted and limited by it: a dispatcher's number
     idempotency_key: str | None = None
     is_retry: bool = False
-    cost_hint_us: int = 0  # how long its run may take; 0: no hint
+    service_time_hint_us: int = 0  # how long its run may take; 0: no hint
     memory_kb: float = 1.0
     shed_rank: float | None = None  # 0 to 1, where its user stands among those that may be shed
     expires_at: int = 0  # 0: by its method's deadline
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -132,7 +132,7 @@
             attributes.expires_at,
             waited=now - attributes.arrived_at,
             shed_rank=attributes.shed_rank,
-            service_time_hint=attributes.cost_hint_us,
+            service_time_hint=attributes.service_time_hint_us,
             is_retry=attributes.is_retry,
             duplicate_of=duplicate_of,
             quota=quota,
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -73,7 +73,8 @@
 
     def _record(self, verb: str, arguments: tuple) -> None:
         if verb == "reject":
-            self.rejections[arguments[0]] = arguments[1:]
+            index, _reason, *advice = arguments
+            self.rejections[index] = tuple(advice)
         elif verb in ("fail", "stop"):
             self.failed_or_paused.add(arguments[0])
         elif verb in ("set_shed_level", "set_credit"):
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -95,13 +95,13 @@
     if not (caller.isdigit() and len(caller) <= MAX_CALLER_LENGTH):
         raise InvalidRpcError(f"field f={_quoted(caller)}: expected the number of a dispatcher")
     shed_rank = number(fields, "p", 0, 1, NO_SHED_RANK)
-    cost_hint_ms = number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
+    service_time_hint_ms = number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
     attributes = RpcAttributes(
         arrival.earliest,
         caller,
         key,
         is_retry="r" in fields,
-        cost_hint_us=int(cost_hint_ms * US_PER_MS),
+        service_time_hint_us=int(service_time_hint_ms * US_PER_MS),
         memory_kb=number(fields, "m", MIN_MEMORY_KB, MAX_MEMORY_KB),
         shed_rank=None if shed_rank == NO_SHED_RANK else shed_rank,
         connection=connection,
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -15,6 +15,7 @@
 from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
+from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
 from finchcart.wire import WireError
 
@@ -52,8 +53,8 @@
         """Stop or pause a run."""
         self.send("STOP", call=self.identifiers[index])
 
-    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
-        """Answer that it never ran."""
+    def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
+        """Answer that it never ran; the protocol has no word for the reason."""
         identifier = self.identifiers[index]
         self.send("BUSY", call=identifier, wait=retry_after or None, last=do_not_retry or None)
 
--- a/tests/decision_runs.py
+++ b/tests/decision_runs.py
@@ -142,7 +142,8 @@
     """The (retry_after, do_not_retry) of all that the node rejects from now on, as they come."""
     rejections = []
 
-    def reject(index, retry_after, do_not_retry):
+    def reject(index, reason, retry_after, do_not_retry):
+        node.rpcs[index].rejection_reason = reason
         rejections.append((retry_after, do_not_retry))
         node.rpcs[index].state = RpcState.COMPLETED
         node.rpcs[index].answered = True
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -6,6 +6,7 @@
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle, RpcState
 from tests.typed_settings import typed
 
@@ -93,6 +94,7 @@
     call_never_ran: bool = False  # its last call has proved that
     stalled_until: int = 0  # delays of a process that stands still aren't its fault
     handle: RpcHandle | None = None
+    rejection_reason: RejectionReason | None = None
 
     @property
     def is_owed(self) -> bool:
@@ -180,8 +182,10 @@
         assert not rpc.answered, "two answers"
         rpc.answered = True
 
-    def reject(self, index, retry_after, do_not_retry):
+    def reject(self, index, reason, retry_after, do_not_retry):
         rpc = self.rpc(index)
+        assert isinstance(reason, RejectionReason)
+        rpc.rejection_reason = reason
         assert not rpc.has_run and rpc.state is RpcState.QUEUED, "rejected after it ran"
         assert 0 <= retry_after <= self.settings["retry_after_max"]
         self.answer(rpc)
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -238,7 +238,7 @@
     "arrived_at": "arrived",
     "caller": "caller",
     "is_retry": "retry",
-    "cost_hint_us": "estimate",
+    "service_time_hint_us": "estimate",
     "memory_kb": "footprint",
     "shed_rank": "rank",
 }
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -62,6 +62,9 @@
         name, *value_names = VERBS[verb]
 
         def record(*values):
+            if verb == "reject":
+                index, _reason, *advice = values  # the wire carries no reason
+                values = index, *advice
             fields = {key: as_text(value) for key, value in zip(value_names, values, strict=True)}
             if name == "NOTIFY_ME":
                 fields["name"] = TIMER_NAME
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,9 +1,13 @@
 """What is admitted, cut or rejected, and what a rejection advises."""
 
+from pathlib import Path
+
 import pytest
 
 from finchcart.decisions.outcome import Outcome
+from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcState
+from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, note_rejections, ring_timers, shares_of
 from tests.harness import MS, Node
 
@@ -111,3 +115,25 @@
     assert len(node.control.state.runs.pausing) == 1
     node.step(50 * MS)
     assert not node.control.state.runs.pausing and node.control.state.runs.on_cores == 3
+
+
+def test_a_node_counts_its_rejections_by_reason():
+    """The same words stand in the code, in the statistics line and in docs/oncall.md."""
+    harness = CoreHarness({**PLAIN, "gauges": ("core_use", "on_cores")})
+    harness.write_block_probability = 0
+    connection = harness.open()
+    for _ in range(100):
+        harness.step(10 * MS)
+        if harness.core.ready:
+            harness.submit(connection, 0)
+    counts = harness.core.turn.statistics.counts
+    names = [name for name in counts if name.startswith("rejections: ")]
+    assert "rejections: load shed" in names or "rejections: misses objective" in names
+    assert sum(counts[name] for name in names) == counts["RPCs rejected"]
+    known = {f"rejections: {reason.value}" for reason in RejectionReason}
+    assert known.issuperset(names)
+
+
+def test_the_page_for_on_call_names_each_reason():
+    page = Path("docs/oncall.md").read_text(encoding="utf-8")
+    assert [reason for reason in RejectionReason if f"| `{reason.value}` |" not in page] == []
--- a/tests/test_decision_parts.py
+++ b/tests/test_decision_parts.py
@@ -171,7 +171,7 @@
     node.step(50 * MS)
     index = node.arrive(0, **rpc)
     assert len(rejections) == 1
-    assert node.rpcs[index].handle.rejection_reason is reason
+    assert node.rpcs[index].rejection_reason is reason
 
 
 def test_after_the_grace_rpcs_are_rejected_as_the_node_shuts_down():
@@ -180,7 +180,7 @@
     node.control.drain(node.now, node.now + 2_000 * MS)
     node.step(50 * MS)
     index = node.arrive(0)
-    assert node.rpcs[index].handle.rejection_reason is RejectionReason.SHUTTING_DOWN
+    assert node.rpcs[index].rejection_reason is RejectionReason.SHUTTING_DOWN
 
 
 def test_what_is_cut_is_rejected_as_shed_load_and_what_runs_has_no_reason():
@@ -189,7 +189,7 @@
     for method in node.control.state.methods.all:
         method.admission_probability = 0.0
     third = node.arrive(0)
-    reasons = [node.rpcs[index].handle.rejection_reason for index in (first, second, third)]
+    reasons = [node.rpcs[index].rejection_reason for index in (first, second, third)]
     assert reasons == [None, None, RejectionReason.LOAD_SHED]
     assert node.rpcs[first].handle.state is RUNNING
     assert not node.in_state(CALLING)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -44,7 +44,7 @@
                     caller=link,
                     idempotency_key=told.get("k"),
                     is_retry="r" in told,
-                    cost_hint_us=100 * MS,
+                    service_time_hint_us=100 * MS,
                     memory_kb=20.0,
                 ),
             )
