--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What a member publishes of its observations in a gossip entry, and what the command line asks and says.
+"""What a member publishes of its observations in a gossip entry, and the messages of the command line.
 
-Owns the messages alone; see store.py for what they mean. The order of the fields and the tags are the wire
-format: they stay, whatever the fields are called here.
+Owns their fields and limits; see store.py for what they mean. It must never act on one. The order of the
+fields and the tags are the wire format: they stay, whatever the fields are called here.
 """
 
 from typing import Annotated, NamedTuple
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from finchcart.membership.codec import MessageCodec, Unsigned53, Unsigned64
+from finchcart.fleet.codec import MessageCodec, Unsigned53, Unsigned64
 
 CHANNEL = b"V"
 MAX_REPORTS = 32  # in one gossip entry
@@ -21,8 +21,8 @@
 OverrideValue = Annotated[int, Meta(ge=0, le=1000)]
 
 
-class Report(NamedTuple):
-    """What one node reports of one subject; what value and weight are is said at `Observer.reports`."""
+class ObservationReport(NamedTuple):
+    """What one node reports of one subject; see `Observer.reports` for value and weight."""
 
     subject: Unsigned64
     value: Unsigned53
@@ -46,7 +46,7 @@
         return self.number, self.incarnation, self.issuer
 
 
-class StatusRequest(Struct, array_like=True, frozen=True, tag=40):
+class ConsensusStatusRequest(Struct, array_like=True, frozen=True, tag=40):
     """A question of the command line for one page of the decisions."""
 
     number: Unsigned53
@@ -63,25 +63,25 @@
     reason: Reason
 
 
-class StatusResponse(Struct, array_like=True, frozen=True, tag=42):
+class ConsensusStatusResponse(Struct, array_like=True, frozen=True, tag=42):
     """The answer to a request of that number."""
 
     number: Unsigned53
     view: dict
 
 
-Message = StatusRequest | OverrideRequest | StatusResponse
+Message = ConsensusStatusRequest | OverrideRequest | ConsensusStatusResponse
 
-CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (StatusRequest, OverrideRequest))
+CODEC: MessageCodec[Message] = MessageCodec(CHANNEL, Message, (ConsensusStatusRequest, OverrideRequest))
 
-_reports_decoder = msgspec.msgpack.Decoder(Annotated[list[Report], Meta(max_length=MAX_REPORTS)])
+_reports_decoder = msgspec.msgpack.Decoder(Annotated[list[ObservationReport], Meta(max_length=MAX_REPORTS)])
 _overrides_decoder = msgspec.msgpack.Decoder(
     Annotated[list[OperatorOverride], Meta(max_length=MAX_OVERRIDES)]
 )
 
 
-def decode_reports(payload: bytes) -> list[Report] | None:
-    """The reports in a gossip entry, or None where they cannot be read."""
+def decode_reports(payload: bytes) -> list[ObservationReport] | None:
+    """Return the reports in a gossip entry, or None where they cannot be read."""
     try:
         return _reports_decoder.decode(payload)
     except msgspec.DecodeError:
@@ -89,7 +89,7 @@
 
 
 def decode_overrides(payload: bytes) -> list[OperatorOverride] | None:
-    """The overrides in a gossip entry, or None where they cannot be read."""
+    """Return the overrides in a gossip entry, or None where they cannot be read."""
     try:
         return _overrides_decoder.decode(payload)
     except msgspec.DecodeError:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,13 +12,21 @@
 
 from finchcart.cli.settings_file import check_settings
 from finchcart.cli.settings_schema import consensus_config
-from finchcart.consensus import decision, standing, subjects
+from finchcart.consensus import active_decisions, decision, subjects
+from finchcart.consensus.active_decisions import ActiveDecision
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
 from finchcart.consensus.decision import decide, median_without
-from finchcart.consensus.messages import CODEC, OperatorOverride, OverrideRequest, Report, StatusResponse
+from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.fleet_decisions import FleetDecisions
+from finchcart.consensus.messages import (
+    CODEC,
+    ConsensusStatusResponse,
+    ObservationReport,
+    OperatorOverride,
+    OverrideRequest,
+)
 from finchcart.consensus.observations import MILLION, Observer
 from finchcart.consensus.overrides import Override, OverrideTable
-from finchcart.consensus.standing import StandingDecision
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
@@ -34,7 +42,7 @@
 from finchcart.fault_injection.consensus.fault_run import SeededRun
 from finchcart.fault_injection.consensus.simulation import ConsensusSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
 from finchcart.membership.member import Member
@@ -45,6 +53,7 @@
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.observer import NodeObserver
 from finchcart.protocol.messages import HeartbeatCall
+from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, one_step
@@ -63,19 +72,19 @@
 
 def by_member(*reports):
     """Each member's reports by its id; members stand in three zones in turn."""
-    return {n: [Report(ZONE_SUBJECT, n % 3, 0), *each] for n, each in enumerate(reports)}
+    return {n: [ObservationReport(ZONE_SUBJECT, n % 3, 0), *each] for n, each in enumerate(reports)}
 
 
 def store_report(value, fresh=1):
-    return [Report(STORE_SUBJECT, value, fresh)]
+    return [ObservationReport(STORE_SUBJECT, value, fresh)]
 
 
 def source_report(subject, percent=1, value=BLOCKED):
-    return [Report(subject, value, percent * MILLION + 5)]
+    return [ObservationReport(subject, value, percent * MILLION + 5)]
 
 
 def node_report(n, percent_failed=0, time=1000):
-    return [Report(subjects.node_subject(f"n{n}"), percent_failed, time)]
+    return [ObservationReport(subjects.node_subject(f"n{n}"), percent_failed, time)]
 
 
 def decided_values(*reports, config=CONFIG):
@@ -132,7 +141,9 @@
 
 def test_the_level_is_the_lower_median_which_fewer_than_half_can_not_move():
     def level(*values):
-        return decided_values(*([Report(LEVEL_SUBJECT, value, 0)] for value in values)).get(LEVEL_SUBJECT, 0)
+        return decided_values(*([ObservationReport(LEVEL_SUBJECT, value, 0)] for value in values)).get(
+            LEVEL_SUBJECT, 0
+        )
 
     assert level(0, 0, 0, 1000, 1000) == 0
     assert level(300, 300, 300, 0, 0) == 300
@@ -252,21 +263,21 @@
     consensus.member = member
 
     def collected(now, name):
-        return consensus.collect_reports(now, is_alone=False).get(name_hash(name))
+        return consensus.collect_reports(now, member, is_alone=False).get(name_hash(name))
 
     def receive(number, reports, now, name="b"):
         payload = encode_value(reports)
         member.gossip.receive(now, entry(name, GossipTopic.OBSERVATIONS, number, payload), 0)
         return collected(now, name)
 
-    own = Report(subjects.node_subject("b"), 0, 5)
-    assert receive(1, [Report(subjects.node_subject("c"), 100, 5), own], 0) == [own]
+    own = ObservationReport(subjects.node_subject("b"), 0, 5)
+    assert receive(1, [ObservationReport(subjects.node_subject("c"), 100, 5), own], 0) == [own]
     now = 0
     while receive(now // 1000 + 2, [], now) is not None:
         now += 100_000
         assert now < 10 * SECOND, "a change every 100 ms is not noticed"
-    assert consensus.counts["speaks too often"]
-    assert receive(1, [Report(BAD, BLOCKED, 1)], now, "c") is not None
+    assert consensus.counts["changes too often"]
+    assert receive(1, [ObservationReport(BAD, BLOCKED, 1)], now, "c") is not None
     known = member.known_members[name_hash("c")]
     known.state = MemberState.FAILED
     assert collected(now, "c") is None, "of a failed member"
@@ -331,7 +342,7 @@
     self.count("gaps")
 
 
-class DecisionWithoutHold(StandingDecision):
+class DecisionWithoutHold(ActiveDecision):
     def __init__(self, now, *rest):
         super().__init__(now, *rest)
         self.until = now
@@ -370,7 +381,7 @@
     },
     "a decision does not stand for a while": {
         "kinds": ("flaps",),
-        "changes": [(standing, "StandingDecision", DecisionWithoutHold)],
+        "changes": [(active_decisions, "ActiveDecision", DecisionWithoutHold)],
     },
     "a few are enough for the store": {"kinds": ("zone",), "config": replace(SHORT, store_quorum=0.05)},
     "one report is enough for a source": {
@@ -385,7 +396,7 @@
     "a node is ejected before others were heard": {
         "kinds": ("fail",),
         "seeds": range(8),
-        "changes": [(ConsensusStore, "acts_within", lambda self: 0)],
+        "changes": [(FleetDecisions, "acts_within", lambda self, member: 0)],
     },
     "the override received last stands": {
         "kinds": ("words",),
@@ -411,13 +422,13 @@
     limiters = LimiterSet((Limit("trial", 4, counts="trial", mode="loose"),), 20 * MS, 10)
     limiters.recovery_step_us, limiters.probe_timeout_us = CONFIG.recovery_step, CONFIG.probe_timeout
     harness = plain_harness(limiters, NodeObserver(CONFIG), **settings)
-    harness.feed(fleet_input(("allow", "trial", 0, 1, harness.now + 10**12)))
+    harness.feed(fleet_input(LimitAllowance("trial", 0, 1, harness.now + 10**12)))
     return harness
 
 
 def holds(harness, **changed):
-    good = {"store": WORKING, "sources": {}, "out": False, "level": 0.0}
-    harness.feed(fleet_input(("verdicts", {**good, **changed})))
+    good = DecisionsChanged(WORKING, sources={}, is_ejected=False, minimum_level=0.0)
+    harness.feed(fleet_input(good._replace(**changed)))
 
 
 def test_a_store_that_is_down_gets_this_nodes_probe_calls_alone_and_more_by_steps_once_it_is_back():
@@ -429,7 +440,7 @@
     assert capacity() is None
     holds(harness, store=DOWN)
     assert capacity() == 1 and harness.limiters.acquire_call(harness.core.store)[1] == CONFIG.probe_timeout
-    harness.feed(fleet_input(("allow", "trial", 0, 0, harness.now + 10**12)))
+    harness.feed(fleet_input(LimitAllowance("trial", 0, 0, harness.now + 10**12)))
     assert capacity() == 0 and harness.limiters.acquire_call(harness.core.store) is None
     holds(harness)
     capacities = []
@@ -502,13 +513,13 @@
             holds(
                 harness,
                 store=rng.choice((WORKING, SLOW, DOWN)),
-                level=rng.choice((0.0, 0.0, 0.3, 0.9)),
-                out=rng.random() < 0.2,
+                minimum_level=rng.choice((0.0, 0.0, 0.3, 0.9)),
+                is_ejected=rng.random() < 0.2,
                 sources=rng.choice(({}, {}, {here: THROTTLED}, {here: BLOCKED})),
             )
         if rng.random() < 0.05 and not harness.ended:
             name = rng.choice(("trial", "calls"))
-            harness.feed(fleet_input(("allow", name, 0, rng.randrange(3), harness.now + SECOND)))
+            harness.feed(fleet_input(LimitAllowance(name, 0, rng.randrange(3), harness.now + SECOND)))
 
     harness.step = stepped
     play(harness, rng)
@@ -558,7 +569,7 @@
     config = consensus_config(check_settings(tree, "f"))
     assert config.report_lifetime == 20 * SECOND
     assert [problem.field for problem in config_warnings(config)] == ["count"]
-    errors = config_errors(replace(config, report_lifetime=SECOND, max_standing=1))
+    errors = config_errors(replace(config, report_lifetime=SECOND, max_hold_time=1))
     assert [error.field for error in errors] == ["life_ms", "hold_most_ms"]
     with pytest.raises(SettingsError) as wrong:
         check_settings({"verdicts": {"life_ms": 3000, "cuont": 2}}, "f")
@@ -600,7 +611,7 @@
     rows = [row for page in range(view["pages"]) for row in consensus.status(fleet.now, page)["verdicts"]]
     assert len(rows) == 14 and len({row["name"] for row in rows}) == 14
     for page in range(view["pages"]):
-        response = StatusResponse(1, consensus.status(fleet.now, page))
+        response = ConsensusStatusResponse(1, consensus.status(fleet.now, page))
         assert len(CODEC.encode("f", response)) <= MAX_DATAGRAM_BYTES
 
 
