--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -9,6 +9,7 @@
 from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
 from finchcart.simulator import codec
 from finchcart.simulator.events import (
@@ -52,8 +53,8 @@
         """Stop or pause a run."""
         self.write(codec.stop(self.number, self.identifiers[index]))
 
-    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
-        """Answer that it never ran."""
+    def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
+        """Answer that it never ran; the protocol has no word for the reason."""
         self.write(codec.reject(self.number, self.identifiers[index], retry_after, do_not_retry))
 
     def fail(self, index: int) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -56,8 +56,8 @@
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
 from tests.core_harness import CoreHarness
+from tests.decision_runs import PLAIN, one_step
 from tests.harness import MS, Node, draw_settings
-from tests.test_control import PLAIN, one_step
 from tests.test_core import GAUGES, plain_harness, play
 
 CONFIG = ConsensusConfig()
