--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -1,7 +1,7 @@
 """The settings of a node and of its methods, as typed fields with their units and defaults.
 
-Owns each field, what it means and what holds where it is not told. It must never know how a setting is called
-outside: finchcart/settings.py makes these types from a configuration or from the simulator's pairs.
+Owns each field, what it means and its default. It must never know the external name of a setting:
+finchcart/settings.py makes these types from a configuration or from the simulator's pairs.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 UNLIMITED_CALLS = 1e9
 UNLIMITED_MEMORY_KB = 1e12
 
-# These hold where None stands in the field: its users differ in what they do without it.
+# For fields that are None by default, as not all users of these want the same value in its place.
 DEFAULT_CRITICALITY = 1
 DEFAULT_DEADLINE_US = 5 * SECOND
 DEFAULT_CALLS_LINGER_US = 200 * MS
@@ -31,7 +31,7 @@
 
     LEVEL = "level"  # the shed level: the criticality below which callers hold RPCs back
     CREDIT = "credit"  # how many RPCs each caller may have open
-    WEIGHT = "weight"  # accepted as a setting, and published like SILENT: not at all
+    WEIGHT = "weight"  # accepted as a setting; as with SILENT, nothing is published
     SILENT = "silent"
 
 
@@ -40,7 +40,7 @@
 
     SHARED = "shared"  # one limit for all nodes, of which each has a share
     TIER = "tier"  # a tier of nodes that decides for itself: no share is kept to here
-    SILENT = "silent"  # nothing is told of it, as with TIER
+    SILENT = "silent"  # nothing is known of it; as with TIER
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,8 +49,8 @@
 
     name: str
     kind: MethodKind = MethodKind.NON_IDEMPOTENT
-    criticality: float | None = None  # the higher, the later it is shed; None: not told
-    deadline_us: int | None = None  # from its arrival, where an RPC carries none; None: not told
+    criticality: float | None = None  # the higher, the later it is shed; None: not configured
+    deadline_us: int | None = None  # from its arrival, where an RPC carries none; None: not configured
     latency_objective_us: int | None = None  # None: the deadline
     key_window_us: int = 0  # a duplicate may arrive so long after the first RPC of its idempotency key
     late_value: float = 0  # value of an answer after the objective; 0: such a run may be stopped
@@ -85,7 +85,7 @@
     dependency: Dependency = Dependency.SHARED
     calls_limit: float = UNLIMITED_CALLS  # mean calls in flight that are this node's share, with SHARED
     calls_window_us: int = 5 * SECOND  # the mean is taken over this
-    calls_linger_us: int | None = None  # an abandoned call goes on downstream for so long; None: not told
+    calls_linger_us: int | None = None  # an abandoned call goes on for so long; None: not configured
 
     # Callers
     feedback: Feedback = Feedback.LEVEL
--- a/finchcart/node/methods.py
+++ b/finchcart/node/methods.py
@@ -22,7 +22,7 @@
 
 def read_methods(settings: NodeSettings, late_read_us: int) -> dict[str, MethodInfo]:
     """Return the methods by name. `late_read_us`: RPCs may be read so long after their deadline."""
-    # Unlike the decision module, the node ranks a method whose criticality is not told below all others.
+    # Unlike the decision module, the node ranks a method without a configured criticality below all others.
     least = min((method.criticality or 0 for method in settings.methods), default=0)
     methods = {}
     for method in settings.methods:
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -24,6 +24,7 @@
 PATH_VARIABLE = "ROUTER_CONFIG"
 MAX_PORT = 65_535
 MAX_ERROR_LENGTH = 200  # characters of a message that others worded
+MISTAKE = "ValueError"  # stands before what is wrong with a value: people search logs for it
 
 # The parties whose addresses may change while the node runs, by their keys in the configuration.
 ADDRESS_KEYS = {"pool": "pool", "store": "store", "registry": "roster"}
@@ -40,7 +41,7 @@
 class WatchConfig(NamedTuple):
     """The key `watch`: settings that are watched beside those in force."""
 
-    told: settings.ToldSettings
+    overrides: settings.SettingsOverrides
     period_us: int  # between log lines
 
 
@@ -53,8 +54,8 @@
     seed: int
     settings: NodeSettings
     limits: Limits
-    watch: WatchConfig | None  # as it was told
-    shadow: ShadowSettings | None  # made of it, over the settings in force
+    watch: WatchConfig | None
+    shadow: ShadowSettings | None  # `watch`, applied to `settings`
 
 
 FIXED_FIELDS = ("name", "listen", "settings", "limits", "watch")  # new ones wait for the next start
@@ -74,7 +75,8 @@
         raise ConfigError(f"{path}: {error} is missing") from None
     except Exception as error:
         # Whatever the file holds, nested or sized as it may be, it is refused in words and ends no node.
-        raise ConfigError(f"{path}: {type(error).__name__}: {str(error)[:MAX_ERROR_LENGTH]}") from None
+        kind = MISTAKE if isinstance(error, ConfigError) else type(error).__name__
+        raise ConfigError(f"{path}: {kind}: {str(error)[:MAX_ERROR_LENGTH]}") from None
 
 
 def reread_config(path: str, used: NodeConfig) -> AddressesChanged | None:
@@ -122,7 +124,7 @@
     """Return host and port. No name is looked up: a host is an IPv4 address."""
     host, _, port = text.rpartition(":")
     if not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{text}: no such port")
+        raise ConfigError(f"{text}: no such port")
     socket.inet_pton(socket.AF_INET, host)
     return host, int(port)
 
@@ -133,9 +135,10 @@
     settings.check("watch", tree, SHADOW_EXPECTATION)
     period_ms = tree.get("period_ms", DEFAULT_SHADOW_PERIOD_MS)
     settings.check("watch.period_ms", period_ms, settings.number(MIN_SHADOW_PERIOD_MS, MAX_SHADOW_PERIOD_MS))
-    return WatchConfig(settings.told_by_json(tree["settings"]), int(period_ms * MS))
+    return WatchConfig(settings.overrides_from_json(tree["settings"]), int(period_ms * MS))
 
 
 def _make_shadow(node_settings: NodeSettings, watch: WatchConfig) -> ShadowSettings:
-    # What is watched may ask for what this node can't do: the shadow acts on nothing.
-    return ShadowSettings(watch.told.over(supported_settings(node_settings)), watch.period_us)
+    # The watched settings may ask for what this node can't do: the shadow acts on nothing.
+    watched = watch.overrides.apply_to(supported_settings(node_settings))
+    return ShadowSettings(watched, watch.period_us)
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -1,8 +1,8 @@
-"""Outside names of settings, and how the typed settings of a node are made from them.
+"""External names of settings, and how the typed settings of a node are made from them.
 
 Owns the table of names, for the simulator's protocol and for a real node's configuration alike, so that both
-give the same `NodeSettings`. It must never choose a value: what is not told keeps the field's default, see
-finchcart/decisions/node_settings.py.
+give the same `NodeSettings`. It must never choose a value: a setting that is left out keeps the default of
+its field, see finchcart/decisions/node_settings.py.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -17,10 +17,12 @@
     MethodSettings,
     NodeSettings,
 )
+from finchcart.errors import ConfigError
 
 Meaning = TypeVar("Meaning", bound=Enum)
 
 MAX_TIME_US = 10**12
+MAX_QUOTED = 60  # characters of a value that an error quotes
 
 METHOD_KINDS = {
     "read_like": MethodKind.IDEMPOTENT,
@@ -55,7 +57,7 @@
 
     expectation: Expectation
     field: str | None  # of NodeSettings or MethodSettings; None: checked and not used
-    convert: Callable[[Any], Any] | None = None  # from the word that stands outside
+    convert: Callable[[Any], Any] | None = None  # from the external word
 
 
 def number(low: float, high: float = float("inf")) -> Expectation:
@@ -100,7 +102,7 @@
 FEEDBACK = _meaning(FEEDBACKS, Feedback.SILENT)
 DEPENDENCY = _meaning(DEPENDENCIES, Dependency.SILENT)
 
-# Settings of the node by their outside names; others are not read.
+# Settings of the node by their external names; others are not read.
 NODE_SETTINGS = {
     "round": Setting(TIME, "tick_us"),
     "callers.marksRetry": Setting(FLAG, "marks_retries"),
@@ -129,12 +131,12 @@
 # Its value gives two fields, `can_stop` and `can_pause`.
 PREEMPTION = "familyInfo.preemption"
 PREEMPTION_EXPECTATION = _one_of(*PREEMPTION_WORDS)
-# Fields of each method that stand outside as one value for all methods, or as a list with one for each.
-SPREAD_SETTINGS = {
+# Fields of each method that are configured as one value for all methods, or as a list with one for each.
+PER_METHOD_SETTINGS = {
     "familyInfo.classCalls": Setting(_each(FLAG), "makes_call"),
     "familyInfo.worthWithout": Setting(_each(number(0, 1)), "degraded_value"),
 }
-# Of each item of the list of methods, which is called `services` outside.
+# Settings of one method, of an item of the list `services`.
 METHODS = "services"
 METHOD_COUNT = f"{METHODS}.count"
 METHOD_SETTINGS = {
@@ -148,16 +150,19 @@
 }
 
 
-class ToldSettings(NamedTuple):
-    """The settings that are told, by typed field. Those of a watch are put over the ones in force."""
+class SettingsOverrides(NamedTuple):
+    """The settings that are configured, by typed field, to be applied to others or to the defaults."""
 
     node: Mapping[str, Any]  # by field of NodeSettings
     methods: Mapping[str, Mapping[str, Any]]  # by position as text, then by field of MethodSettings
-    method_count: int | None  # None: not told
-    spread: Mapping[str, Any]  # by field of MethodSettings: a value for all, or a tuple with one for each
+    method_count: int | None  # None: not configured
+    per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all, or a tuple of values
 
-    def over(self, base: NodeSettings) -> NodeSettings:
-        """Return `base` with what is told here in its place."""
+    def apply_to(self, base: NodeSettings) -> NodeSettings:
+        """Return `base` with these values in place of its own.
+
+        Raise IndexError where a tuple has fewer values than there are methods.
+        """
         count = len(base.methods) if self.method_count is None else self.method_count
         methods = tuple(self._method(base, position) for position in range(count))
         return replace(base, methods=methods, **self.node)
@@ -165,41 +170,41 @@
     def _method(self, base: NodeSettings, position: int) -> MethodSettings:
         is_new = position >= len(base.methods)
         method = MethodSettings(name=str(position)) if is_new else base.methods[position]
-        spread = {
+        shared = {
             field: value[position] if isinstance(value, tuple) else value
-            for field, value in self.spread.items()
+            for field, value in self.per_method.items()
         }
-        return replace(method, **spread, **self.methods.get(str(position), {}))
+        return replace(method, **shared, **self.methods.get(str(position), {}))
 
 
 def from_pairs(raw: Mapping[str, str]) -> NodeSettings:
-    """Return the settings told by the simulator's pairs of path and text, which are not checked."""
+    """Return the settings of the simulator's pairs of path and text, which are not checked."""
     pairs = ((path, text if path.endswith(".name") else _value(text)) for path, text in raw.items())
-    return _told(pairs).over(NodeSettings())
+    return _overrides(pairs).apply_to(NodeSettings())
 
 
 def from_json(tree: Mapping[str, object]) -> NodeSettings:
-    """Return the settings told by a configuration's nested object, see `told_by_json`."""
-    return told_by_json(tree).over(NodeSettings())
+    """Return the settings of a configuration's nested object, see `overrides_from_json`."""
+    return overrides_from_json(tree).apply_to(NodeSettings())
 
 
-def told_by_json(tree: Mapping[str, object]) -> ToldSettings:
-    """Return what a configuration's nested object tells; a null tells nothing. Raise as `check` does."""
+def overrides_from_json(tree: Mapping[str, object]) -> SettingsOverrides:
+    """Return what a configuration's nested object sets; a null sets nothing. Raise as `check` does."""
     pairs = [(path, value) for path, value in _flat("", tree) if value is not None]
     for path, value in pairs:
         check(path, value, _expectation(path))
-    return _told(pairs)
+    return _overrides(pairs)
 
 
 def check(path: str, value: object, expectation: Expectation) -> None:
-    """Raise a ValueError with the field, its value and what is expected, where the value can't be."""
+    """Raise ConfigError with the field, its value and what is expected, where the value can't be."""
     holds, text = expectation
     if not holds(value):
-        raise ValueError(f"{path}: {value!r:.60}: expected {text}")
+        raise ConfigError(f"{path}: {value!r:.{MAX_QUOTED}}: expected {text}")
 
 
 def whole(text: str) -> int:
-    """Return the whole number that a text tells. Raise ValueError for any other text."""
+    """Return the whole number of a text. Raise ValueError for any other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
     return int(text)
@@ -220,13 +225,13 @@
     method_path = _split_method_path(path)
     if method_path:
         return METHOD_SETTINGS.get(method_path[1], UNUSED).expectation
-    return (NODE_SETTINGS.get(path) or SPREAD_SETTINGS.get(path, UNUSED)).expectation
+    return (NODE_SETTINGS.get(path) or PER_METHOD_SETTINGS.get(path, UNUSED)).expectation
 
 
-def _told(pairs: Iterable[tuple[str, Any]]) -> ToldSettings:
+def _overrides(pairs: Iterable[tuple[str, Any]]) -> SettingsOverrides:
     node: dict[str, Any] = {}
     methods: dict[str, dict[str, Any]] = {}
-    spread: dict[str, Any] = {}
+    per_method: dict[str, Any] = {}
     method_count: int | None = None
     for path, value in pairs:
         method_path = _split_method_path(path)
@@ -235,14 +240,14 @@
         elif path == PREEMPTION:
             node["can_stop"] = value in STOPPING_WORDS
             node["can_pause"] = value == PAUSING_WORD
-        elif path in SPREAD_SETTINGS:
-            _put(spread, SPREAD_SETTINGS[path], value)
+        elif path in PER_METHOD_SETTINGS:
+            _put(per_method, PER_METHOD_SETTINGS[path], value)
         elif method_path:
             position, item = method_path
             _put(methods.setdefault(position, {}), METHOD_SETTINGS.get(item, UNUSED), value)
         else:
             _put(node, NODE_SETTINGS.get(path, UNUSED), value)
-    return ToldSettings(node, methods, method_count, spread)
+    return SettingsOverrides(node, methods, method_count, per_method)
 
 
 def _put(fields: dict[str, Any], setting: Setting, value: object) -> None:
--- a/tests/typed_settings.py
+++ b/tests/typed_settings.py
@@ -1,7 +1,7 @@
 """Flat settings of tests, by short names without units, as the typed settings that the program takes."""
 
 from finchcart.decisions.node_settings import Dependency, Feedback, MethodKind, NodeSettings
-from finchcart.settings import ToldSettings
+from finchcart.settings import SettingsOverrides
 
 NODE_FIELDS = {
     "calls_limit": "calls_limit",
@@ -36,24 +36,24 @@
     "name": "name",
     "window": "key_window_us",
 }
-SPREAD_FIELDS = {"degraded_value": "degraded_value", "method_calls": "makes_call"}
+PER_METHOD_FIELDS = {"degraded_value": "degraded_value", "method_calls": "makes_call"}
 FOR_HARNESSES = {"methods.count", "overload_window", "slack", "tells_deadline"}
 ENUMS = {"dependency": Dependency, "feedback": Feedback, "kind": MethodKind}
 
 
 def typed(flat, base=None):
     """The settings of a flat dict, over those of `base`; every name is known."""
-    node, methods, spread = {}, {}, {}
+    node, methods, per_method = {}, {}, {}
     for name, value in flat.items():
         if name in NODE_FIELDS:
             node[NODE_FIELDS[name]] = as_enum(name, value)
-        elif name in SPREAD_FIELDS:
-            spread[SPREAD_FIELDS[name]] = value
+        elif name in PER_METHOD_FIELDS:
+            per_method[PER_METHOD_FIELDS[name]] = value
         elif name not in FOR_HARNESSES:
             _, position, item = name.split(".")
             methods.setdefault(position, {})[METHOD_FIELDS[item]] = as_enum(item, value)
-    told = ToldSettings(node, methods, flat.get("methods.count"), spread)
-    return told.over(base or NodeSettings())
+    overrides = SettingsOverrides(node, methods, flat.get("methods.count"), per_method)
+    return overrides.apply_to(base or NodeSettings())
 
 
 def as_enum(name, value):
