--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -17,6 +17,7 @@
 
 from finchcart.fault_injection.key_leases.fault_run import play_seed
 from finchcart.fault_injection.key_leases.state_space import explore
+from finchcart.fleet.inputs import DatagramReceived
 from finchcart.key_leases import messages
 from finchcart.key_leases.config import SECOND, KeyLeaseConfig
 from finchcart.key_leases.replica import KeyLeaseReplica
@@ -82,13 +83,13 @@
 
 def claim(replica: KeyLeaseReplica, keys: list[bytes], body_hash: int) -> None:
     """Let a client ask a replica for these keys."""
-    asks = [messages.LeaseRequest(key, body_hash, 1, LIFE_US) for key in keys]
+    asks = [messages.LeaseProposal(key, body_hash, 1, LIFE_US) for key in keys]
     feed(replica, messages.AcquireLeases("a", 5, asks))
 
 
 def feed(replica: KeyLeaseReplica, message: object) -> None:
     """Hand a client's message to a replica."""
-    replica.reduce(0, ("got", CLIENT_ADDRESS, messages.CODEC.encode("f", message)))
+    replica.reduce(0, DatagramReceived(CLIENT_ADDRESS, messages.CODEC.encode("f", message)))
 
 
 def fill(replica: KeyLeaseReplica, count: int) -> None:
