--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -22,6 +22,7 @@
 Meaning = TypeVar("Meaning", bound=Enum)
 
 MAX_TIME_US = 10**12
+EMPTY_LIST = ""  # what the simulator sends for it
 MAX_QUOTED = 60  # characters of a value that an error quotes
 
 METHOD_KINDS = {
@@ -78,7 +79,7 @@
     """Return the expectation of one such value, or of a tuple of them."""
 
     def holds(value: object) -> bool:
-        return value == "" or all(map(expectation.holds, _as_tuple(value)))
+        return value == EMPTY_LIST or all(map(expectation.holds, _as_tuple(value)))
 
     return Expectation(holds, f"{expectation.text}, for each")
 
@@ -241,7 +242,8 @@
             node["can_stop"] = value in STOPPING_WORDS
             node["can_pause"] = value == PAUSING_WORD
         elif path in PER_METHOD_SETTINGS:
-            _put(per_method, PER_METHOD_SETTINGS[path], value)
+            if value != EMPTY_LIST:
+                _put(per_method, PER_METHOD_SETTINGS[path], value)
         elif method_path:
             position, item = method_path
             _put(methods.setdefault(position, {}), METHOD_SETTINGS.get(item, UNUSED), value)
@@ -264,12 +266,18 @@
         for position, part in enumerate(value):
             yield from _flat(f"{path}.{position}", part)
     elif isinstance(value, list):
-        # As in the protocol: a list of one can't be told from its only value, nor an empty one from no text.
-        yield path, tuple(value) if len(value) > 1 else value[0] if value else ""
+        yield path, _as_in_pairs(value)
     else:
         yield path, value
 
 
+def _as_in_pairs(values: list[object]) -> object:
+    """Return a plain list as the simulator's pairs give it: one of a single value is that value."""
+    if not values:
+        return EMPTY_LIST
+    return values[0] if len(values) == 1 else tuple(values)
+
+
 def _value(text: str) -> object:
     if "," in text:
         return tuple(_value(part) for part in text.split(","))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -354,6 +354,16 @@
     assert told.gauges == ("core_use", "on_cores")
 
 
+def test_a_list_without_values_leaves_each_method_as_it_is():
+    services = [{"name": "a"}, {"name": "b"}]
+    family = {"classCalls": [], "worthWithout": []}
+    told = settings.from_json({"services": services, "familyInfo": family})
+    pairs = {"services.count": "2", "services.0.name": "a", "services.1.name": "b"}
+    assert told == settings.from_pairs({**pairs, "familyInfo.classCalls": "", "familyInfo.worthWithout": ""})
+    assert [method.makes_call for method in told.methods] == [False, False]
+    assert [method.degraded_value for method in told.methods] == [0, 0]
+
+
 def test_buffers_are_reused_and_never_given_back_twice():
     buffers, rng, taken = Buffers(LIMITS), random.Random(3), []
     for _ in range(3000):
