--- a/finchcart/fault_injection/scripted_runs/process_fleet.py
+++ b/finchcart/fault_injection/scripted_runs/process_fleet.py
@@ -14,6 +14,7 @@
 
 import json5
 
+from finchcart.consensus import subjects
 from finchcart.fault_injection.processes.child_processes import ChildProcesses, cpu_and_peak_memory
 from finchcart.fault_injection.processes.loopback_addresses import MEMBER_PORT, LoopbackAddresses
 from finchcart.fault_injection.processes.node_configuration import (
@@ -24,6 +25,7 @@
 from finchcart.fault_injection.scripted_runs.fault_injecting_proxy import UP_LINE
 from finchcart.fault_injection.scripted_runs.fleet_options import FleetOptions
 from finchcart.fault_injection.scripted_runs.script import Load
+from finchcart.fleet_queries import query_limits, send_override
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.store import StoreState
 
@@ -243,9 +245,6 @@
 
     def override(self, name: str, kind: str, subject: str, value: str) -> None:
         """Issue an operator's override at that node; without a value it is withdrawn."""
-        from finchcart.cli.queries import send_override
-        from finchcart.consensus import subjects
-
         with suppress(TimeoutError):  # stopped, or not there
             send_override(
                 self.addresses.member(name),
@@ -265,8 +264,6 @@
 
     def find_leader(self) -> str | None:
         """Return the planner that leads, by its own word; the last one known where none says so."""
-        from finchcart.cli.queries import query_limits
-
         for name in self.planners:
             with suppress(TimeoutError):
                 if (
--- a/tests/test_consensus_settings.py
+++ b/tests/test_consensus_settings.py
@@ -7,8 +7,6 @@
 import json5
 import pytest
 
-from finchcart.cli.settings_file import check_settings
-from finchcart.cli.settings_schema import consensus_config
 from finchcart.consensus import subjects
 from finchcart.consensus.config import SECOND, config_errors, config_warnings
 from finchcart.consensus.messages import (
@@ -19,6 +17,8 @@
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.consensus.simulation import ConsensusSimulation
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES
+from finchcart.fleet_settings.configs import consensus_config
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership.config import MembershipConfig
 from tests.consensus_examples import BLOCKED, CONFIG
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -21,8 +21,8 @@
 from finchcart.quota.limits import Limit
 from finchcart.thrift import codec as thrift
 from tests.core_harness import MS, CoreHarness, read_answer
+from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
-from tests.test_control import PLAIN
 
 GAUGES = {"gauges": ("core_use", "on_cores")}
 
@@ -622,7 +622,7 @@
     name = running(harness)
     link = harness.attempts[name].connection
     harness.end_connection(link, "rubbish")
-    harness.feed(ConnectionEnded(link, ""))  # the reader sees the end of what it goes on to read
+    harness.feed(ConnectionEnded(link, None))  # the reader sees the end of what it goes on to read
     ends_well(harness, name)
     assert harness.connections[link] == "closed"
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,12 +7,12 @@
 import msgspec
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
 from finchcart.fault_injection.membership.fault_run import SeededRun
 from finchcart.fault_injection.membership.simulation import MembershipSimulation
 from finchcart.fleet.codec import encode_value, xxh64_digest
 from finchcart.fleet.inputs import DatagramReceived
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership import messages
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.membership.effects import MemberChanged
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from finchcart.cli.settings_file import check_settings
 from finchcart.errors import SettingsError
+from finchcart.fleet_settings.file import check_settings
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig, config_errors
 
 GOOD_SETTINGS = {
