--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -4,8 +4,8 @@
 finchcart/settings.py makes these types from a configuration or from the simulator's pairs.
 """
 
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from finchcart.decisions.units import MS, SECOND
 
@@ -43,8 +43,7 @@
     SILENT = "silent"  # nothing is known of it; as with TIER
 
 
-@dataclass(frozen=True, slots=True)
-class MethodSettings:
+class MethodSettings(NamedTuple):
     """Settings of one method."""
 
     name: str
@@ -58,8 +57,7 @@
     degraded_value: float = 0  # value of an answer without its optional call; 0: the call is not optional
 
 
-@dataclass(frozen=True, slots=True)
-class NodeSettings:
+class NodeSettings(NamedTuple):
     """Settings of a node. Memory is in units of 1024 bytes."""
 
     methods: tuple[MethodSettings, ...] = ()
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -9,7 +9,6 @@
 """
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import replace
 from typing import TYPE_CHECKING
 
 from finchcart.decisions.controller import NodeController
@@ -304,12 +303,12 @@
             self._drain_control()  # the notice came before the worker pool
 
     def _make_control(self, cold: bool) -> "NodeController | ShadowController":
-        settings = replace(self.settings, fresh_start=cold)
+        settings = self.settings._replace(fresh_start=cold)
         if not self.shadow:
             return NodeController(self.port, settings, self.seed)
         from finchcart.node.shadow import ShadowController  # not imported where nothing is watched
 
-        watched = replace(self.shadow.settings, fresh_start=cold)
+        watched = self.shadow.settings._replace(fresh_start=cold)
         shadow = self.shadow._replace(settings=watched)
         return ShadowController(self.port, settings, shadow, self.seed, self.port.log)
 
--- a/finchcart/node/supported_settings.py
+++ b/finchcart/node/supported_settings.py
@@ -3,7 +3,6 @@
 Owns the list of what is missing. It must never choose a value that the settings leave open.
 """
 
-from dataclasses import replace
 from typing import NamedTuple
 
 from finchcart.decisions.node_settings import Feedback, NodeSettings
@@ -23,4 +22,4 @@
     shed level alone.
     """
     feedback = Feedback.LEVEL if settings.feedback is Feedback.LEVEL else Feedback.SILENT
-    return replace(settings, can_stop=False, can_pause=False, feedback=feedback)
+    return settings._replace(can_stop=False, can_pause=False, feedback=feedback)
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
-from dataclasses import replace
 from enum import Enum
 from typing import Any, NamedTuple, TypeVar
 
@@ -166,7 +165,7 @@
         """
         count = len(base.methods) if self.method_count is None else self.method_count
         methods = tuple(self._method(base, position) for position in range(count))
-        return replace(base, methods=methods, **self.node)
+        return base._replace(methods=methods, **self.node)
 
     def _method(self, base: NodeSettings, position: int) -> MethodSettings:
         is_new = position >= len(base.methods)
@@ -175,7 +174,7 @@
             field: value[position] if isinstance(value, tuple) else value
             for field, value in self.per_method.items()
         }
-        return replace(method, **shared, **self.methods.get(str(position), {}))
+        return method._replace(**shared, **self.methods.get(str(position), {}))
 
 
 def from_pairs(raw: Mapping[str, str]) -> NodeSettings:
--- a/tests/pins/settings_files.py
+++ b/tests/pins/settings_files.py
@@ -3,7 +3,7 @@
 import copy
 import json
 import re
-from dataclasses import asdict, fields
+from dataclasses import asdict
 from enum import Enum
 
 import json5
@@ -168,7 +168,7 @@
     values = [len(methods), tuple(method.makes_call for method in methods)]
     values.append(tuple(method.degraded_value for method in methods))
     for part in (settings, *methods):
-        for field in fields(part):
-            if field.name not in ("methods", "makes_call", "degraded_value", *NOT_TOLD):
-                values.append(getattr(part, field.name))
+        for name, value in part._asdict().items():
+            if name not in ("methods", "makes_call", "degraded_value", *NOT_TOLD):
+                values.append(value)
     return [value for value in values if not isinstance(value, str | Enum)]
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -3,7 +3,6 @@
 import json
 import random
 import re
-from dataclasses import replace
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -185,13 +184,12 @@
     assert config.shadow.period_us == 500_000
     assert not config.settings.can_stop
     look_up, book = config.settings.methods
-    assert config.shadow.settings == replace(
-        supported_settings(config.settings),
+    assert config.shadow.settings == supported_settings(config.settings)._replace(
         can_stop=True,
         can_pause=True,
         methods=(
-            replace(look_up, latency_objective_us=5, degraded_value=0.25),
-            replace(book, late_value=0.5, degraded_value=0.25),
+            look_up._replace(latency_objective_us=5, degraded_value=0.25),
+            book._replace(late_value=0.5, degraded_value=0.25),
         ),
     )
 
