--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -6,19 +6,13 @@
 
 from finchcart.decisions.admission_checks import AdmissionChecks
 from finchcart.decisions.arrival import RpcArrival
-from finchcart.decisions.arrival_statistics import ArrivalStatistics
-from finchcart.decisions.caller_reuse import CallerReuse
 from finchcart.decisions.completion import Completion
 from finchcart.decisions.duplicates import Duplicates
 from finchcart.decisions.expected_wait import WaitForecast
-from finchcart.decisions.idempotency_keys import IdempotencyKeys
-from finchcart.decisions.memory import MemoryAccount
-from finchcart.decisions.method import MethodSet
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcEvents, RpcHandle
-from finchcart.decisions.rpc_table import RpcTable
-from finchcart.decisions.run_queue import RunQueue
 from finchcart.decisions.run_starter import RunStarter
 
 RETRY_TIME_LOST = 4  # the age of a retry is not sent: its objective is shorter by this times the retry ratio
@@ -31,30 +25,24 @@
     def __init__(
         self,
         settings: NodeSettings,
-        methods: MethodSet,
+        state: NodeState,
         events: RpcEvents,
-        callers: CallerReuse,
-        arrivals: ArrivalStatistics,
-        table: RpcTable,
-        memory: MemoryAccount,
-        keys: IdempotencyKeys,
-        queue: RunQueue,
         wait: WaitForecast,
         checks: AdmissionChecks,
         duplicates: Duplicates,
         completion: Completion,
         starter: RunStarter,
     ) -> None:
-        """Admit RPCs to these parts; `events`: what their handles call."""
+        """Admit RPCs to a node in this state; `events`: what their handles call."""
         self._run_factor = settings.run_memory_factor
-        self._methods_by_name = methods.by_name
+        self._methods_by_name = state.methods.by_name
         self._events = events
-        self._callers = callers
-        self._arrivals = arrivals
-        self._table = table
-        self._memory = memory
-        self._keys = keys
-        self._queue = queue
+        self._callers = state.callers
+        self._arrivals = state.arrivals
+        self._table = state.table
+        self._memory = state.memory
+        self._keys = state.keys
+        self._queue = state.queue
         self._wait = wait
         self._checks = checks
         self._duplicates = duplicates
--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -6,18 +6,11 @@
 
 from random import Random
 
-from finchcart.decisions.deadlines import ResponseDeadlines
-from finchcart.decisions.gauges import LatestGauges
-from finchcart.decisions.graceful_shutdown import GracefulShutdown
-from finchcart.decisions.memory import MemoryAccount
 from finchcart.decisions.method import Method
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
-from finchcart.decisions.rpc_table import RpcTable
-from finchcart.decisions.run_queue import RunQueue
-from finchcart.decisions.runs import RunCounts
-from finchcart.decisions.slowdown import Slowdown
 
 QUOTA_RESERVE = 20  # a twentieth of a fleet quota is reserved for each more critical rank
 FREE_CORE_PART = 0.8  # of the time left, that the expected service time may take on a free core
@@ -32,33 +25,20 @@
     exploration.
     """
 
-    def __init__(
-        self,
-        settings: NodeSettings,
-        seed: int,
-        rank_count: int,
-        gauges: LatestGauges,
-        table: RpcTable,
-        queue: RunQueue,
-        runs: RunCounts,
-        memory: MemoryAccount,
-        slowdown: Slowdown,
-        shutdown: GracefulShutdown,
-        deadlines: ResponseDeadlines,
-    ) -> None:
-        """Read these parts; `seed`: of all that is left to chance; `rank_count`: ranks of criticality."""
+    def __init__(self, settings: NodeSettings, state: NodeState, seed: int) -> None:
+        """Check against this state; `seed`: of all that is left to chance."""
         self._key_entry_kb = settings.key_entry_kb
         self._can_pause = settings.can_pause
         self._random = Random(seed).random
-        self._rank_count = rank_count
-        self._gauges = gauges
-        self._table = table
-        self._queue = queue
-        self._runs = runs
-        self._memory = memory
-        self._slowdown = slowdown
-        self._shutdown = shutdown
-        self._deadlines = deadlines
+        self._rank_count = state.methods.rank_count
+        self._gauges = state.gauges
+        self._table = state.table
+        self._queue = state.queue
+        self._runs = state.runs
+        self._memory = state.memory
+        self._slowdown = state.slowdown
+        self._shutdown = state.shutdown
+        self._deadlines = state.deadlines
 
     def exceeds_quota(self, rpc: RpcHandle) -> bool:
         """Return whether the fleet's quota, less the reserve for more critical methods, is exhausted."""
--- a/finchcart/decisions/admission_control.py
+++ b/finchcart/decisions/admission_control.py
@@ -5,11 +5,9 @@
 """
 
 from finchcart.decisions.expected_wait import WaitForecast
-from finchcart.decisions.gauges import LatestGauges
-from finchcart.decisions.method import Method, MethodSet
+from finchcart.decisions.method import Method
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.pausing import Pausing
-from finchcart.decisions.runs import RunCounts
-from finchcart.decisions.slowdown import Slowdown
 
 BUSY_THRESHOLD = 0.9  # part of the cores, or of the host's time, in use, above which admission is cut
 SETPOINT_PART = 0.6  # of the latency objective: the loop's setpoint
@@ -23,21 +21,13 @@
 class AdmissionControl:
     """The control loop. Invariant: a probability stays from MIN_PROBABILITY to 1."""
 
-    def __init__(
-        self,
-        methods: MethodSet,
-        runs: RunCounts,
-        gauges: LatestGauges,
-        pausing: Pausing,
-        slowdown: Slowdown,
-        wait: WaitForecast,
-    ) -> None:
-        """Control the admission of these methods."""
-        self._methods = methods
-        self._runs = runs
-        self._gauges = gauges
+    def __init__(self, state: NodeState, pausing: Pausing, wait: WaitForecast) -> None:
+        """Control the admission of this state's methods."""
+        self._methods = state.methods
+        self._runs = state.runs
+        self._gauges = state.gauges
         self._pausing = pausing
-        self._slowdown = slowdown
+        self._slowdown = state.slowdown
         self._wait = wait
 
     def update(self, now: int, ingress_delay: float) -> None:
--- a/finchcart/decisions/completion.py
+++ b/finchcart/decisions/completion.py
@@ -4,9 +4,7 @@
 another. Times are microseconds.
 """
 
-from finchcart.decisions.dependency_calls import DependencyCalls
-from finchcart.decisions.idempotency_keys import IdempotencyKeys
-from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.port import Port
 from finchcart.decisions.rejection import RejectionAdvice
@@ -21,9 +19,6 @@
     SHARING,
     RpcHandle,
 )
-from finchcart.decisions.rpc_table import RpcTable
-from finchcart.decisions.run_queue import RunQueue
-from finchcart.decisions.runs import RunCounts
 
 
 class Completion:
@@ -33,25 +28,15 @@
     soon as it is completed and its key is not stored any more.
     """
 
-    def __init__(
-        self,
-        port: Port,
-        table: RpcTable,
-        memory: MemoryAccount,
-        keys: IdempotencyKeys,
-        queue: RunQueue,
-        runs: RunCounts,
-        calls: DependencyCalls,
-        advice: RejectionAdvice,
-    ) -> None:
-        """End RPCs of these parts."""
+    def __init__(self, port: Port, state: NodeState, advice: RejectionAdvice) -> None:
+        """End RPCs of a node in this state."""
         self._port = port
-        self._table = table
-        self._memory = memory
-        self._keys = keys
-        self._queue = queue
-        self._runs = runs
-        self._calls = calls
+        self._table = state.table
+        self._memory = state.memory
+        self._keys = state.keys
+        self._queue = state.queue
+        self._runs = state.runs
+        self._calls = state.calls
         self._advice = advice
 
     def reject(self, now: int, rpc: RpcHandle, reason: RejectionReason, expected_wait: float = 0) -> None:
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -21,20 +21,15 @@
         self, port: Port, settings: NodeSettings, state: NodeState, pausing: Pausing, wait: WaitForecast
     ) -> None:
         """Control a node in this state."""
-        methods = state.methods
-        gauges = state.gauges
-        shutdown = state.shutdown
-        self._gauges = gauges
+        self._gauges = state.gauges
         self._arrivals = state.arrivals
         self._concurrency = state.concurrency
-        self._shutdown = shutdown
-        self._shortest_objective = methods.shortest_objective
-        self._admission = AdmissionControl(methods, state.runs, gauges, pausing, state.slowdown, wait)
-        self.feedback = CallerFeedback(
-            settings, port, methods, gauges, state.callers, state.concurrency, state.slowdown
-        )
-        self.health = Health(port, state.runs, gauges, state.arrivals, shutdown)
-        self.idle_timeout = IdleTimeout(settings, port, methods, state.callers, shutdown)
+        self._shutdown = state.shutdown
+        self._shortest_objective = state.methods.shortest_objective
+        self._admission = AdmissionControl(state, pausing, wait)
+        self.feedback = CallerFeedback(port, settings, state)
+        self.health = Health(port, state)
+        self.idle_timeout = IdleTimeout(port, settings, state)
 
     def turn(self, now: int) -> None:
         """Adjust and publish once."""
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -30,28 +30,24 @@
     def __init__(self, port: Port, settings: NodeSettings, seed: int) -> None:
         """Begin without an RPC; `seed`: of all that is left to chance."""
         state = NodeState(port, settings)
+        pausing = Pausing(port, settings, state)
+        wait = WaitForecast(state, pausing)
+        completion = Completion(port, state, RejectionAdvice(settings, state))
+        starter = RunStarter(port, state, pausing, completion)
+        events = RpcEventHandler(port, state, pausing, completion, starter)
+        checks = AdmissionChecks(settings, state, seed)
+        duplicates = Duplicates(port, state, completion)
         self.state = state
+        self.control_loop = ControlLoop(port, settings, state, pausing, wait)
         self._port = port
+        self._completion = completion
+        self._starter = starter
+        self._expiry = Expiry(state, completion)
+        self._admission = Admission(settings, state, events, wait, checks, duplicates, completion, starter)
         self._maintained_at = 0
-        self._pausing = Pausing(settings, port, state.table, state.queue, state.runs, state.slowdown)
-        wait = WaitForecast(state.runs, state.queue, self._pausing, state.slowdown, state.concurrency)
-        self._completion = self._make_completion(settings)
-        self._starter = RunStarter(
-            port,
-            state.queue,
-            state.runs,
-            state.memory,
-            state.concurrency,
-            self._pausing,
-            state.deadlines,
-            self._completion,
-        )
-        self._expiry = Expiry(state.table, state.deadlines, state.shutdown, self._completion)
-        self._admission = self._make_admission(settings, seed, wait)
-        self.control_loop = ControlLoop(port, settings, state, self._pausing, wait)
 
     @property
-    def own_level(self) -> float:
+    def own_shed_level(self) -> float:
         """The shed level that this node alone would publish."""
         return self.control_loop.feedback.own_level
 
@@ -95,63 +91,3 @@
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
         """Count a new warm-up of what runs the RPCs; the ends of its runs are reported one by one."""
         self.state.warm_up.restart(now, cold)
-
-    # ---- Construction
-
-    def _make_completion(self, settings: NodeSettings) -> Completion:
-        state = self.state
-        advice = RejectionAdvice(settings, state.arrivals, state.callers, state.shutdown)
-        return Completion(
-            self._port,
-            state.table,
-            state.memory,
-            state.keys,
-            state.queue,
-            state.runs,
-            state.calls,
-            advice,
-        )
-
-    def _make_admission(self, settings: NodeSettings, seed: int, wait: WaitForecast) -> Admission:
-        state = self.state
-        port = self._port
-        events = RpcEventHandler(
-            port,
-            state.queue,
-            state.runs,
-            state.slowdown,
-            state.calls,
-            self._pausing,
-            self._completion,
-            self._starter,
-        )
-        checks = AdmissionChecks(
-            settings,
-            seed,
-            state.methods.rank_count,
-            state.gauges,
-            state.table,
-            state.queue,
-            state.runs,
-            state.memory,
-            state.slowdown,
-            state.shutdown,
-            state.deadlines,
-        )
-        duplicates = Duplicates(port, state.table, state.memory, state.deadlines, self._completion)
-        return Admission(
-            settings,
-            state.methods,
-            events,
-            state.callers,
-            state.arrivals,
-            state.table,
-            state.memory,
-            state.keys,
-            state.queue,
-            wait,
-            checks,
-            duplicates,
-            self._completion,
-            self._starter,
-        )
--- a/finchcart/decisions/duplicates.py
+++ b/finchcart/decisions/duplicates.py
@@ -5,29 +5,20 @@
 """
 
 from finchcart.decisions.completion import Completion
-from finchcart.decisions.deadlines import ResponseDeadlines
-from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import COMPLETED, SHARING, RpcHandle
-from finchcart.decisions.rpc_table import RpcTable
 
 
 class Duplicates:
     """Shares results among the RPCs of one key."""
 
-    def __init__(
-        self,
-        port: Port,
-        table: RpcTable,
-        memory: MemoryAccount,
-        deadlines: ResponseDeadlines,
-        completion: Completion,
-    ) -> None:
-        """Find the first RPC of a key in this table."""
+    def __init__(self, port: Port, state: NodeState, completion: Completion) -> None:
+        """Find the first RPC of a key in this state."""
         self._port = port
-        self._table = table
-        self._memory = memory
-        self._deadlines = deadlines
+        self._table = state.table
+        self._memory = state.memory
+        self._deadlines = state.deadlines
         self._completion = completion
 
     def answer(self, now: int, rpc: RpcHandle, first_index: int) -> bool:
--- a/finchcart/decisions/expected_wait.py
+++ b/finchcart/decisions/expected_wait.py
@@ -3,30 +3,21 @@
 Owns no state; worked out from the runs and the queue each time. Times are microseconds.
 """
 
-from finchcart.decisions.concurrency import ConcurrencyLimit
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.pausing import Pausing
-from finchcart.decisions.run_queue import Priority, RunQueue
-from finchcart.decisions.runs import RunCounts
-from finchcart.decisions.slowdown import Slowdown
+from finchcart.decisions.run_queue import Priority
 
 
 class WaitForecast:
     """The forecast of the wait in the queue."""
 
-    def __init__(
-        self,
-        runs: RunCounts,
-        queue: RunQueue,
-        pausing: Pausing,
-        slowdown: Slowdown,
-        concurrency: ConcurrencyLimit,
-    ) -> None:
-        """Read these parts."""
-        self._runs = runs
-        self._queue = queue
+    def __init__(self, state: NodeState, pausing: Pausing) -> None:
+        """Forecast by this state."""
+        self._runs = state.runs
+        self._queue = state.queue
         self._pausing = pausing
-        self._slowdown = slowdown
-        self._concurrency = concurrency
+        self._slowdown = state.slowdown
+        self._concurrency = state.concurrency
 
     def expected_wait(self, priority: Priority) -> float:
         """Return the time until an RPC of this priority would get a core."""
--- a/finchcart/decisions/expiry.py
+++ b/finchcart/decisions/expiry.py
@@ -4,27 +4,19 @@
 """
 
 from finchcart.decisions.completion import Completion
-from finchcart.decisions.deadlines import ResponseDeadlines
-from finchcart.decisions.graceful_shutdown import GracefulShutdown
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import AWAITING_CALL, PAUSED, QUEUED, RUNNING, RpcHandle
-from finchcart.decisions.rpc_table import RpcTable
 
 
 class Expiry:
     """Rejects or fails what is overdue."""
 
-    def __init__(
-        self,
-        table: RpcTable,
-        deadlines: ResponseDeadlines,
-        shutdown: GracefulShutdown,
-        completion: Completion,
-    ) -> None:
-        """Expire the RPCs of this table."""
-        self._table = table
-        self._deadlines = deadlines
-        self._shutdown = shutdown
+    def __init__(self, state: NodeState, completion: Completion) -> None:
+        """Expire RPCs of this state."""
+        self._table = state.table
+        self._deadlines = state.deadlines
+        self._shutdown = state.shutdown
         self._completion = completion
 
     def expire_overdue(self, now: int) -> None:
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -5,13 +5,9 @@
 """
 
 from finchcart.decisions.admission_control import SETPOINT_PART
-from finchcart.decisions.caller_reuse import CallerReuse
-from finchcart.decisions.concurrency import ConcurrencyLimit
-from finchcart.decisions.gauges import LatestGauges
-from finchcart.decisions.method import MethodSet
 from finchcart.decisions.node_settings import Feedback, NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
-from finchcart.decisions.slowdown import Slowdown
 from finchcart.decisions.units import SECOND
 
 LEVEL_STEP = 0.02  # smaller changes of the level are not published
@@ -24,25 +20,16 @@
 class CallerFeedback:
     """The published feedback. Invariant: `published` is the last value given to the port, 0 before it."""
 
-    def __init__(
-        self,
-        settings: NodeSettings,
-        port: Port,
-        methods: MethodSet,
-        gauges: LatestGauges,
-        callers: CallerReuse,
-        concurrency: ConcurrencyLimit,
-        slowdown: Slowdown,
-    ) -> None:
+    def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
         """Nothing is published yet."""
         self._kind = settings.feedback
         self._lifetime = settings.feedback_lifetime_us
         self._port = port
-        self._methods = methods
-        self._gauges = gauges
-        self._callers = callers
-        self._concurrency = concurrency
-        self._slowdown = slowdown
+        self._methods = state.methods
+        self._gauges = state.gauges
+        self._callers = state.callers
+        self._concurrency = state.concurrency
+        self._slowdown = state.slowdown
         self.own_level = 0.0  # the shed level that this node alone would publish
         self.published = 0.0  # shed level or credit
 
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -5,13 +5,10 @@
 """
 
 from finchcart.decisions.admission_control import BUSY_THRESHOLD
-from finchcart.decisions.arrival_statistics import ArrivalStatistics
-from finchcart.decisions.gauges import LatestGauges
-from finchcart.decisions.graceful_shutdown import GracefulShutdown
 from finchcart.decisions.hysteresis import Hysteresis
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
 from finchcart.decisions.rejection import FULL_FLEET_RETRY_RATIO
-from finchcart.decisions.runs import RunCounts
 
 UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)  # ingress queueing delay, as part of the shortest objective
 READS_PART = 0.5  # of the cores: above it reads keep the node from its runs
@@ -20,20 +17,13 @@
 class Health:
     """The reported health. Invariant: `is_healthy` is the last value reported in service."""
 
-    def __init__(
-        self,
-        port: Port,
-        runs: RunCounts,
-        gauges: LatestGauges,
-        arrivals: ArrivalStatistics,
-        shutdown: GracefulShutdown,
-    ) -> None:
+    def __init__(self, port: Port, state: NodeState) -> None:
         """Begin healthy."""
         self._port = port
-        self._runs = runs
-        self._gauges = gauges
-        self._arrivals = arrivals
-        self._shutdown = shutdown
+        self._runs = state.runs
+        self._gauges = state.gauges
+        self._arrivals = state.arrivals
+        self._shutdown = state.shutdown
         self.is_healthy = True
 
     def update(self, delay_part: float) -> None:
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -4,11 +4,11 @@
 timeout for good. See "Goodbye to connections" in docs/design.md. Times are microseconds.
 """
 
-from finchcart.decisions.caller_reuse import REUSE_WINDOW, CallerReuse
-from finchcart.decisions.graceful_shutdown import DRAINING_IDLE_TIMEOUT, GracefulShutdown
+from finchcart.decisions.caller_reuse import REUSE_WINDOW
+from finchcart.decisions.graceful_shutdown import DRAINING_IDLE_TIMEOUT
 from finchcart.decisions.hysteresis import Hysteresis
-from finchcart.decisions.method import MethodSet
 from finchcart.decisions.node_settings import Feedback, NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
 from finchcart.decisions.units import MS
 
@@ -24,21 +24,14 @@
 class IdleTimeout:
     """The idle timeout. Invariant: `keeps_connections` tells which of the two values was set."""
 
-    def __init__(
-        self,
-        settings: NodeSettings,
-        port: Port,
-        methods: MethodSet,
-        callers: CallerReuse,
-        shutdown: GracefulShutdown,
-    ) -> None:
+    def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
         """Begin with connections that are not kept."""
         self._publishes_level = settings.feedback is Feedback.LEVEL
         self._highest = settings.idle_timeout_max_us
         self._port = port
-        self._methods = methods
-        self._callers = callers
-        self._shutdown = shutdown
+        self._methods = state.methods
+        self._callers = state.callers
+        self._shutdown = state.shutdown
         self.keeps_connections = False
 
     def start(self) -> None:
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -6,12 +6,9 @@
 
 from finchcart.decisions.method import Method
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import RUNNING, RpcHandle
-from finchcart.decisions.rpc_table import RpcTable
-from finchcart.decisions.run_queue import RunQueue
-from finchcart.decisions.runs import RunCounts
-from finchcart.decisions.slowdown import Slowdown
 
 YIELDS_BELOW = 0.5  # part of the other's criticality
 MIN_REMAINING_FRACTION = 4  # a paused run has its expected service time over this left at least
@@ -20,22 +17,14 @@
 class Pausing:
     """The pausing of runs. Invariant: only runs whose response is pending are told to pause."""
 
-    def __init__(
-        self,
-        settings: NodeSettings,
-        port: Port,
-        table: RpcTable,
-        queue: RunQueue,
-        runs: RunCounts,
-        slowdown: Slowdown,
-    ) -> None:
+    def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
         """Nothing is paused."""
         self.is_enabled = settings.can_pause
         self._port = port
-        self._table = table
-        self._queue = queue
-        self._runs = runs
-        self._slowdown = slowdown
+        self._table = state.table
+        self._queue = state.queue
+        self._runs = state.runs
+        self._slowdown = state.slowdown
 
     def yields(self, method: Method, criticality: float) -> bool:
         """Return whether a run of the method may be paused for an RPC of this criticality."""
--- a/finchcart/decisions/rejection.py
+++ b/finchcart/decisions/rejection.py
@@ -4,10 +4,8 @@
 docs/design.md. Times are microseconds.
 """
 
-from finchcart.decisions.arrival_statistics import ArrivalStatistics
-from finchcart.decisions.caller_reuse import CallerReuse
-from finchcart.decisions.graceful_shutdown import GracefulShutdown
 from finchcart.decisions.node_settings import NodeSettings
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.rpc import RpcHandle
 from finchcart.decisions.units import MS
 
@@ -21,18 +19,12 @@
 class RejectionAdvice:
     """The advice that goes with rejections."""
 
-    def __init__(
-        self,
-        settings: NodeSettings,
-        arrivals: ArrivalStatistics,
-        callers: CallerReuse,
-        shutdown: GracefulShutdown,
-    ) -> None:
-        """Read these parts."""
+    def __init__(self, settings: NodeSettings, state: NodeState) -> None:
+        """Advise by this state."""
         self._settings = settings
-        self._arrivals = arrivals
-        self._callers = callers
-        self._shutdown = shutdown
+        self._arrivals = state.arrivals
+        self._callers = state.callers
+        self._shutdown = state.shutdown
 
     def do_not_retry(self, now: int, rpc: RpcHandle) -> bool:
         """Return whether to ask the caller not to try another node either.
--- a/finchcart/decisions/rpc_events.py
+++ b/finchcart/decisions/rpc_events.py
@@ -5,15 +5,12 @@
 """
 
 from finchcart.decisions.completion import Completion
-from finchcart.decisions.dependency_calls import DependencyCalls
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.pausing import Pausing
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import CALLING, COMPLETED, PAUSED, QUEUED, RUNNING, SHARING, RpcHandle
-from finchcart.decisions.run_queue import RunQueue
 from finchcart.decisions.run_starter import RunStarter
-from finchcart.decisions.runs import RunCounts
-from finchcart.decisions.slowdown import Slowdown
 
 MAX_CALL_ATTEMPTS = 2  # of one run
 
@@ -22,22 +19,14 @@
     """The events of all RPCs, see `RpcEvents`. Events of what is over are ignored, as they may cross."""
 
     def __init__(
-        self,
-        port: Port,
-        queue: RunQueue,
-        runs: RunCounts,
-        slowdown: Slowdown,
-        calls: DependencyCalls,
-        pausing: Pausing,
-        completion: Completion,
-        starter: RunStarter,
+        self, port: Port, state: NodeState, pausing: Pausing, completion: Completion, starter: RunStarter
     ) -> None:
-        """Act on these parts."""
+        """Act on a node in this state."""
         self._port = port
-        self._queue = queue
-        self._runs = runs
-        self._slowdown = slowdown
-        self._calls = calls
+        self._queue = state.queue
+        self._runs = state.runs
+        self._slowdown = state.slowdown
+        self._calls = state.calls
         self._pausing = pausing
         self._completion = completion
         self._starter = starter
--- a/finchcart/decisions/run_starter.py
+++ b/finchcart/decisions/run_starter.py
@@ -4,39 +4,25 @@
 """
 
 from finchcart.decisions.completion import Completion
-from finchcart.decisions.concurrency import ConcurrencyLimit
-from finchcart.decisions.deadlines import ResponseDeadlines
-from finchcart.decisions.memory import MemoryAccount
+from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.pausing import Pausing
 from finchcart.decisions.port import Port
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
-from finchcart.decisions.run_queue import RunQueue
-from finchcart.decisions.runs import RunCounts
 
 
 class RunStarter:
     """Starts and resumes runs."""
 
-    def __init__(
-        self,
-        port: Port,
-        queue: RunQueue,
-        runs: RunCounts,
-        memory: MemoryAccount,
-        concurrency: ConcurrencyLimit,
-        pausing: Pausing,
-        deadlines: ResponseDeadlines,
-        completion: Completion,
-    ) -> None:
-        """Start RPCs of this queue."""
+    def __init__(self, port: Port, state: NodeState, pausing: Pausing, completion: Completion) -> None:
+        """Start RPCs of this state's queue."""
         self._port = port
-        self._queue = queue
-        self._runs = runs
-        self._memory = memory
-        self._concurrency = concurrency
+        self._queue = state.queue
+        self._runs = state.runs
+        self._memory = state.memory
+        self._concurrency = state.concurrency
         self._pausing = pausing
-        self._deadlines = deadlines
+        self._deadlines = state.deadlines
         self._completion = completion
 
     def start_queued(self, now: int) -> None:
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -329,7 +329,7 @@
         self._longest_wait_us = 0
         gauges = self.fleet.add_gauges(gauges, self.store)
         self.fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
-        self.fleet.publish_evidence(self.control.own_level)
+        self.fleet.publish_evidence(self.control.own_shed_level)
         self.control.on_timer(self.turn.now, gauges)
         self.registration.end_if_idle()
 
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -179,9 +179,9 @@
     # ---- As NodeController has it
 
     @property
-    def own_level(self) -> float:
+    def own_shed_level(self) -> float:
         """Of the active instance."""
-        return self.active.own_level
+        return self.active.own_shed_level
 
     def start(self, now: int) -> None:
         """See `NodeController`."""
