--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -10,8 +10,8 @@
 from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.protocol.messages import RevokeNotice, SubmitCall
 from tests.core_harness import MS, CoreHarness
+from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
-from tests.test_control import PLAIN
 from tests.test_core import GAUGES, play, running
 
 
@@ -44,7 +44,7 @@
                     caller=link,
                     idempotency_key=told.get("k"),
                     is_retry="r" in told,
-                    cost_hint_us=100 * MS,
+                    service_time_hint_us=100 * MS,
                     memory_kb=20.0,
                 ),
             )
@@ -58,8 +58,8 @@
         del self.rpcs[rpc.reference]  # a second answer, or one after `leave`, fails here
         self.turn.emit(Send(rpc.reference[0], (rpc.reference[1], outcome, result)))
 
-    def connection_ended(self, link, reason):
-        if reason:
+    def connection_ended(self, link, fault):
+        if fault:
             return  # what was read before is answered still
         for ref in [ref for ref in self.rpcs if ref[0] == link]:
             self.core.abandon(self.rpcs.pop(ref))
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.queries import query_members
 from finchcart.fault_injection.scripted_runs.checker import Event, EventKind, History, check
 from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedExpectation, make_plan
 from finchcart.fault_injection.scripted_runs.process_fleet import ProcessFleet
@@ -18,6 +17,7 @@
 from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
 from finchcart.fault_injection.virtual_time.simulated_network import SimulatedNetwork
 from finchcart.fleet.inputs import DatagramReceived, Shutdown, Tick
+from finchcart.fleet_queries import query_members
 from finchcart.net.datagrams import DatagramEndpoint
 
 
@@ -186,6 +186,7 @@
     code = (
         "import finchcart.__main__, sys\n"
         "new = ('finchcart.membership', 'finchcart.fault_injection', 'finchcart.cli',\n"
+        "       'finchcart.fleet_settings', 'finchcart.fleet_queries',\n"
         "       'finchcart.simulated_peers',\n"
         "       'finchcart.quota', 'finchcart.consensus', 'finchcart.key_leases', 'finchcart.fleet.',\n"
         "       'finchcart.node.observer', 'finchcart.node.limiters', 'finchcart.node.key_leases',\n"
