--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -16,18 +16,19 @@
 from finchcart.consensus.change_log import DecisionChangeLog
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.effects import DecisionsChanged
+from finchcart.consensus.evidence import Evidence
 from finchcart.consensus.fleet_decisions import FleetDecisions
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.messages import (
     CODEC,
+    ConsensusMessage,
     ConsensusStatusRequest,
     ConsensusStatusResponse,
-    Message,
     ObservationReport,
     OperatorOverride,
     OverrideRequest,
 )
-from finchcart.consensus.observations import Evidence, Observer
+from finchcart.consensus.observations import Observer
 from finchcart.consensus.publisher import ReportPublisher
 from finchcart.consensus.status import ConsensusStatus, node_names
 from finchcart.consensus.subjects import (
@@ -39,7 +40,7 @@
     node_subject,
 )
 from finchcart.fleet.codec import DatagramError, HostPort, name_hash
-from finchcart.fleet.effects import Effect, SendDatagram
+from finchcart.fleet.effects import FleetEffect, SendDatagram
 from finchcart.fleet.inputs import CommonInput, DatagramReceived, Shutdown
 from finchcart.membership.member import Member
 
@@ -73,7 +74,7 @@
         self.status_pages = ConsensusStatus(name, self.decisions, self.counts)
         self.change_log = DecisionChangeLog(self.own_subject)
         self.member: Member | None = None
-        self.effects: list[Effect] = []
+        self.effects: list[FleetEffect] = []
         self.ended = False
         self.last_turn_at = now
         self._quiet_until = 0  # reports nothing before
@@ -81,7 +82,7 @@
 
     # ---- inputs
 
-    def reduce(self, now: int, event: ConsensusInput) -> list[Effect]:
+    def reduce(self, now: int, event: ConsensusInput) -> list[FleetEffect]:
         """Take one input; return the effects that the driver carries out."""
         self.effects = []
         match event:
@@ -109,7 +110,7 @@
         """Add one to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def turn(self, now: int, member: Member) -> list[Effect]:
+    def turn(self, now: int, member: Member) -> list[FleetEffect]:
         """Report, decide, and hand out what changed, once a tick of the member; return effects."""
         self.effects = []
         self.member = member
@@ -118,7 +119,7 @@
         self.last_turn_at = now
         self._receive_overrides(now, member)
         self.publisher.publish(now, member, self._own_reports(now), self.overrides)
-        is_alone = member.isolated or member.yielded
+        is_alone = member.isolated or member.has_stepped_down
         reports = self.collect_reports(now, member, is_alone=is_alone)
         self.decisions.update(now, member, reports, is_alone=is_alone)
         self._hand_out(member)
@@ -195,7 +196,7 @@
             return
         self.effects.append(SendDatagram(address, answer))
 
-    def _answer(self, now: int, message: Message) -> dict[str, Any]:
+    def _answer(self, now: int, message: ConsensusMessage) -> dict[str, Any]:
         if isinstance(message, OverrideRequest):
             return self.issue_override(now, message)
         if isinstance(message, ConsensusStatusRequest):
