--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable
 
 from finchcart.decisions.controller import NodeController
-from finchcart.node.idempotency import IdempotencyCache, KeyEntry
+from finchcart.node.idempotency import IdempotencyCache
+from finchcart.node.key_entry import KeyEntry
 from finchcart.node.unknown_runs import UnknownRuns
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.thrift.frontend import ThriftFrontend
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -23,7 +23,7 @@
 
 from finchcart.node.effect_buffer import ConnectionOwner, EffectBuffer
 from finchcart.node.methods import MethodInfo
-from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
+from finchcart.node.rpc import AnswerReceiver, NodeRpc, RpcAttributes
 from finchcart.node.wall_clock import Arrival
 
 
@@ -58,7 +58,7 @@
         """A message that can't be read came on the connection, or none at all."""
 
 
-class Frontend(ConnectionOwner, Protocol):
+class Frontend(ConnectionOwner, AnswerReceiver, Protocol):
     """What the core calls, besides what it tells any owner of connections."""
 
     def connection_opened(self, connection: int) -> None:
@@ -74,19 +74,6 @@
         is as before.
         """
 
-    def send_final_answer(
-        self, rpc: NodeRpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
-    ) -> None:
-        """The one final answer of an RPC that was accepted and not abandoned.
-
-        Arguments:
-            rpc: as it was handed over.
-            outcome: which kind of answer.
-            result: of the run, unchanged, with `FinalOutcome.OK`.
-            retry_after_us: with `REJECTED`: when the caller may come back, 0 for no advice.
-            do_not_retry: with `REJECTED`: whether it is asked not to try another node either.
-        """
-
     def set_idle_timeout(self, timeout_us: int) -> None:
         """Connections that are idle for so long may be closed."""
 
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -4,47 +4,22 @@
 go to an RPC with another body, nor lose an entry whose RPC may have run.
 """
 
-from enum import Enum
 from hashlib import blake2b
 
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer
 from finchcart.node.inputs import DuplicateReady
+from finchcart.node.key_entry import IdempotencyKey, KeyEntry, NoResult
 from finchcart.node.rpc import NodeRpc
 
 DIGEST_BYTES = 16
 
-Key = tuple[str, str]  # method and idempotency key
-
-
-class NoResult(Enum):
-    """Why an entry has no result."""
-
-    PENDING = "pending"  # not there yet
-    FAILED = "failed"  # the run came to nothing, or its result is kept no more
-
 
 def digest_of(body: bytes) -> bytes:
     """By which two bodies are compared."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
-class KeyEntry:
-    """One idempotency key: the RPC that holds it, and what that came to."""
-
-    __slots__ = ("digest", "expires_at", "index", "key", "previous", "ran", "result", "waiting")
-
-    def __init__(self, key: Key, index: int, digest: bytes) -> None:
-        self.key = key
-        self.index = index  # of the RPC that holds it
-        self.digest = digest  # of the body, the same for all RPCs of the key
-        self.expires_at = 0
-        self.result: bytes | NoResult = NoResult.PENDING
-        self.waiting: list[int] = []  # indices of the duplicates that wait for the result
-        self.ran = False
-        self.previous: KeyEntry | None = None  # the last of the key that ran, while this one has not
-
-
 class IdempotencyCache:
     """Entries by key, and the results kept.
 
@@ -56,16 +31,18 @@
         self.turn = turn
         self.late_read_us = late_read_us
         self.max_result_bytes = max_result_bytes
-        self.entries: dict[Key, KeyEntry] = {}
+        self.entries: dict[IdempotencyKey, KeyEntry] = {}
         self.with_result: dict[KeyEntry, None] = {}  # entries whose results are kept, the oldest first
         self.result_bytes = 0
 
-    def is_payload_mismatch(self, key: Key, digest: bytes) -> bool:
+    def is_payload_mismatch(self, key: IdempotencyKey, digest: bytes) -> bool:
         """Whether the key is held by an RPC with another body."""
         entry = self.entries.get(key)
         return entry is not None and entry.digest != digest
 
-    def entry_for(self, key: Key, index: int, digest: bytes, arrived_at: int) -> tuple[KeyEntry, bool]:
+    def entry_for(
+        self, key: IdempotencyKey, index: int, digest: bytes, arrived_at: int
+    ) -> tuple[KeyEntry, bool]:
         """The entry that an RPC belongs to, and whether it is a duplicate.
 
         By when it reached the machine (`arrived_at`), not by when it is read.
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -4,13 +4,12 @@
 """
 
 from enum import Enum
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, Protocol
+
+from finchcart.node.key_entry import KeyEntry
 
 if TYPE_CHECKING:
     from finchcart.decisions.rpc_record import RpcRecord
-    from finchcart.node.frontend import Frontend
-    from finchcart.node.idempotency import KeyEntry
-    from finchcart.node.limiters import RpcConcurrencyLimiter
 
 
 class FinalOutcome(Enum):
@@ -36,6 +35,29 @@
     arrival_uncertainty_us: int = 0  # it may have reached the machine later than `arrived_at` by this
 
 
+class AnswerReceiver(Protocol):
+    """The frontend that an RPC came from, as far as the core needs it to answer."""
+
+    def send_final_answer(
+        self, rpc: "NodeRpc", outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
+    ) -> None:
+        """Send the one final answer of an RPC that was accepted and not abandoned.
+
+        Arguments:
+            rpc: as it was handed over.
+            outcome: which kind of answer.
+            result: of the run, unchanged, with `FinalOutcome.OK`.
+            retry_after_us: with `REJECTED`: when the caller may come back, 0 for no advice.
+            do_not_retry: with `REJECTED`: whether it is asked not to try another node either.
+        """
+
+
+class InFlightCounter(Protocol):
+    """A limiter that counts an RPC from its admission until it is completed."""
+
+    count: int
+
+
 class AwaitedCall(NamedTuple):
     """The call that a run awaits."""
 
@@ -72,7 +94,9 @@
         "started",
     )
 
-    def __init__(self, frontend: "Frontend", reference: object, name: str, method: str, body: bytes) -> None:
+    def __init__(
+        self, frontend: AnswerReceiver, reference: object, name: str, method: str, body: bytes
+    ) -> None:
         self.frontend = frontend
         self.reference = reference
         self.name = name
@@ -91,7 +115,7 @@
         self.call_started_at = 0
         self.joined_at: int | None = None  # since when it waits for the first RPC of its key
         self.call_time_cut = False  # the time of its call was cut short by this node's own allowance
-        self.counted_by: tuple[RpcConcurrencyLimiter, ...] | None = None  # until it is completed
+        self.counted_by: tuple[InFlightCounter, ...] | None = None  # until it is completed
 
     @property
     def is_running(self) -> bool:
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -11,8 +11,9 @@
 from finchcart.errors import InvalidRpcError
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.fleet import FleetView
-from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
+from finchcart.node.idempotency import IdempotencyCache, digest_of
 from finchcart.node.inputs import KeyLeaseOutcome
+from finchcart.node.key_entry import NoResult
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.node.store import StoreClient
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -8,7 +8,7 @@
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
-from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
+from finchcart.node.idempotency import IdempotencyCache, digest_of
 from finchcart.node.inputs import (
     CloseAttempted,
     Drain,
@@ -17,6 +17,7 @@
     ThreadDied,
     TimersDue,
 )
+from finchcart.node.key_entry import NoResult
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.store import StoreClient
