--- a/finchcart/fault_injection/planted_defects.py
+++ b/finchcart/fault_injection/planted_defects.py
@@ -11,8 +11,9 @@
 from finchcart.decisions.controller import NodeController
 from finchcart.node.idempotency import IdempotencyCache
 from finchcart.node.key_entry import KeyEntry
-from finchcart.node.unknown_runs import UnknownRuns
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
+from finchcart.node.worker_pool.command_journal import CommandJournal
+from finchcart.node.worker_pool.unconfirmed_runs import UnconfirmedRuns
 from finchcart.thrift.frontend import ThriftFrontend
 
 VARIABLE = "FINCHCART_PLANT"
@@ -48,8 +49,8 @@
 
 def start_effects_again() -> None:
     """Rule 2: every start is written again after a new connection, also of what has an effect."""
-    run = WorkerPool.run
-    WorkerPool.run = lambda self, rpc, idempotent: run(self, rpc, True)
+    run = WorkerPoolClient.run
+    WorkerPoolClient.run = lambda self, rpc, idempotent: run(self, rpc, True)
 
 
 def serve_past_the_grace() -> None:
@@ -67,11 +68,11 @@
 def forget_runs() -> None:
     """Rule 4: a run whose start may have been read counts as stopped."""
 
-    def add(self: UnknownRuns, rpc: object, limit_us: int, first_end: object = None) -> None:
+    def add(self: UnconfirmedRuns, rpc: object, limit_us: int, first_end: object = None) -> None:
         self._on_expired(rpc, first_end)
 
-    UnknownRuns.add = add
-    WorkerPool._confirm_before = lambda self, ticket: None
+    UnconfirmedRuns.add = add
+    CommandJournal.confirm_before = lambda self, ticket: None
 
 
 def count_on_the_wall_clock() -> None:
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -27,7 +27,7 @@
 from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
 from finchcart.node.store import StoreClient
 from finchcart.node.wall_clock import Arrival, WallClock
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol import connection_events
 
 if TYPE_CHECKING:  # none is imported where it is not asked for
@@ -109,10 +109,10 @@
         late_read_us = max((method.late_read_us for method in self.methods.values()), default=0)
         return IdempotencyCache(self.turn, late_read_us, self.limits.cached_results)
 
-    def _make_worker_pool(self, address: Address) -> WorkerPool:
+    def _make_worker_pool(self, address: Address) -> WorkerPoolClient:
         gauges = self.settings.get("gauges", ())
         gauge_names = gauges if isinstance(gauges, tuple) else (gauges,)
-        return WorkerPool(self.turn, self.limits, address, gauge_names, self.lifecycle, self)
+        return WorkerPoolClient(self.turn, self.limits, address, gauge_names, self.lifecycle, self)
 
     def _make_store_client(self, address: Address | None) -> StoreClient:
         linger_us = self.settings.get("calls_linger", 0) if self.limiters else 0
@@ -307,13 +307,13 @@
 
     # ---- What the worker pool tells: see PoolListener
 
-    def worker_pool_up(self, cold: bool) -> None:
+    def worker_pool_ready(self, cold: bool) -> None:
         """It is there for the first time: the decision module starts."""
         # The ramp of a cold start counts from the worker pool's: a later start is the slower reckoning.
         settings = {**self.settings, "fresh_start": cold}
         self.control = self._make_control(settings)
         self.lifecycle.control = self.control
-        self.registration.worker_pool_up()
+        self.registration.worker_pool_ready()
         self.control.start(self.turn.now)
         if self.registration.drain_notice_at is not None:
             self._drain_control()  # the notice came before the worker pool
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -14,7 +14,7 @@
 from finchcart.node.rpc import FinalOutcome, NodeRpc
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.store import StoreClient
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
 
 if TYPE_CHECKING:
     from finchcart.node.frontend import Frontend
@@ -29,7 +29,7 @@
         self,
         turn: EffectBuffer,
         lifecycle: RpcLifecycle,
-        pool: WorkerPool,
+        pool: WorkerPoolClient,
         store: StoreClient,
         registration: Registration,
         frontends: "Mapping[str, Frontend]",
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -72,7 +72,7 @@
         self._grace_ends_at: int | None = None
         self._idle_since: int | None = None
 
-    def worker_pool_up(self) -> None:
+    def worker_pool_ready(self) -> None:
         """The worker pool is there for the first time."""
         if self.phase is NodePhase.STARTING:
             self.phase = NodePhase.SERVING
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -12,6 +12,9 @@
     from finchcart.decisions.rpc_record import RpcRecord
 
 
+NOT_ACCEPTED = -1  # the index of an RPC that was not accepted yet
+
+
 class FinalOutcome(Enum):
     """The three kinds of final answer."""
 
@@ -102,7 +105,7 @@
         self.name = name
         self.method = method
         self.body = body
-        self.index: int | None = None  # set once it is accepted
+        self.index = NOT_ACCEPTED
         self.key_entry: KeyEntry | None = None  # of its idempotency key
         self.handle: RpcRecord | None = None  # of the decision module; None until it is admitted there
         self.answer_owed = True
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -17,7 +17,7 @@
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.node.store import StoreClient
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
 
 if TYPE_CHECKING:
     from finchcart.decisions.controller import NodeController
@@ -49,12 +49,12 @@
         self.key_leases = key_leases
         self.rpcs: dict[int, NodeRpc] = {}
         self.index_by_name: dict[str, int] = {}
-        self.pool: WorkerPool | None = None
+        self.pool: WorkerPoolClient | None = None
         self.store: StoreClient | None = None
         self.control: NodeController | None = None  # from the worker pool's start on
         self._next_index = 0
 
-    def connect(self, pool: WorkerPool, store: StoreClient) -> None:
+    def connect(self, pool: WorkerPoolClient, store: StoreClient) -> None:
         """Where runs and calls go: both report back to this object."""
         self.pool = pool
         self.store = store
--- /dev/null
+++ b/finchcart/node/worker_pool/__init__.py
@@ -0,0 +1,5 @@
+"""The worker pool's client: its connection, commands, notices and gauges.
+
+Owns all that the node knows of its worker pool. It must never decide about an RPC: it starts what it is told
+to start, and reports what the worker pool sends. Begin with client.py, which joins the other modules.
+"""
--- /dev/null
+++ b/finchcart/node/worker_pool/client.py
@@ -0,0 +1,176 @@
+"""The node's client of its worker pool: joins connection, commands, notices and gauges.
+
+Owns the order in which the parts handle a message. It must never decide about an RPC, nor take a restarted
+worker pool for the one before.
+"""
+
+from collections.abc import Callable, Sequence
+
+from finchcart.limits import Limits
+from finchcart.node.effect_buffer import EffectBuffer
+from finchcart.node.effects import Log, Read
+from finchcart.node.rpc import NodeRpc
+from finchcart.node.worker_pool.command_journal import CommandJournal
+from finchcart.node.worker_pool.connection import ConnectionState, PoolConnection
+from finchcart.node.worker_pool.gauge_polls import GaugePolls
+from finchcart.node.worker_pool.listeners import PARTY, PoolListener, RunListener
+from finchcart.node.worker_pool.notice_cursor import NoticeCursor
+from finchcart.node.worker_pool.notices import NoticeHandler
+from finchcart.node.worker_pool.restart_detector import PoolContact, RestartDetector
+from finchcart.protocol import line_protocol
+
+
+class WorkerPoolClient:
+    """The worker pool as the node sees it. Times are whole microseconds."""
+
+    def __init__(
+        self,
+        turn: EffectBuffer,
+        limits: Limits,
+        address: tuple[str, int],
+        gauge_names: Sequence[str],
+        runs: RunListener,
+        listener: PoolListener,
+    ) -> None:
+        self.turn = turn
+        self.listener = listener
+        self.cursor = NoticeCursor()
+        self.connection = PoolConnection(turn, limits, address, self.cursor, self)
+        self.polls = GaugePolls(turn, limits, gauge_names, self.connection, listener)
+        self.commands = CommandJournal(turn, self.connection, self.polls, runs)
+        self.notices = NoticeHandler(turn, self.cursor, self.commands, runs)
+        self._restarts = RestartDetector(limits.pool_start_tolerance)
+        self._handlers: dict[str, Callable[..., None]] = {
+            line_protocol.RUN_ENDED: self.notices.run_ended,
+            line_protocol.AWAITING_CALL: self.notices.awaiting_call,
+            line_protocol.NOT_CARRIED_OUT: self.notices.not_carried_out,
+            line_protocol.REMARK: self.notices.remark,
+            line_protocol.GAUGES: self._on_gauges,
+            line_protocol.BOUND: self._on_bound,
+            line_protocol.OTHER: self._on_other,
+        }
+
+    # ---- Commands
+
+    def run(self, rpc: NodeRpc, idempotent: bool) -> None:
+        """Start the run of an RPC; one that is not idempotent is never started twice."""
+        data = line_protocol.start_run(rpc.name, rpc.method, rpc.body)
+        self.commands.send(rpc, data, data if idempotent else None, is_start=True)
+
+    def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
+        """Send a run the reply that it awaits; `cursor` is of the notice that it does.
+
+        A reply that may have been lost can't be written again, but its call can be left out.
+        """
+        data = line_protocol.answer_call(rpc.name, body)
+        self.commands.send(rpc, data, line_protocol.skip_call(rpc.name, cursor) if can_degrade else None)
+
+    def degrade(self, rpc: NodeRpc, cursor: int) -> None:
+        """Have a run go on without the call that it awaits."""
+        data = line_protocol.skip_call(rpc.name, cursor)
+        self.commands.send(rpc, data, data)
+
+    def confirm(self, rpc: NodeRpc) -> None:
+        """Forget the RPC's last command: its run is over."""
+        self.commands.confirm(rpc)
+
+    def request_gauges(self, timer: str) -> None:
+        """Handle a due timer of the decision module, see `GaugePolls.on_timer`."""
+        self.polls.on_timer(timer)
+
+    # ---- The connection
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """The worker pool's address."""
+        return self.connection.address
+
+    def connect(self) -> None:
+        """Open the connection where there is none."""
+        self.connection.connect()
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Use another address, once all commands on the old connection are known to be read."""
+        if self.connection.readdress(address):
+            self.connection.leave_after(self.polls.poll())
+
+    # ---- What comes on the connection: see PoolConnectionOwner
+
+    def message_received(self, connection: int, message: tuple) -> None:
+        """Handle a message: its kind, and what it carries."""
+        if connection == self.connection.number:
+            self._handlers[message[0]](*message[1:])
+
+    def batch_completed(self, connection: int) -> None:
+        """Request the next read."""
+        if connection == self.connection.number:
+            self.turn.emit(Read(connection))
+
+    def connection_refused(self, connection: int, reason: str) -> None:
+        """Connect again after a backoff."""
+        if connection == self.connection.number:
+            self._lose_connection(reason)
+
+    def connection_ended(self, connection: int, reason: str) -> None:
+        """Connect again."""
+        if connection != self.connection.number:
+            return
+        if reason and self.connection.state is ConnectionState.BOUND:
+            # Guards against a notice that can't be read and comes again right after each bind. Once it may
+            # have been damaged on its way; the second time it is passed over, and its run answered in time.
+            is_settling = self.commands.settlement_ticket is not None
+            if self.cursor.is_unreadable_again() and is_settling:
+                self.notices.unreadable()
+        self._lose_connection(reason)
+
+    def connection_closed(self, connection: int) -> None:
+        """Do nothing: the connection was given up before."""
+
+    def write_blocked(self, connection: int) -> None:
+        """Request no gauges until the worker pool reads again."""
+        if connection == self.connection.number:
+            self.connection.write_blocked = True
+
+    def write_resumed(self, connection: int) -> None:
+        """Request gauges again: all is written."""
+        if connection == self.connection.number:
+            self.connection.write_blocked = False
+
+    def disconnected(self) -> None:
+        """Forget the settlement under way."""
+        self.commands.cancel_settlement()
+
+    def _lose_connection(self, reason: str) -> None:
+        connection = self.connection
+        state = connection.state.value
+        pending = (
+            f"{len(self.commands.unconfirmed)} commands not confirmed, "
+            f"{len(self.polls.pending_timers)} polls open"
+        )
+        text = f"connection {connection.number} lost while {state} ({reason or 'closed'})"
+        self.turn.log_fault(PARTY, state, f"{text}, cursor {self.cursor.position}, {pending}")
+        connection.lose()
+
+    # ---- Messages that are no notices of runs
+
+    def _on_bound(self, cold: bool, age_us: int) -> None:
+        turn = self.turn
+        turn.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {age_us // 1000} ms"))
+        self.connection.bound()
+        contact = self._restarts.observe(turn.now, self.connection.bind_requested_at, age_us)
+        if contact is PoolContact.FIRST:
+            self.listener.worker_pool_ready(cold)
+            return
+        self.commands.begin_settlement()
+        if contact is PoolContact.RESTARTED:
+            self.cursor.reset()
+            self.commands.unconfirmed_runs.clear()
+            self.listener.worker_pool_restarted(cold)
+
+    def _on_gauges(self, ticket: str, values: Sequence[float]) -> None:
+        self.commands.poll_answered(ticket)
+        self.connection.poll_answered(ticket)
+        self.polls.answered(ticket, values)
+
+    def _on_other(self) -> None:
+        """Ignore an event of a later protocol."""
--- /dev/null
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -0,0 +1,62 @@
+"""Polls of the worker pool's gauges: for the decision module's timers, and as marks between commands.
+
+Owns the number of the last poll and the timers that wait for an answer. An answered poll also proves that the
+worker pool has read all that was written before it: command_journal.py. It must never hold up a timer for
+longer than the time limit.
+"""
+
+from collections.abc import Mapping, Sequence
+
+from finchcart.limits import Limits
+from finchcart.node.effect_buffer import EffectBuffer
+from finchcart.node.worker_pool.connection import ConnectionState, PoolConnection
+from finchcart.node.worker_pool.listeners import PoolListener
+from finchcart.protocol import line_protocol
+
+
+class GaugePolls:
+    """The polls under way, by ticket. Bounds: one a timer, answered or expired after the time limit."""
+
+    def __init__(
+        self,
+        turn: EffectBuffer,
+        limits: Limits,
+        gauge_names: Sequence[str],
+        connection: PoolConnection,
+        listener: PoolListener,
+    ) -> None:
+        self.turn = turn
+        self.last_ticket = 0
+        self.pending_timers: dict[str, str] = {}  # ticket of a poll -> name of the timer that waits for it
+        self._timeout_us = limits.gauges_timeout
+        self._gauge_names = gauge_names
+        self._connection = connection
+        self._listener = listener
+
+    def poll(self) -> str:
+        """Request the gauges; return the ticket that the answer carries."""
+        self.last_ticket += 1
+        ticket = str(self.last_ticket)
+        self._connection.send(line_protocol.request_gauges(ticket))
+        return ticket
+
+    def on_timer(self, timer: str) -> None:
+        """Handle a due timer of the decision module.
+
+        It is reported with the gauges, or without them where they can't be had in time.
+        """
+        if self._connection.state is ConnectionState.BOUND and not self._connection.write_blocked:
+            ticket = self.poll()
+            self.pending_timers[ticket] = timer
+            self.turn.schedule(self.turn.now + self._timeout_us, self._complete, ticket, {})
+        else:
+            self._listener.timer_due(timer, {})
+
+    def answered(self, ticket: str, values: Sequence[float]) -> None:
+        """Handle the gauges' values, in the order of their names."""
+        self._complete(ticket, dict(zip(self._gauge_names, values, strict=False)))
+
+    def _complete(self, ticket: str, readings: Mapping[str, float]) -> None:
+        timer = self.pending_timers.pop(ticket, None)
+        if timer is not None:
+            self._listener.timer_due(timer, readings)
--- a/finchcart/node/unknown_runs.py
+++ b/finchcart/node/worker_pool/unconfirmed_runs.py
@@ -1,4 +1,4 @@
-"""Runs that the node lost sight of: what it counts as running until something proves that it is over.
+"""Runs whose command or notice may have been lost: counted as running until something proves that they ended.
 
 Owns for how long each counts, and how its first run ended where a second one may have been started. It must
 never let a run go that may be running: what ends one is a notice of the worker pool, its restart, or the time
@@ -21,7 +21,7 @@
     result: bytes
 
 
-class UnknownRun(NamedTuple):
+class UnconfirmedRun(NamedTuple):
     """A run that may be in progress."""
 
     rpc: NodeRpc
@@ -29,42 +29,42 @@
     number: int
 
 
-class UnknownRuns:
-    """The unknown runs by index of their RPC. Times are whole microseconds.
+class UnconfirmedRuns:
+    """The unconfirmed runs by index of their RPC. Times are whole microseconds.
 
-    `on_expired(rpc, first_end)` is called where nothing was heard of one in time. Bounds: the runs that the
+    `on_expired(rpc, first_end)` is called where no notice of one came in time. Bounds: the runs that the
     decision module allows at once; each leaves by a notice or after its time.
     """
 
     def __init__(self, turn: EffectBuffer, on_expired: Callable[[NodeRpc, RunEnd | None], None]) -> None:
         self._turn = turn
         self._on_expired = on_expired
-        self._runs: dict[int, UnknownRun] = {}
+        self._runs: dict[int, UnconfirmedRun] = {}
         self._added = 0
 
     def __contains__(self, index: int) -> bool:
         return index in self._runs
 
     def add(self, rpc: NodeRpc, limit_us: int, first_end: RunEnd | None = None) -> None:
-        """Count the RPC's run for `limit_us` from now on, unless it is counted here already."""
+        """Count the RPC's run as running for `limit_us` from now on, unless it is counted already."""
         if rpc.index in self._runs:
             return
         self._added += 1
-        self._runs[rpc.index] = UnknownRun(rpc, first_end, self._added)
+        self._runs[rpc.index] = UnconfirmedRun(rpc, first_end, self._added)
         self._turn.statistics.count("runs lost sight of")
         self._turn.schedule_after(limit_us, self._expire, rpc.index, self._added)
 
     def first_end(self, rpc: NodeRpc) -> RunEnd | None:
-        """How the RPC's first run ended, where a second one may be in progress."""
+        """Return how the RPC's first run ended, where a second one may be in progress."""
         run = self._runs.get(rpc.index)
         return run.first_end if run else None
 
     def discard(self, rpc: NodeRpc) -> None:
-        """The RPC's run was heard of, or is over."""
+        """Forget the RPC's run: a notice of it came, or it is over."""
         self._runs.pop(rpc.index, None)
 
     def clear(self) -> None:
-        """None of them runs any more."""
+        """Forget all: none of them runs any more."""
         self._runs.clear()
 
     def _expire(self, index: int, number: int) -> None:
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -169,7 +169,7 @@
     def establish_connections(self):
         for connection, state in list(self.connections.items()):
             if state == "connecting":
-                to_pool = connection == self.core.pool.connection
+                to_pool = connection == self.core.pool.connection.number
                 accepts = self.pool_accepts if to_pool else self.store_accepts
                 self.connections[connection] = "open" if accepts else "refused"
                 if not accepts:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -119,9 +119,9 @@
 def may_be_running_at_the_end(harness):
     """What the node counts as running as it ends: it runs, may run, or its start is still to be read."""
     running = harness.core.lifecycle.running_rpcs()
-    pool = harness.core.pool
+    commands = harness.core.pool.commands
     for rpc in running:
-        is_open = rpc.index in pool.unknown_runs or rpc.index in pool.unconfirmed
+        is_open = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
         assert is_open or rpc.name in harness.active_runs, "counted and over"
     return running
 
@@ -788,7 +788,8 @@
         (core.lifecycle, ("rpcs", "index_by_name")),
         (core.idempotency, ("entries", "with_result")),
         (core.store, ("connections",)),
-        (core.pool, ("pending_timers", "unconfirmed")),
+        (core.pool.polls, ("pending_timers",)),
+        (core.pool.commands, ("unconfirmed",)),
     ):
         for name in kept:
             assert not getattr(piece, name), name
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -21,7 +21,7 @@
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.store import StoreClient
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol.connection_events import ConnectionEnded
 from tests.harness import same_input
 
@@ -189,29 +189,32 @@
 
 def test_the_pool_settles_what_a_lost_connection_may_have_lost():
     turn, host = EffectBuffer(1), Host()
-    pool = host.pool = WorkerPool(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
+    pool = host.pool = WorkerPoolClient(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
     pool.connect()
-    pool.message_received(pool.connection, ("up", False, 5_000))
+    pool.message_received(pool.connection.number, ("up", False, 5_000))
     safe, effect = rpc_of(1), rpc_of(2)
     host.rpcs = {safe.name: safe, effect.name: effect}
-    pool.send_command(safe, b"run safe", b"run safe", is_start=True)
-    pool.send_command(effect, b"run effect", None)
-    pool.connection_ended(pool.connection, "")
+    pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
+    pool.commands.send(effect, b"run effect", None)
+    pool.connection_ended(pool.connection.number, "")
     turn.begin(turn.now + 1_000 * MS)
-    pool.message_received(pool.connection, ("up", False, 1_005_000))
-    settle = pool.settle_ticket
+    pool.message_received(pool.connection.number, ("up", False, 1_005_000))
+    settle = pool.commands.settlement_ticket
     turn.begin(turn.now)
-    pool.message_received(pool.connection, ("gauges", settle, ()))
-    assert Send(pool.connection, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
+    pool.message_received(pool.connection.number, ("gauges", settle, ()))
+    assert Send(pool.connection.number, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
     assert b"run effect" not in [e[-1] for e in turn.effects]
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
-    assert effect.index in pool.unknown_runs and not any(told[0] == effect.name for told in host.told)
-    assert list(pool.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
+    assert effect.index in pool.commands.unconfirmed_runs and not any(
+        told[0] == effect.name for told in host.told
+    )
+    assert list(pool.commands.unconfirmed) == [1]  # written once more, and open again
+    pool.message_received(pool.connection.number, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
-    assert host.told.count((safe.name, Outcome.OK)) == 0 and safe.index in pool.unknown_runs
-    pool.message_received(pool.connection, ("run_ended", 2, safe.name, Outcome.OK, 5, b""))
+    assert host.told.count((safe.name, Outcome.OK)) == 0
+    assert safe.index in pool.commands.unconfirmed_runs
+    pool.message_received(pool.connection.number, ("run_ended", 2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
     turn.begin(turn.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -104,15 +104,15 @@
     name = running(harness, 1)
     for _ in range(10):
         harness.step(10 * MS)  # its start is known to be read
-    assert not harness.core.pool.unconfirmed
+    assert not harness.core.pool.commands.unconfirmed
     harness.notices_numbered = 1  # the notice of its end, which is never readable
     for _ in range(2):  # the same notice again right after the next bind: it is passed over
         harness.lose_connection(harness.pool_connection, "a line that is no message")
         for _ in range(40):
             harness.step(MS)
-            if harness.core.pool.settle_ticket:
+            if harness.core.pool.commands.settlement_ticket:
                 break
-    assert harness.core.pool.cursor == 1 and harness.core.control.runs_in_progress == 1
+    assert harness.core.pool.cursor.position == 1 and harness.core.control.runs_in_progress == 1
     end = harness.now + harness.settings["methods.1.deadline"]
     while harness.now <= end:
         harness.step(20 * MS)
