--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -9,18 +9,20 @@
 
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
-from typing import Protocol
+from typing import Any, Protocol, TypeVar
 
 from finchcart.node.effects import Connect, Effect, Log
 from finchcart.node.fault_log import FaultLog
 from finchcart.node.inputs import Input
 from finchcart.node.statistics import Statistics
 
+MessageT = TypeVar("MessageT", contravariant=True)
 
-class ConnectionOwner(Protocol):
-    """What is notified of a connection. Connections are named by number."""
 
-    def message_received(self, connection: int, message: tuple) -> None:
+class ConnectionOwner(Protocol[MessageT]):
+    """What is notified of a connection, whose codec reads messages of one protocol."""
+
+    def message_received(self, connection: int, message: MessageT) -> None:
         """One message of the connection's codec; `batch_completed` follows after the last of a batch."""
 
     def batch_completed(self, connection: int) -> None:
@@ -42,6 +44,9 @@
         """The connection is gone."""
 
 
+AnyOwner = ConnectionOwner[Any]  # each connection's codec reads what its owner handles
+
+
 def own_connections_first(inputs: Iterable[Input]) -> list[Input]:
     """The inputs of one turn with those of the node's own connections first: work under way before new work.
 
@@ -61,7 +66,7 @@
         self.now = 0
         self.effects: list[Effect] = []
         self.timers: list[tuple] = []  # heap of (when, number, callback, arguments)
-        self.connection_owners: dict[int, ConnectionOwner] = {}
+        self.connection_owners: dict[int, AnyOwner] = {}
         self._timers_made = 0
         self._connections_made = 0
         self.statistics = Statistics()
@@ -90,7 +95,7 @@
         self._timers_made += 1
         heappush(self.timers, (when, self._timers_made, callback, arguments))
 
-    def connect(self, kind: str, address: tuple[str, int], owner: ConnectionOwner) -> int:
+    def connect(self, kind: str, address: tuple[str, int], owner: AnyOwner) -> int:
         """Opens a connection with the codec of that kind for `owner`. Returns its number."""
         self._connections_made += 1
         connection = -self._connections_made
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from finchcart.node.effect_buffer import ConnectionOwner, EffectBuffer
+from finchcart.node.effect_buffer import AnyOwner, EffectBuffer
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import AnswerReceiver, NodeRpc, RpcAttributes
 from finchcart.node.wall_clock import Arrival
@@ -58,7 +58,7 @@
         """A message that can't be read came on the connection, or none at all."""
 
 
-class Frontend(ConnectionOwner, AnswerReceiver, Protocol):
+class Frontend(AnyOwner, AnswerReceiver, Protocol):
     """What the core calls, besides what it tells any owner of connections."""
 
     def connection_opened(self, connection: int) -> None:
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -9,7 +9,7 @@
 from finchcart.node.key_entry import KeyEntry
 
 if TYPE_CHECKING:
-    from finchcart.decisions.rpc_record import RpcRecord
+    from finchcart.decisions.rpc import RpcRecord
 
 
 NOT_ACCEPTED = -1  # the index of an RPC that was not accepted yet
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -17,7 +17,17 @@
 from finchcart.node.worker_pool.notice_cursor import NoticeCursor
 from finchcart.node.worker_pool.notices import NoticeHandler
 from finchcart.node.worker_pool.restart_detector import PoolContact, RestartDetector
-from finchcart.protocol import line_protocol
+from finchcart.protocol import worker_pool_codec
+from finchcart.protocol.messages import (
+    CommandRejected,
+    GaugesRead,
+    InformationalNotice,
+    RunAwaitingCall,
+    RunEnded,
+    Subscribed,
+    UnknownNotice,
+    WorkerPoolMessage,
+)
 
 
 class WorkerPoolClient:
@@ -40,21 +50,21 @@
         self.commands = CommandJournal(turn, self.connection, self.polls, runs)
         self.notices = NoticeHandler(turn, self.cursor, self.commands, runs)
         self._restarts = RestartDetector(limits.pool_start_tolerance)
-        self._handlers: dict[str, Callable[..., None]] = {
-            line_protocol.RUN_ENDED: self.notices.run_ended,
-            line_protocol.AWAITING_CALL: self.notices.awaiting_call,
-            line_protocol.NOT_CARRIED_OUT: self.notices.not_carried_out,
-            line_protocol.REMARK: self.notices.remark,
-            line_protocol.GAUGES: self._on_gauges,
-            line_protocol.BOUND: self._on_bound,
-            line_protocol.OTHER: self._on_other,
+        self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
+            RunEnded: self.notices.run_ended,
+            RunAwaitingCall: self.notices.awaiting_call,
+            CommandRejected: self.notices.command_rejected,
+            InformationalNotice: self.notices.informational,
+            GaugesRead: self._on_gauges,
+            Subscribed: self._on_subscribed,
+            UnknownNotice: self._on_unknown,
         }
 
     # ---- Commands
 
     def run(self, rpc: NodeRpc, idempotent: bool) -> None:
         """Start the run of an RPC; one that is not idempotent is never started twice."""
-        data = line_protocol.start_run(rpc.name, rpc.method, rpc.body)
+        data = worker_pool_codec.encode_start(rpc.name, rpc.method, rpc.body)
         self.commands.send(rpc, data, data if idempotent else None, is_start=True)
 
     def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
@@ -62,21 +72,22 @@
 
         A reply that may have been lost can't be written again, but its call can be left out.
         """
-        data = line_protocol.answer_call(rpc.name, body)
-        self.commands.send(rpc, data, line_protocol.skip_call(rpc.name, cursor) if can_degrade else None)
+        data = worker_pool_codec.encode_reply(rpc.name, body)
+        safe_data = worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
+        self.commands.send(rpc, data, safe_data)
 
     def degrade(self, rpc: NodeRpc, cursor: int) -> None:
         """Have a run go on without the call that it awaits."""
-        data = line_protocol.skip_call(rpc.name, cursor)
+        data = worker_pool_codec.encode_degrade(rpc.name, cursor)
         self.commands.send(rpc, data, data)
 
     def confirm(self, rpc: NodeRpc) -> None:
         """Forget the RPC's last command: its run is over."""
         self.commands.confirm(rpc)
 
-    def request_gauges(self, timer: str) -> None:
-        """Handle a due timer of the decision module, see `GaugePolls.on_timer`."""
-        self.polls.on_timer(timer)
+    def request_gauges(self) -> None:
+        """Handle the due timer of the decision module, see `GaugePolls.on_timer`."""
+        self.polls.on_timer()
 
     # ---- The connection
 
@@ -96,10 +107,10 @@
 
     # ---- What comes on the connection: see PoolConnectionOwner
 
-    def message_received(self, connection: int, message: tuple) -> None:
-        """Handle a message: its kind, and what it carries."""
+    def message_received(self, connection: int, message: WorkerPoolMessage) -> None:
+        """Handle a message by its type."""
         if connection == self.connection.number:
-            self._handlers[message[0]](*message[1:])
+            self._handlers[type(message)](*message)
 
     def batch_completed(self, connection: int) -> None:
         """Request the next read."""
@@ -153,11 +164,11 @@
 
     # ---- Messages that are no notices of runs
 
-    def _on_bound(self, cold: bool, age_us: int) -> None:
+    def _on_subscribed(self, cold: bool, uptime_us: int) -> None:
         turn = self.turn
-        turn.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {age_us // 1000} ms"))
+        turn.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {uptime_us // 1000} ms"))
         self.connection.bound()
-        contact = self._restarts.observe(turn.now, self.connection.bind_requested_at, age_us)
+        contact = self._restarts.observe(turn.now, self.connection.bind_requested_at, uptime_us)
         if contact is PoolContact.FIRST:
             self.listener.worker_pool_ready(cold)
             return
@@ -172,5 +183,5 @@
         self.connection.poll_answered(ticket)
         self.polls.answered(ticket, values)
 
-    def _on_other(self) -> None:
+    def _on_unknown(self) -> None:
         """Ignore an event of a later protocol."""
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.rpc import NodeRpc
 from finchcart.node.worker_pool.connection import ConnectionState, PoolConnection
--- a/finchcart/node/worker_pool/connection.py
+++ b/finchcart/node/worker_pool/connection.py
@@ -15,7 +15,8 @@
 from finchcart.node.effect_buffer import ConnectionOwner, EffectBuffer
 from finchcart.node.effects import Drop, Read, Send
 from finchcart.node.worker_pool.notice_cursor import NoticeCursor
-from finchcart.protocol import line_protocol
+from finchcart.protocol import worker_pool_codec
+from finchcart.protocol.messages import WorkerPoolMessage
 
 MAX_BACKOFF_DOUBLINGS = 10
 
@@ -29,7 +30,7 @@
     READDRESSING = "moving"  # to another address, once all commands are known to be read
 
 
-class PoolConnectionOwner(ConnectionOwner, Protocol):
+class PoolConnectionOwner(ConnectionOwner[WorkerPoolMessage], Protocol):
     """What is notified of the connection and its messages."""
 
     def disconnected(self) -> None:
@@ -97,7 +98,7 @@
         self.state = ConnectionState.BINDING
         self.bind_requested_at = self.turn.now
         self.turn.emit(Read(self.number))
-        self.send(line_protocol.subscribe(self._cursor.position))
+        self.send(worker_pool_codec.encode_subscribe(self._cursor.position))
 
     def bound(self) -> None:
         """Enter the state in which commands are written."""
--- a/finchcart/node/worker_pool/gauge_polls.py
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -11,7 +11,7 @@
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.worker_pool.connection import ConnectionState, PoolConnection
 from finchcart.node.worker_pool.listeners import PoolListener
-from finchcart.protocol import line_protocol
+from finchcart.protocol import worker_pool_codec
 
 
 class GaugePolls:
@@ -27,7 +27,7 @@
     ) -> None:
         self.turn = turn
         self.last_ticket = 0
-        self.pending_timers: dict[str, str] = {}  # ticket of a poll -> name of the timer that waits for it
+        self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
         self._timeout_us = limits.gauges_timeout
         self._gauge_names = gauge_names
         self._connection = connection
@@ -37,26 +37,26 @@
         """Request the gauges; return the ticket that the answer carries."""
         self.last_ticket += 1
         ticket = str(self.last_ticket)
-        self._connection.send(line_protocol.request_gauges(ticket))
+        self._connection.send(worker_pool_codec.encode_gauges_request(ticket))
         return ticket
 
-    def on_timer(self, timer: str) -> None:
-        """Handle a due timer of the decision module.
+    def on_timer(self) -> None:
+        """Handle the due timer of the decision module.
 
         It is reported with the gauges, or without them where they can't be had in time.
         """
         if self._connection.state is ConnectionState.BOUND and not self._connection.write_blocked:
             ticket = self.poll()
-            self.pending_timers[ticket] = timer
+            self.pending_timers.add(ticket)
             self.turn.schedule(self.turn.now + self._timeout_us, self._complete, ticket, {})
         else:
-            self._listener.timer_due(timer, {})
+            self._listener.timer_due({})
 
     def answered(self, ticket: str, values: Sequence[float]) -> None:
         """Handle the gauges' values, in the order of their names."""
         self._complete(ticket, dict(zip(self._gauge_names, values, strict=False)))
 
     def _complete(self, ticket: str, readings: Mapping[str, float]) -> None:
-        timer = self.pending_timers.pop(ticket, None)
-        if timer is not None:
-            self._listener.timer_due(timer, readings)
+        if ticket in self.pending_timers:
+            self.pending_timers.remove(ticket)
+            self._listener.timer_due(readings)
--- a/finchcart/node/worker_pool/listeners.py
+++ b/finchcart/node/worker_pool/listeners.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.rpc import NodeRpc
 
 PARTY = "worker pool"  # in log lines
@@ -43,5 +43,5 @@
     def worker_pool_restarted(self, cold: bool) -> None:
         """Handle a restart of the worker pool, which has lost all runs."""
 
-    def timer_due(self, name: str, readings: Mapping[str, float]) -> None:
-        """Handle a due timer of the decision module with the gauges by name; empty where they are late."""
+    def timer_due(self, readings: Mapping[str, float]) -> None:
+        """Handle the due timer of the decision module with the gauges by name; empty where late."""
--- a/finchcart/node/worker_pool/notices.py
+++ b/finchcart/node/worker_pool/notices.py
@@ -4,7 +4,7 @@
 of a run that may have been started a second time as the end of both.
 """
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.worker_pool.command_journal import CommandJournal
 from finchcart.node.worker_pool.listeners import PARTY, RunListener
@@ -48,7 +48,7 @@
             self._commands.confirm(rpc)
             self._runs.awaiting_call(rpc, number, body)
 
-    def not_carried_out(self, was_start: bool, name: str) -> None:
+    def command_rejected(self, was_start: bool, name: str) -> None:
         """Handle a command that the worker pool did not carry out."""
         rpc = self._runs.find_running(name)
         if rpc is None:
@@ -60,7 +60,7 @@
         else:
             self._commands.presume_running(rpc)  # the refusal of a later command does not end the run
 
-    def remark(self, number: int) -> None:
+    def informational(self, number: int) -> None:
         """Handle a notice of which only the number counts."""
         self._cursor.advance(number)
 
--- a/finchcart/node/worker_pool/restart_detector.py
+++ b/finchcart/node/worker_pool/restart_detector.py
@@ -22,23 +22,23 @@
         self._tolerance_us = tolerance_us
         self._started_by: int | None = None  # the worker pool had started by then
 
-    def observe(self, now: int, requested_at: int, age_us: int) -> PoolContact:
-        """Return what a `bound` message means.
+    def observe(self, now: int, requested_at: int, uptime_us: int) -> PoolContact:
+        """Return what a `Subscribed` message means.
 
         Arguments:
             now: when it was read.
             requested_at: when it was requested.
-            age_us: the time since the worker pool's start, as the message states it.
+            uptime_us: the time since the worker pool's start, as the message states it.
         """
         previous_start = self._started_by
         if previous_start is None:
-            self._started_by = now - age_us
+            self._started_by = now - uptime_us
             return PoolContact.FIRST
         # Guards against runs given up while they continue: the message may be delayed on its way or read
         # late. It was written after its request, so a restart began after the previous start even so.
-        if requested_at - age_us > previous_start + self._tolerance_us:
-            self._started_by = now - age_us
+        if requested_at - uptime_us > previous_start + self._tolerance_us:
+            self._started_by = now - uptime_us
             return PoolContact.RESTARTED
         if now - requested_at < self._tolerance_us:
-            self._started_by = now - age_us  # precise: follows where the two clocks drift apart
+            self._started_by = now - uptime_us  # precise: follows where the two clocks drift apart
         return PoolContact.SAME
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchcart.decisions.interface import Outcome
+from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
@@ -23,6 +23,7 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol.connection_events import ConnectionEnded
+from finchcart.protocol.messages import GaugesRead, RunEnded, StoreReply, Subscribed
 from tests.harness import same_input
 
 MS = 1000
@@ -132,10 +133,10 @@
         if connection is None:
             del self.in_flight[number]
         elif chance < 0.1:
-            store.message_received(connection, ("reply", rpc.name, Outcome.OK, b"!"))
+            store.message_received(connection, StoreReply(rpc.name, Outcome.OK, b"!"))
         elif chance < 0.13:
             # Corrupt: it never passes for the call's.
-            store.message_received(connection, ("reply", "another", Outcome.OK, b"!"))
+            store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
             assert rpc.call_connection == connection and store.connections[connection].retired
         elif chance < 0.16:
             store.connection_ended(connection, "cut")
@@ -191,30 +192,29 @@
     turn, host = EffectBuffer(1), Host()
     pool = host.pool = WorkerPoolClient(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
     pool.connect()
-    pool.message_received(pool.connection.number, ("up", False, 5_000))
+    pool.message_received(pool.connection.number, Subscribed(False, 5_000))
     safe, effect = rpc_of(1), rpc_of(2)
     host.rpcs = {safe.name: safe, effect.name: effect}
     pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
     pool.commands.send(effect, b"run effect", None)
     pool.connection_ended(pool.connection.number, "")
     turn.begin(turn.now + 1_000 * MS)
-    pool.message_received(pool.connection.number, ("up", False, 1_005_000))
+    pool.message_received(pool.connection.number, Subscribed(False, 1_005_000))
     settle = pool.commands.settlement_ticket
     turn.begin(turn.now)
-    pool.message_received(pool.connection.number, ("gauges", settle, ()))
+    pool.message_received(pool.connection.number, GaugesRead(settle, ()))
     assert Send(pool.connection.number, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
     assert b"run effect" not in [e[-1] for e in turn.effects]
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
-    assert effect.index in pool.commands.unconfirmed_runs and not any(
-        told[0] == effect.name for told in host.told
-    )
+    assert effect.index in pool.commands.unconfirmed_runs
+    assert not any(told[0] == effect.name for told in host.told)
     assert list(pool.commands.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection.number, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection.number, ("run_ended", 1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
     assert host.told.count((safe.name, Outcome.OK)) == 0
     assert safe.index in pool.commands.unconfirmed_runs
-    pool.message_received(pool.connection.number, ("run_ended", 2, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEnded(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
     turn.begin(turn.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
