--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -29,7 +29,7 @@
 from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
 from finchcart.node.store import StoreClient
 from finchcart.node.supported_settings import ShadowSettings, supported_settings
-from finchcart.node.wall_clock import Arrival, WallClock
+from finchcart.node.wall_clock import Arrival, WallClockHistory
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol import connection_events
 from finchcart.protocol.messages import Message
@@ -71,23 +71,25 @@
         self.limits = limits
         self.seed = seed
         self.shadow = shadow
-        self.turn = turn = EffectBuffer(limits.log_interval)
+        self.effect_buffer = effect_buffer = EffectBuffer(limits.log_interval)
         self.methods = read_methods(settings, limits.late_read_grace)
-        self.control: NodeController | ShadowController | None = None  # from the worker pool's start on
+        self.controller: NodeController | ShadowController | None = None  # from the worker pool's start on
         self.limiters = limiters
-        self.key_leases = make_key_leases(turn) if make_key_leases else None
-        self.fleet = FleetView(turn, self.methods, limiters, observer)
+        self.key_leases = make_key_leases(effect_buffer) if make_key_leases else None
+        self.fleet = FleetView(effect_buffer, self.methods, limiters, observer)
         self.idempotency = self._make_idempotency_cache()
-        self.lifecycle = RpcLifecycle(turn, self.methods, self.idempotency, self.fleet, self.key_leases)
+        self.lifecycle = RpcLifecycle(
+            effect_buffer, self.methods, self.idempotency, self.fleet, self.key_leases
+        )
         self.pool = self._make_worker_pool(addresses["pool"])
         self.store = self._make_store_client(addresses["store"])
         self.lifecycle.connect(self.pool, self.store)
         registry = addresses["registry"]
-        self.registration = Registration(turn, limits, name, registry, settings.drain_grace_us, self)
+        self.registration = Registration(effect_buffer, limits, name, registry, settings.drain_grace_us, self)
         self.frontends: Mapping[str, Frontend] = make_frontends(self)
         self.port = self._make_port()
         self._longest_wait_us = 0  # of the inputs since the last timer of the decision module
-        self.wall_clock = WallClock()
+        self.wall_clock = WallClockHistory()
         self._batch_received_at = 0  # of the messages at hand
         self._batch_not_before = 0
         self._input_busy = 0.0  # part of the time in which inputs were processed
@@ -95,18 +97,20 @@
 
     def _make_idempotency_cache(self) -> IdempotencyCache:
         late_read_us = max((method.late_read_us for method in self.methods.values()), default=0)
-        return IdempotencyCache(self.turn, late_read_us, self.limits.cached_results)
+        return IdempotencyCache(self.effect_buffer, late_read_us, self.limits.cached_results)
 
     def _make_worker_pool(self, address: Address) -> WorkerPoolClient:
-        return WorkerPoolClient(self.turn, self.limits, address, self.settings.gauges, self.lifecycle, self)
+        return WorkerPoolClient(
+            self.effect_buffer, self.limits, address, self.settings.gauges, self.lifecycle, self
+        )
 
     def _make_store_client(self, address: Address | None) -> StoreClient:
         linger_us = (self.settings.calls_linger_us or 0) if self.limiters else 0
-        return StoreClient(self.turn, self.limits, address, self.lifecycle.call_ended, linger_us)
+        return StoreClient(self.effect_buffer, self.limits, address, self.lifecycle.call_ended, linger_us)
 
     def _make_port(self) -> CorePort:
         return CorePort(
-            self.turn,
+            self.effect_buffer,
             self.lifecycle,
             self.pool,
             self.store,
@@ -150,50 +154,50 @@
 
     def reduce(self, now: int, what: inputs.Input) -> list[Effect]:
         """Handles one input, after all timers that are due; returns what is to be carried out, in order."""
-        effects = self.turn.begin(now)
+        effects = self.effect_buffer.begin(now)
         self._handlers[type(what)](*what)
         return effects
 
     def next_timer(self) -> int | None:
         """When the next timer is due, or None."""
-        return self.turn.next_timer()
+        return self.effect_buffer.next_timer()
 
     def is_busy(self) -> bool:
         """Whether anything is open or owed."""
         return not all(frontend.is_idle() for frontend in self.frontends.values()) or (
-            self.lifecycle.any_answer_owed()
+            self.lifecycle.any_response_pending()
         )
 
     def _on_start(self) -> None:
         self.pool.connect()
         self.registration.report()
-        self.turn.schedule_after(self.limits.log_interval, self._log_statistics)
+        self.effect_buffer.schedule_after(self.limits.log_interval, self._log_statistics)
 
     def _log_statistics(self) -> None:
         self._write_statistics()
-        self.turn.schedule_after(self.limits.log_interval, self._log_statistics)
+        self.effect_buffer.schedule_after(self.limits.log_interval, self._log_statistics)
 
     def _write_statistics(self) -> None:
-        line = self.turn.statistics.line()
+        line = self.effect_buffer.statistics.line()
         if line:
-            self.turn.emit(Log(f"{line}; {len(self.lifecycle.running_rpcs())} runs in progress"))
+            self.effect_buffer.emit(Log(f"{line}; {len(self.lifecycle.running_rpcs())} runs in progress"))
 
     def before_end(self) -> None:
         """The last lines: what was left out of the log, what was counted, and what is open still."""
-        self.turn.fault_log.summarize_all()
+        self.effect_buffer.fault_log.summarize_all()
         self._write_statistics()
-        owed = sum(rpc.answer_owed for rpc in self.lifecycle.rpcs.values())
+        owed = sum(rpc.response_pending for rpc in self.lifecycle.rpcs.values())
         connections = 0 if all(frontend.is_idle() for frontend in self.frontends.values()) else 1
         open_connections = "open connections" if connections else "no open connection"
-        self.turn.emit(Log(f"end: {owed} answers owed, {open_connections}"))
+        self.effect_buffer.emit(Log(f"end: {owed} answers owed, {open_connections}"))
 
     def _on_timers_due(self) -> None:
         """Nothing but the timers."""
 
     def _on_wall_clock_read(self, unix: int) -> None:
-        step_us = self.wall_clock.look(self.turn.now, unix)
+        step_us = self.wall_clock.look(self.effect_buffer.now, unix)
         if step_us:
-            self.turn.log_fault("wall clock", "step", f"stepped by {step_us} us")
+            self.effect_buffer.log_fault("wall clock", "step", f"stepped by {step_us} us")
 
     def _on_load_measured(self, busy_us: int, span_us: int) -> None:
         self._input_busy = busy_us / max(1, span_us)
@@ -202,7 +206,7 @@
         """What is under way at the old addresses ends there where it can."""
         parts = {"pool": self.pool, "store": self.store, "registry": self.registration}
         changed = [kind for kind, part in parts.items() if addresses[kind] != part.address]
-        self.turn.emit(Log(f"configuration: {', '.join(changed) or 'nothing'} readdressed"))
+        self.effect_buffer.emit(Log(f"configuration: {', '.join(changed) or 'nothing'} readdressed"))
         for kind in changed:
             parts[kind].change_address(addresses[kind])
 
@@ -221,7 +225,7 @@
 
     def _on_connection_opened(self, connection: int, frontend: str, host: str | None = None) -> None:
         owner = self.frontends[frontend]
-        self.turn.connection_owners[connection] = owner
+        self.effect_buffer.connection_owners[connection] = owner
         self.fleet.connection_opened(connection, host)
         owner.connection_opened(connection)
 
@@ -230,8 +234,8 @@
     ) -> None:
         self._batch_received_at = received_at
         self._batch_not_before = not_before
-        self._longest_wait_us = max(self._longest_wait_us, self.turn.now - received_at)
-        owner = self.turn.connection_owners.get(connection)
+        self._longest_wait_us = max(self._longest_wait_us, self.effect_buffer.now - received_at)
+        owner = self.effect_buffer.connection_owners.get(connection)
         if owner:
             for message in messages:
                 owner.message_received(connection, message)
@@ -239,7 +243,7 @@
 
     def _tell_owner(self, method: str) -> Callable[..., None]:
         """Handles an input of one connection by that method of its owner, while it has one."""
-        owners = self.turn.connection_owners
+        owners = self.effect_buffer.connection_owners
 
         def handle(connection: int, *fields: object) -> None:
             owner = owners.get(connection)
@@ -249,9 +253,9 @@
         return handle
 
     def _on_connection_closed(self, connection: int) -> None:
-        self.turn.emit(Drop(connection))
+        self.effect_buffer.emit(Drop(connection))
         self.fleet.connection_closed(connection)
-        owner = self.turn.connection_owners.pop(connection, None)
+        owner = self.effect_buffer.connection_owners.pop(connection, None)
         if owner:
             owner.connection_closed(connection)
 
@@ -260,7 +264,7 @@
     @property
     def ready(self) -> bool:
         """Whether RPCs can be accepted: the worker pool was there."""
-        return self.control is not None
+        return self.controller is not None
 
     @property
     def shed_level(self) -> float | None:
@@ -269,15 +273,15 @@
 
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
         """When an RPC of the batch at hand with that Unix time arrived, see `FrontendHost`."""
-        received_at = min(self._batch_received_at, self.turn.now)
-        oldest = self.turn.now - late_read_us
+        received_at = min(self._batch_received_at, self.effect_buffer.now)
+        oldest = self.effect_buffer.now - late_read_us
         return self.wall_clock.arrival(
             stamp, self._batch_not_before, received_at, oldest, self.limits.max_clock_lead
         )
 
     def unix_now(self) -> int:
         """The Unix time in microseconds, see `FrontendHost`."""
-        return self.wall_clock.to_unix(self.turn.now)
+        return self.wall_clock.to_unix(self.effect_buffer.now)
 
     def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
         """Takes over an RPC that was read to the end, see `FrontendHost`."""
@@ -296,14 +300,14 @@
     def worker_pool_ready(self, cold: bool) -> None:
         """It is there for the first time: the decision module starts."""
         # The ramp of a cold start counts from the worker pool's: a later start is the slower reckoning.
-        self.control = self._make_control(cold)
-        self.lifecycle.control = self.control
+        self.controller = self._make_controller(cold)
+        self.lifecycle.controller = self.controller
         self.registration.worker_pool_ready()
-        self.control.start(self.turn.now)
+        self.controller.start(self.effect_buffer.now)
         if self.registration.drain_notice_at is not None:
-            self._drain_control()  # the notice came before the worker pool
+            self._drain_controller()  # the notice came before the worker pool
 
-    def _make_control(self, cold: bool) -> "NodeController | ShadowController":
+    def _make_controller(self, cold: bool) -> "NodeController | ShadowController":
         settings = replace(self.settings, fresh_start=cold)
         if not self.shadow:
             return NodeController(self.port, settings, self.seed)
@@ -315,9 +319,9 @@
 
     def worker_pool_restarted(self, cold: bool) -> None:
         """It has lost its runs: each is answered, none is run again."""
-        self.control.worker_pool_restarted(self.turn.now, cold)
+        self.controller.worker_pool_restarted(self.effect_buffer.now, cold)
         lost = self.lifecycle.running_rpcs()
-        self.turn.emit(Log(f"worker pool: restarted, {len(lost)} runs lost"))
+        self.effect_buffer.emit(Log(f"worker pool: restarted, {len(lost)} runs lost"))
         for rpc in lost:
             self.lifecycle.run_lost(rpc)
 
@@ -329,15 +333,15 @@
         self._longest_wait_us = 0
         gauges = self.fleet.add_gauges(gauges, self.store)
         self.fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
-        self.fleet.publish_evidence(self.control.own_level)
-        self.control.on_timer(self.turn.now, gauges)
+        self.fleet.publish_evidence(self.controller.own_level)
+        self.controller.on_timer(self.effect_buffer.now, gauges)
         self.registration.end_if_idle()
 
     # ---- Drain and end
 
     def _on_drain(self, received_at: int | None = None) -> None:
         """Grace and kill count from when the notice came, not from when its turn has come."""
-        now = self.turn.now
+        now = self.effect_buffer.now
         if not self.registration.drain(min(received_at or now, now)):
             return
         kill_at = self.registration.kill_at
@@ -346,13 +350,13 @@
         if self.key_leases:
             self.key_leases.end_by(kill_at - KEY_LEASE_MARGIN_US)
         if self.ready:
-            self._drain_control()
+            self._drain_controller()
         else:
             self.port.set_health(False, True)
             self._end_without_worker_pool()
 
-    def _drain_control(self) -> None:
-        self.control.drain(self.registration.drain_notice_at, self.registration.kill_at)
+    def _drain_controller(self) -> None:
+        self.controller.drain(self.registration.drain_notice_at, self.registration.kill_at)
 
     def announce_close(self) -> None:
         """Every connection is announced to close, see `DrainHost`."""
@@ -370,6 +374,6 @@
             for frontend in self.frontends.values():
                 frontend.set_idle_timeout(0)
             self.registration.end_if_idle()
-            self.turn.schedule(
-                self.turn.now + self.limits.unready_check_interval, self._end_without_worker_pool
+            self.effect_buffer.schedule(
+                self.effect_buffer.now + self.limits.unready_check_interval, self._end_without_worker_pool
             )
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -32,12 +32,12 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         methods: Mapping[str, MethodInfo],
         limiters: "LimiterSet | None" = None,
         observer: "NodeObserver | None" = None,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.methods = methods
         self.limiters = limiters
         self.observer = observer
@@ -107,7 +107,7 @@
                 self.observer.record_over_limit(caller)
         if self.observer:
             host = self._hosts.get(attributes.connection)
-            source_quota = self.observer.quota_for(self.turn.now, host, caller)
+            source_quota = self.observer.quota_for(self.effect_buffer.now, host, caller)
             if source_quota and (quota is None or source_quota < quota):
                 quota = source_quota
         return quota, limiters
@@ -147,14 +147,14 @@
             return
         waiting = [self.methods[rpc.method].has_priority for rpc in rpcs if rpc.awaited_call is not None]
         for limit, usage in self.limiters.usage(calls, len(waiting), sum(waiting)):
-            self.turn.emit(PublishUsage(limit, *usage))
+            self.effect_buffer.emit(PublishUsage(limit, *usage))
 
     def publish_evidence(self, shed_level: float) -> None:
         """Publishes what was seen since the last time, where that is due."""
         if self.observer:
-            evidence = self.observer.collect_evidence(self.turn.now, shed_level)
+            evidence = self.observer.collect_evidence(self.effect_buffer.now, shed_level)
             if evidence:
-                self.turn.emit(PublishEvidence(evidence))
+                self.effect_buffer.emit(PublishEvidence(evidence))
 
 
 def _counts_dispatcher(limiters: "Sequence[RpcLimiter]") -> bool:
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -10,8 +10,8 @@
    nothing, and the frontend answers in its own words.
 2. Where the caller is known to be gone it calls `core.abandon(rpc)`, once, instead of waiting for the final
    answer: none comes after that.
-3. It asks for reads on its connections (`turn.emit(Read(connection))`), each of which brings one batch. A
-   frontend that connects out has `turn.connect(kind, address, self)`.
+3. It requests reads on its connections (`effect_buffer.emit(Read(connection))`), each of which brings one
+   batch. A frontend that connects out has `effect_buffer.connect(kind, address, self)`.
 4. `core.ready` tells whether RPCs can be accepted yet: before the worker pool is there, `accept` is not
 called.
 
@@ -30,7 +30,7 @@
 class FrontendHost(Protocol):
     """What a frontend can use of the core."""
 
-    turn: EffectBuffer
+    effect_buffer: EffectBuffer
     methods: Mapping[str, MethodInfo]
     shed_level: float | None  # to be published with all answers; None: not known yet
 
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -27,8 +27,8 @@
     its window can still be read: `late_read_us` after it; results by `max_result_bytes`, the oldest first.
     """
 
-    def __init__(self, turn: EffectBuffer, late_read_us: int, max_result_bytes: int) -> None:
-        self.turn = turn
+    def __init__(self, effect_buffer: EffectBuffer, late_read_us: int, max_result_bytes: int) -> None:
+        self.effect_buffer = effect_buffer
         self.late_read_us = late_read_us
         self.max_result_bytes = max_result_bytes
         self.entries: dict[IdempotencyKey, KeyEntry] = {}
@@ -48,7 +48,11 @@
         By when it reached the machine (`arrived_at`), not by when it is read.
         """
         entry = self.entries.get(key)
-        if entry and entry.expires_at > arrived_at and (entry.ran or entry.expires_at > self.turn.now):
+        if (
+            entry
+            and entry.expires_at > arrived_at
+            and (entry.ran or entry.expires_at > self.effect_buffer.now)
+        ):
             return entry, True
         return KeyEntry(key, index, digest), False
 
@@ -64,16 +68,16 @@
             # what ran in the window before.
             entry.previous = previous if previous.ran else previous.previous
             previous.previous = None
-        entry.expires_at = self.turn.now + ttl_us
+        entry.expires_at = self.effect_buffer.now + ttl_us
         self.entries[entry.key] = entry
-        self.turn.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
+        self.effect_buffer.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
 
     def evict(self, entry: KeyEntry) -> None:
         """Removes a key whose RPC never ran; its duplicates fail."""
         if self.entries.get(entry.key) is entry:
             previous = entry.previous
             entry.previous = None
-            if previous and self.turn.now < previous.expires_at + self.late_read_us:
+            if previous and self.effect_buffer.now < previous.expires_at + self.late_read_us:
                 self.entries[entry.key] = previous
             else:
                 del self.entries[entry.key]
@@ -85,7 +89,7 @@
         if rpc.key_entry.result is NoResult.PENDING:
             rpc.key_entry.waiting.append(rpc.index)
         else:
-            self.turn.emit(Defer(DuplicateReady(rpc.index)))
+            self.effect_buffer.emit(Defer(DuplicateReady(rpc.index)))
 
     def complete(self, entry: KeyEntry, result: bytes | NoResult) -> None:
         """The RPC that holds the entry is completed: with its result, or `NoResult.FAILED`."""
@@ -107,13 +111,13 @@
         waiting = entry.waiting
         entry.waiting = []
         for index in waiting:
-            self.turn.emit(Defer(DuplicateReady(index)))
+            self.effect_buffer.emit(Defer(DuplicateReady(index)))
 
     def _expire(self, entry: KeyEntry) -> None:
         if self.entries.get(entry.key) is entry:
             expires_at = entry.expires_at + self.late_read_us
-            if self.turn.now < expires_at:
-                self.turn.schedule(expires_at, self._expire, entry)
+            if self.effect_buffer.now < expires_at:
+                self.effect_buffer.schedule(expires_at, self._expire, entry)
                 return
             del self.entries[entry.key]
         self._drop_result(entry)
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -61,8 +61,8 @@
     one.
     """
 
-    def __init__(self, turn: EffectBuffer, lifetime_us: int) -> None:
-        self.turn = turn
+    def __init__(self, effect_buffer: EffectBuffer, lifetime_us: int) -> None:
+        self.effect_buffer = effect_buffer
         self.lifetime_us = lifetime_us
         self.now_us = 0
         self.waiting: dict[bytes, WaitingRpc] = {}
@@ -87,22 +87,24 @@
             return
         self.waiting[key] = WaitingRpc(rpc, attributes, on_resolved)
         if not self._unsent:
-            self.turn.emit(Defer(KeyLeasesRequested()))  # those of one batch go in one message
+            self.effect_buffer.emit(Defer(KeyLeasesRequested()))  # those of one batch go in one message
         self._unsent.append(KeyLeaseRequest(key, payload_digest(rpc.body), self.lifetime_us))
-        self.turn.schedule(due if self._end is None else min(due, self._end), self._time_out, key, rpc)
+        self.effect_buffer.schedule(
+            due if self._end is None else min(due, self._end), self._time_out, key, rpc
+        )
 
     def send_requests(self) -> None:
         """Sends the requests of this turn in one message."""
         unsent = self._unsent
         self._unsent = []
         if unsent:
-            self.turn.emit(KeyLeaseCommand(RequestKeyLeases(unsent)))
+            self.effect_buffer.emit(KeyLeaseCommand(RequestKeyLeases(unsent)))
 
     def end_by(self, when: int) -> None:
         """Guards against RPCs that the decision module does not know of yet when the kill is due."""
         self._end = when
         for key, waiting in self.waiting.items():
-            self.turn.schedule(when, self._time_out, key, waiting.rpc)
+            self.effect_buffer.schedule(when, self._time_out, key, waiting.rpc)
 
     def abandon(self, rpc: NodeRpc) -> bool:
         """Its caller has gone. True where it waited for its key lease: then nothing more is to come of it."""
@@ -119,7 +121,7 @@
                 self._release(key)  # nobody waits for it any more
             return
         rpc = waiting.rpc
-        if outcome is KeyLeaseOutcome.GRANTED and (not rpc.answer_owed or self.now_us >= run_by):
+        if outcome is KeyLeaseOutcome.GRANTED and (not rpc.response_pending or self.now_us >= run_by):
             self._release(key)
             outcome = KeyLeaseOutcome.NO_MAJORITY
         self.counts[COUNTED_AS[outcome]] += 1
@@ -141,7 +143,7 @@
         """The run of an RPC is over."""
         lease = self.held.pop(index, None)
         if lease:
-            self.turn.emit(
+            self.effect_buffer.emit(
                 KeyLeaseCommand(ReportRunEnded(lease.key, succeeded, result if succeeded else b""))
             )
 
@@ -152,7 +154,7 @@
             self._release(lease.key)
 
     def _release(self, key: bytes) -> None:
-        self.turn.emit(KeyLeaseCommand(ReleaseKeyLease(key)))
+        self.effect_buffer.emit(KeyLeaseCommand(ReleaseKeyLease(key)))
 
     def _abandon_request(self, key: bytes) -> None:
         """Nobody waits for it any more."""
@@ -160,7 +162,7 @@
         unsent = len(self._unsent)
         self._unsent = [request for request in self._unsent if request.key != key]
         if len(self._unsent) == unsent:
-            self.turn.emit(KeyLeaseCommand(AbandonKeyLeaseRequest(key)))
+            self.effect_buffer.emit(KeyLeaseCommand(AbandonKeyLeaseRequest(key)))
             self._release(key)
 
     def _time_out(self, key: bytes, rpc: NodeRpc) -> None:
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         lifecycle: RpcLifecycle,
         pool: WorkerPoolClient,
         store: StoreClient,
@@ -35,7 +35,7 @@
         limiters: "LimiterSet | None",
         key_leases: "KeyLeaseGate | None",
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.lifecycle = lifecycle
         self.rpcs = lifecycle.rpcs
         self.pool = pool
@@ -53,7 +53,7 @@
         rpc = self.rpcs[index]
         rpc.started = True
         if self.key_leases and not self.key_leases.may_run(index):
-            self.turn.emit(Defer(RunNotStarted(index)))
+            self.effect_buffer.emit(Defer(RunNotStarted(index)))
             return
         if rpc.key_entry:
             rpc.key_entry.ran = True
@@ -82,7 +82,7 @@
         """Makes the call that a run awaits, where there is an address and capacity for it."""
         rpc = self.rpcs[index]
         if self.store.address is None:
-            self.turn.emit(Defer(CallNotMade(index)))
+            self.effect_buffer.emit(Defer(CallNotMade(index)))
         elif self.limiters:
             self._call_within_limits(rpc, timeout)
         else:
@@ -92,7 +92,7 @@
         permit = self.limiters.acquire_call(self.store)
         if permit is None:
             # Deferred, as the decision module is in the midst of its calls.
-            self.turn.emit(Defer(CallNotMade(rpc.index)))
+            self.effect_buffer.emit(Defer(CallNotMade(rpc.index)))
             return
         limit_us = permit.time_limit_us
         rpc.call_time_cut = limit_us is not None and limit_us < timeout_us and not self.limiters.probing
@@ -112,7 +112,7 @@
     def answer_duplicate(self, index: int) -> None:
         """Answers a duplicate from the result of the first RPC of its key, once that is known."""
         rpc = self.rpcs[index]
-        rpc.joined_at = self.turn.now
+        rpc.joined_at = self.effect_buffer.now
         self.lifecycle.idempotency.join_in_flight(rpc)
 
     def store_key(self, index: int, ttl: int) -> None:
@@ -151,11 +151,11 @@
 
     def set_timer(self, delay: int) -> None:
         """Has the decision module's `on_timer` called with gauges after `delay`."""
-        self.turn.schedule(self.turn.now + delay, self.pool.request_gauges)
+        self.effect_buffer.schedule(self.effect_buffer.now + delay, self.pool.request_gauges)
 
     def log(self, text: str) -> None:
         """One line for the operators."""
-        self.turn.emit(Log(text))
+        self.effect_buffer.emit(Log(text))
 
     def release(self, index: int) -> None:
         """The decision module won't name this index again."""
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -51,14 +51,14 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         name: str,
         address: tuple[str, int],
         drain_grace_us: int,
         host: DrainHost,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.limits = limits
         self.name = name
         self.address = address
@@ -87,10 +87,14 @@
 
     def report(self) -> None:
         """Reports to the registry, now and then again and again."""
-        turn = self.turn
-        turn.emit(SendReport(self.address, registry_codec.encode_registration(self.name, self.healthy)))
+        effect_buffer = self.effect_buffer
+        effect_buffer.emit(
+            SendReport(self.address, registry_codec.encode_registration(self.name, self.healthy))
+        )
         self._reports_sent += 1
-        turn.schedule(turn.now + self.limits.registration_interval, self._report_again, self._reports_sent)
+        effect_buffer.schedule(
+            effect_buffer.now + self.limits.registration_interval, self._report_again, self._reports_sent
+        )
 
     def _report_again(self, report_number: int) -> None:
         if report_number == self._reports_sent:  # else another report was sent meanwhile
@@ -113,21 +117,21 @@
         limits = self.limits
         self.kill_at = notice_at + limits.stop_timeout - limits.kill_margin
         leave_at = min(self._grace_ends_at, self.kill_at - limits.leave_period)
-        self.turn.schedule(leave_at, self.host.announce_close)
-        self.turn.schedule(self.kill_at - limits.finish_period, self._finish)
-        self.turn.schedule(self.kill_at, self._end_unless_busy)
+        self.effect_buffer.schedule(leave_at, self.host.announce_close)
+        self.effect_buffer.schedule(self.kill_at - limits.finish_period, self._finish)
+        self.effect_buffer.schedule(self.kill_at, self._end_unless_busy)
         return True
 
     def _finish(self) -> None:
         """The end is near: nobody is accepted any more, and what is open closes as soon as it can."""
         if self.phase is NodePhase.DRAINING:
             self.phase = NodePhase.NOT_LISTENING
-            self.turn.emit(StopListening())
+            self.effect_buffer.emit(StopListening())
         self.host.close_now()
 
     def end_if_idle(self) -> None:
         """Ends the node once its grace is over and nothing is open, nor has been for a while."""
-        now = self.turn.now
+        now = self.effect_buffer.now
         if self.drain_notice_at is None or now < self._grace_ends_at:
             return
         if self.host.is_busy():
@@ -138,7 +142,7 @@
             # Guards against an RPC on a connection that is being accepted: first no new ones, then the end.
             if self.phase is NodePhase.DRAINING:
                 self.phase = NodePhase.NOT_LISTENING
-                self.turn.emit(StopListening())
+                self.effect_buffer.emit(StopListening())
             else:
                 self._end()
             self._idle_since = now - self.limits.quiet_period + self.limits.final_check_delay
@@ -150,12 +154,14 @@
         """
         limits = self.limits
         last_moment = self.kill_at + limits.kill_margin - limits.exit_time
-        if self.host.is_busy() and self.turn.now < last_moment:
-            self.turn.schedule(self.turn.now + limits.finish_retry_interval, self._end_unless_busy)
+        if self.host.is_busy() and self.effect_buffer.now < last_moment:
+            self.effect_buffer.schedule(
+                self.effect_buffer.now + limits.finish_retry_interval, self._end_unless_busy
+            )
         else:
             self._end()
 
     def _end(self) -> None:
         self.phase = NodePhase.ENDED
         self.host.before_end()
-        self.turn.emit(End())
+        self.effect_buffer.emit(End())
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -76,7 +76,7 @@
     """
 
     __slots__ = (
-        "answer_owed",
+        "response_pending",
         "arrival_uncertainty_us",
         "awaited_call",
         "body",
@@ -108,7 +108,7 @@
         self.index = NOT_ACCEPTED
         self.key_entry: KeyEntry | None = None  # of its idempotency key
         self.handle: RpcRecord | None = None  # of the decision module; None until it is admitted there
-        self.answer_owed = True
+        self.response_pending = True
         self.arrival_uncertainty_us = 0
         self.started = False  # the decision module had it run
         self.completed = False  # its run or its wait is over
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         methods: Mapping[str, MethodInfo],
         idempotency: IdempotencyCache,
         fleet: FleetView,
         key_leases: "KeyLeaseGate | None",
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.methods = methods
         self.idempotency = idempotency
         self.fleet = fleet
@@ -52,7 +52,7 @@
         self.index_by_name: dict[str, int] = {}
         self.pool: WorkerPoolClient | None = None
         self.store: StoreClient | None = None
-        self.control: NodeController | None = None  # from the worker pool's start on
+        self.controller: NodeController | None = None  # from the worker pool's start on
         self._next_index = 0
 
     def connect(self, pool: WorkerPoolClient, store: StoreClient) -> None:
@@ -85,7 +85,9 @@
             self._admit(rpc, attributes, duplicate_of=first if first in self.rpcs else UNKNOWN_INDEX)
         elif self.key_leases:
             due = attributes.arrived_at + self.methods[rpc.method].deadline_us - KEY_LEASE_MARGIN_US
-            self.key_leases.request(rpc, attributes, max(self.turn.now, due), self.key_lease_resolved)
+            self.key_leases.request(
+                rpc, attributes, max(self.effect_buffer.now, due), self.key_lease_resolved
+            )
         else:
             self._admit(rpc, attributes)
 
@@ -101,7 +103,7 @@
         """A request for a key lease is answered: the RPC goes to the decision module, or ended elsewhere."""
         if outcome is KeyLeaseOutcome.GRANTED:
             self._admit(rpc, attributes)
-        elif outcome is KeyLeaseOutcome.NO_MAJORITY and rpc.answer_owed:
+        elif outcome is KeyLeaseOutcome.NO_MAJORITY and rpc.response_pending:
             # It never ran: rejected.
             self._admit(rpc, attributes, quota=FleetQuota(0, 0, NO_MAJORITY_RETRY_US))
         else:
@@ -121,7 +123,7 @@
         quota: FleetQuota | None = None,
     ) -> None:
         """Hands an RPC to the decision module; `quota` goes before what the fleet leaves."""
-        now = self.turn.now
+        now = self.effect_buffer.now
         limiters = ()
         if self.fleet.limits_rpcs and duplicate_of is None:
             fleet_quota, limiters = self.fleet.quota_for(rpc.method, attributes)
@@ -138,8 +140,8 @@
             duplicate_of=duplicate_of,
             quota=quota,
         )
-        rpc.handle = self.control.admit(now, rpc.index, arrival)
-        if rpc.answer_owed:
+        rpc.handle = self.controller.admit(now, rpc.index, arrival)
+        if rpc.response_pending:
             for limiter in limiters:
                 limiter.try_acquire(rpc)
 
@@ -154,20 +156,20 @@
         do_not_retry: bool = False,
     ) -> None:
         """Gives the final answer, where it is still owed; see `Frontend.send_final_answer`."""
-        if rpc.answer_owed:
-            rpc.answer_owed = False
-            self.turn.statistics.count(f"RPCs {outcome.value}")
+        if rpc.response_pending:
+            rpc.response_pending = False
+            self.effect_buffer.statistics.count(f"RPCs {outcome.value}")
             self.release_limits(rpc)
             rpc.frontend.send_final_answer(rpc, outcome, result, retry_after_us, do_not_retry)
 
     def abandon(self, rpc: NodeRpc) -> None:
         """The caller has gone: nothing is owed, and the frontend is not notified."""
-        rpc.answer_owed = False
-        self.turn.statistics.count("RPCs abandoned")
+        rpc.response_pending = False
+        self.effect_buffer.statistics.count("RPCs abandoned")
         self.store.drop(rpc)
         self.release_limits(rpc)
         if rpc.handle:
-            rpc.handle.caller_gone(self.turn.now)
+            rpc.handle.caller_gone(self.effect_buffer.now)
         elif self.key_leases and self.key_leases.abandon(rpc):
             self.release(rpc.index)
 
@@ -178,9 +180,9 @@
                 limiter.count -= 1
             rpc.counted_by = None
 
-    def any_answer_owed(self) -> bool:
+    def any_response_pending(self) -> bool:
         """Whether a final answer is owed to anybody."""
-        return any(rpc.answer_owed for rpc in self.rpcs.values())
+        return any(rpc.response_pending for rpc in self.rpcs.values())
 
     # ---- Runs: see RunListener
 
@@ -212,7 +214,7 @@
                 self.key_leases.run_ended(rpc.index, succeeded, result)
         if rpc.key_entry and rpc.key_entry.index == rpc.index:
             self.idempotency.complete(rpc.key_entry, result if succeeded else NoResult.FAILED)
-        rpc.handle.run_ended(self.turn.now, outcome, spent_us)
+        rpc.handle.run_ended(self.effect_buffer.now, outcome, spent_us)
 
     def run_not_started(self, index: int) -> None:
         """A run was not commanded, as its key lease had expired: it never ran."""
@@ -227,7 +229,7 @@
             return
         result = rpc.key_entry.result
         outcome = Outcome.OK if isinstance(result, bytes) else Outcome.ERROR
-        self.run_ended(rpc, outcome, self.turn.now - rpc.joined_at, result)
+        self.run_ended(rpc, outcome, self.effect_buffer.now - rpc.joined_at, result)
 
     def running_rpcs(self) -> list[NodeRpc]:
         """The RPCs that were started and are not completed."""
@@ -251,7 +253,7 @@
         """A run awaits a call: the decision module has it made, or left out."""
         rpc.awaited_call = AwaitedCall(cursor, body)
         self.fleet.call_awaited()
-        rpc.handle.awaiting_call(self.turn.now)
+        rpc.handle.awaiting_call(self.effect_buffer.now)
 
     def call_ended(self, rpc: NodeRpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
         """A call is over; its run goes on with the reply."""
@@ -261,13 +263,13 @@
             can_degrade = self.methods[rpc.method].degraded_value > 0
             self.pool.reply(rpc, cursor, body, can_degrade)
         self.fleet.call_ended(outcome, spent_us, rpc.call_time_cut)
-        rpc.handle.call_ended(self.turn.now, outcome, spent_us)
+        rpc.handle.call_ended(self.effect_buffer.now, outcome, spent_us)
 
     def call_not_made(self, index: int) -> None:
         """A call was not made, for want of capacity or of an address: it never ran."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.awaited_call and rpc.call_connection is None:
-            rpc.handle.call_ended(self.turn.now, Outcome.REJECTED, 0)
+            rpc.handle.call_ended(self.effect_buffer.now, Outcome.REJECTED, 0)
 
     # ---- The end
 
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -106,19 +106,19 @@
 
     def run_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
         """Its run, or its wait as a duplicate, is over."""
-        self.owner.tell_both(self.active, self.shadow, "run_ended", now, outcome, spent_us)
+        self.owner.notify_both(self.active, self.shadow, "run_ended", now, outcome, spent_us)
 
     def caller_gone(self, now: int) -> None:
         """Its caller has gone."""
-        self.owner.tell_both(self.active, self.shadow, "caller_gone", now)
+        self.owner.notify_both(self.active, self.shadow, "caller_gone", now)
 
     def awaiting_call(self, now: int) -> None:
         """Its run awaits a call."""
-        self.owner.tell_both(self.active, self.shadow, "awaiting_call", now)
+        self.owner.notify_both(self.active, self.shadow, "awaiting_call", now)
 
     def call_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
         """Its call is over."""
-        self.owner.tell_both(self.active, self.shadow, "call_ended", now, outcome, spent_us)
+        self.owner.notify_both(self.active, self.shadow, "call_ended", now, outcome, spent_us)
 
 
 class ShadowController:
@@ -161,7 +161,7 @@
             self.log(text[:MAX_FAULT_CHARACTERS])
             return None
 
-    def tell_both(
+    def notify_both(
         self,
         active: NodeController | RpcRecord,
         shadow: NodeController | RpcRecord | None,
@@ -185,19 +185,19 @@
     def start(self, now: int) -> None:
         """See `NodeController`."""
         self.logged_at = now
-        self.tell_both(self.active, self.shadow, "start", now)
+        self.notify_both(self.active, self.shadow, "start", now)
 
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
         """See `NodeController`."""
-        self.tell_both(self.active, self.shadow, "worker_pool_restarted", now, cold)
+        self.notify_both(self.active, self.shadow, "worker_pool_restarted", now, cold)
 
     def drain(self, now: int, kill_at: int) -> None:
         """See `NodeController`."""
-        self.tell_both(self.active, self.shadow, "drain", now, kill_at)
+        self.notify_both(self.active, self.shadow, "drain", now, kill_at)
 
     def on_timer(self, now: int, gauges: Gauges) -> None:
         """See `NodeController`; also counts what is published otherwise, and logs the counts each period."""
-        self.tell_both(self.active, self.shadow, "on_timer", now, gauges)
+        self.notify_both(self.active, self.shadow, "on_timer", now, gauges)
         self.counts[FEEDBACK] += self.port.feedback != self.shadow_port.feedback
         self.counts[HEALTH] += self.port.healthy != self.shadow_port.healthy
         if self.shadow and now - self.logged_at >= self.period_us:
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -53,13 +53,13 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         address: tuple[str, int] | None,
         call_ended: CallEnded,
         linger_us: int = 0,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.limits = limits
         self.address = address
         self.call_ended = call_ended
@@ -70,7 +70,7 @@
 
     def in_flight(self, leased: bool) -> int:
         """Calls that the store may be working on: those beyond the floor of the limit, or the others."""
-        now = self.turn.now
+        now = self.effect_buffer.now
         self._abandoned = [call for call in self._abandoned if call.until > now]
         carried = sum(
             connection.rpc is not None and connection.is_leased is leased
@@ -90,20 +90,20 @@
             leased: whether it is beyond the floor of the fleet's limit.
             write_by: on the boot clock; it is written until then or not at all. None: at any time.
         """
-        turn = self.turn
+        effect_buffer = self.effect_buffer
         connection = self._connection_for(rpc)
         connection.rpc = rpc
         connection.is_leased = leased
         connection.names_used.add(rpc.name)
         rpc.call_connection = connection.number
-        rpc.call_started_at = turn.now
+        rpc.call_started_at = effect_buffer.now
         rpc.calls_made += 1
         data = store_codec.encode_call(rpc.name, timeout_us, body)
         if write_by is None:
-            turn.emit(Send(connection.number, data))
+            effect_buffer.emit(Send(connection.number, data))
         else:
-            turn.emit(SendBefore(connection.number, data, write_by))
-        turn.schedule(turn.now + timeout_us, self.time_out, rpc, rpc.calls_made)
+            effect_buffer.emit(SendBefore(connection.number, data, write_by))
+        effect_buffer.schedule(effect_buffer.now + timeout_us, self.time_out, rpc, rpc.calls_made)
 
     def drop(self, rpc: NodeRpc) -> None:
         """Abandons a call, and its connection with it: a late reply may still come there."""
@@ -116,7 +116,7 @@
         """The time limit of the RPC's call of this number is over."""
         if rpc.call_connection is not None and rpc.calls_made == call_number:
             self.drop(rpc)
-            self.call_ended(rpc, Outcome.TIMEOUT, b"", self.turn.now - rpc.call_started_at)
+            self.call_ended(rpc, Outcome.TIMEOUT, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
         """Calls in flight end at the old address; new ones go to the new."""
@@ -142,14 +142,14 @@
         if connection.retired or len(connection.names_used) >= self.limits.calls_per_store_connection:
             self._close(connection)
         else:
-            connection.idle_since = self.turn.now
+            connection.idle_since = self.effect_buffer.now
             self.idle.append(connection)
-        self.call_ended(rpc, outcome, body, self.turn.now - rpc.call_started_at)
+        self.call_ended(rpc, outcome, body, self.effect_buffer.now - rpc.call_started_at)
 
     def batch_completed(self, number: int) -> None:
         """Asks for the next read."""
         if number in self.connections:
-            self.turn.emit(Read(number))
+            self.effect_buffer.emit(Read(number))
 
     def connection_refused(self, number: int, reason: str) -> None:
         """Its call never ran."""
@@ -176,11 +176,13 @@
             if rpc.name not in connection.names_used:
                 self.idle.remove(connection)
                 return connection
-        turn = self.turn
-        connection = StoreConnection(turn.connect("store", self.address, self))
+        effect_buffer = self.effect_buffer
+        connection = StoreConnection(effect_buffer.connect("store", self.address, self))
         self.connections[connection.number] = connection
-        turn.emit(Read(connection.number))
-        turn.schedule(turn.now + self.limits.store_idle_timeout, self._close_if_idle, connection)
+        effect_buffer.emit(Read(connection.number))
+        effect_buffer.schedule(
+            effect_buffer.now + self.limits.store_idle_timeout, self._close_if_idle, connection
+        )
         return connection
 
     def _lose(self, number: int, outcome: Outcome, reason: str) -> None:
@@ -190,12 +192,18 @@
         self._close(connection)
         rpc = connection.rpc
         if reason or rpc:
-            call = f"call of {rpc.name} after {self.turn.now - rpc.call_started_at} us" if rpc else "no call"
+            call = (
+                f"call of {rpc.name} after {self.effect_buffer.now - rpc.call_started_at} us"
+                if rpc
+                else "no call"
+            )
             text = f"connection {number}: {outcome.value} ({reason or 'closed'}), {call}"
-            self.turn.log_fault(PARTY, outcome.value, f"{text}, {len(self.connections)} connections left")
+            self.effect_buffer.log_fault(
+                PARTY, outcome.value, f"{text}, {len(self.connections)} connections left"
+            )
         if rpc:
             rpc.call_connection = None
-            self.call_ended(rpc, outcome, b"", self.turn.now - rpc.call_started_at)
+            self.call_ended(rpc, outcome, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def _retire(self, connection: StoreConnection) -> None:
         """It takes no further call, and is closed once it has none."""
@@ -205,20 +213,20 @@
 
     def _close(self, connection: StoreConnection) -> None:
         if connection.rpc is not None and self.linger_us:
-            until = self.turn.now + self.linger_us
+            until = self.effect_buffer.now + self.linger_us
             self._abandoned.append(AbandonedCall(until, connection.is_leased))
         del self.connections[connection.number]
         if connection in self.idle:
             self.idle.remove(connection)
-        self.turn.emit(Drop(connection.number))
+        self.effect_buffer.emit(Drop(connection.number))
 
     def _close_if_idle(self, connection: StoreConnection) -> None:
         """Closes what idles long before the store does it, so that no call crosses the store's close."""
         if connection.number not in self.connections:
             return
-        since = self.turn.now if connection.rpc else connection.idle_since
+        since = self.effect_buffer.now if connection.rpc else connection.idle_since
         due = since + self.limits.store_idle_timeout
-        if self.turn.now >= due:
+        if self.effect_buffer.now >= due:
             self._close(connection)
         else:
-            self.turn.schedule(due, self._close_if_idle, connection)
+            self.effect_buffer.schedule(due, self._close_if_idle, connection)
--- a/finchcart/node/wall_clock.py
+++ b/finchcart/node/wall_clock.py
@@ -43,7 +43,7 @@
         return self.begins - STAMP_UNIT_US <= moment and (self.ends is None or moment <= self.ends)
 
 
-class WallClock:
+class WallClockHistory:
     """What was seen of the wall clock. All times are whole microseconds. Bounds: `MAX_PERIODS`."""
 
     def __init__(self) -> None:
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -35,20 +35,20 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         address: tuple[str, int],
         gauge_names: Sequence[str],
         runs: RunListener,
         listener: PoolListener,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.listener = listener
         self.cursor = NoticeCursor()
-        self.connection = PoolConnection(turn, limits, address, self.cursor, self)
-        self.polls = GaugePolls(turn, limits, gauge_names, self.connection, listener)
-        self.commands = CommandJournal(turn, self.connection, self.polls, runs)
-        self.notices = NoticeHandler(turn, self.cursor, self.commands, runs)
+        self.connection = PoolConnection(effect_buffer, limits, address, self.cursor, self)
+        self.polls = GaugePolls(effect_buffer, limits, gauge_names, self.connection, listener)
+        self.commands = CommandJournal(effect_buffer, self.connection, self.polls, runs)
+        self.notices = NoticeHandler(effect_buffer, self.cursor, self.commands, runs)
         self._restarts = RestartDetector(limits.pool_start_tolerance)
         self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
             RunEnded: self.notices.run_ended,
@@ -115,7 +115,7 @@
     def batch_completed(self, connection: int) -> None:
         """Request the next read."""
         if connection == self.connection.number:
-            self.turn.emit(Read(connection))
+            self.effect_buffer.emit(Read(connection))
 
     def connection_refused(self, connection: int, reason: str) -> None:
         """Connect again after a backoff."""
@@ -159,16 +159,16 @@
             f"{len(self.polls.pending_timers)} polls open"
         )
         text = f"connection {connection.number} lost while {state} ({reason or 'closed'})"
-        self.turn.log_fault(PARTY, state, f"{text}, cursor {self.cursor.position}, {pending}")
+        self.effect_buffer.log_fault(PARTY, state, f"{text}, cursor {self.cursor.position}, {pending}")
         connection.lose()
 
     # ---- Messages that are no notices of runs
 
     def _on_subscribed(self, cold: bool, uptime_us: int) -> None:
-        turn = self.turn
-        turn.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {uptime_us // 1000} ms"))
+        effect_buffer = self.effect_buffer
+        effect_buffer.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {uptime_us // 1000} ms"))
         self.connection.bound()
-        contact = self._restarts.observe(turn.now, self.connection.bind_requested_at, uptime_us)
+        contact = self._restarts.observe(effect_buffer.now, self.connection.bind_requested_at, uptime_us)
         if contact is PoolContact.FIRST:
             self.listener.worker_pool_ready(cold)
             return
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -48,11 +48,11 @@
     """
 
     def __init__(
-        self, turn: EffectBuffer, connection: PoolConnection, polls: GaugePolls, runs: RunListener
+        self, effect_buffer: EffectBuffer, connection: PoolConnection, polls: GaugePolls, runs: RunListener
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}
-        self.unconfirmed_runs = UnconfirmedRuns(turn, self._presume_ended)
+        self.unconfirmed_runs = UnconfirmedRuns(effect_buffer, self._presume_ended)
         self.settlement_ticket: str | None = None  # of the poll after a new connection
         self._connection = connection
         self._polls = polls
@@ -127,7 +127,7 @@
         if settled:
             counts = ", ".join(f"{count} {settlement.value}" for settlement, count in settled.items())
             text = f"connection {self._connection.number}: commands: {counts}"
-            self.turn.log_fault(PARTY, "commands settled", text)
+            self.effect_buffer.log_fault(PARTY, "commands settled", text)
             self._polls.poll()  # its answer confirms what was written again
 
     def _settle_command(self, command: UnconfirmedCommand) -> Settlement:
@@ -158,5 +158,5 @@
 
     def _presume_ended(self, rpc: NodeRpc, first_end: RunEnd | None) -> None:
         text = f"run of {rpc.name} counts as over: no notice for {self._runs.longest_run_us(rpc)} us"
-        self.turn.log_fault(PARTY, "unknown run over", text)
+        self.effect_buffer.log_fault(PARTY, "unknown run over", text)
         self._runs.run_ended(rpc, *(first_end or RunEnd(Outcome.STOPPED, 0, b"")))
--- a/finchcart/node/worker_pool/connection.py
+++ b/finchcart/node/worker_pool/connection.py
@@ -66,13 +66,13 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         address: tuple[str, int],
         cursor: NoticeCursor,
         owner: PoolConnectionOwner,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.address = address
         self.state = ConnectionState.DISCONNECTED
         self.number: int | None = None
@@ -88,29 +88,29 @@
     def send(self, data: bytes) -> None:
         """Write where there is a connection; what is lost with one is settled once the next is bound."""
         if self.number is not None:
-            self.turn.emit(Send(self.number, data))
+            self.effect_buffer.emit(Send(self.number, data))
 
     def connect(self) -> None:
         """Open the connection where there is none, and request the notices from the cursor on."""
         if self.number is not None:
             return
-        self.number = self.turn.connect("pool", self.address, self._owner)
+        self.number = self.effect_buffer.connect("pool", self.address, self._owner)
         self.state = ConnectionState.BINDING
-        self.bind_requested_at = self.turn.now
-        self.turn.emit(Read(self.number))
+        self.bind_requested_at = self.effect_buffer.now
+        self.effect_buffer.emit(Read(self.number))
         self.send(worker_pool_codec.encode_subscribe(self._cursor.position))
 
     def bound(self) -> None:
         """Enter the state in which commands are written."""
         self.state = ConnectionState.BOUND
-        self._bound_at = self.turn.now
+        self._bound_at = self.effect_buffer.now
 
     def lose(self) -> None:
         """Give up a connection that failed, and connect again after the backoff."""
         is_bound = self.state is ConnectionState.BOUND
-        backoff_us = self._backoff.after_loss(self.turn.now - self._bound_at if is_bound else None)
+        backoff_us = self._backoff.after_loss(self.effect_buffer.now - self._bound_at if is_bound else None)
         self._disconnect()
-        self.turn.schedule(self.turn.now + backoff_us, self.connect)
+        self.effect_buffer.schedule(self.effect_buffer.now + backoff_us, self.connect)
 
     # ---- Another address
 
@@ -128,7 +128,9 @@
     def leave_after(self, ticket: str) -> None:
         """Leave for the new address once the poll of this ticket is answered, or after a time limit."""
         self._move_ticket = ticket
-        self.turn.schedule(self.turn.now + self._move_timeout_us, self._reconnect, self.number)
+        self.effect_buffer.schedule(
+            self.effect_buffer.now + self._move_timeout_us, self._reconnect, self.number
+        )
 
     def poll_answered(self, ticket: str) -> None:
         """Leave for the new address where that poll was awaited: all commands before it were read."""
@@ -149,4 +151,4 @@
         self.write_blocked = False
         self._move_ticket = None
         self._owner.disconnected()
-        self.turn.emit(Drop(number))
+        self.effect_buffer.emit(Drop(number))
--- a/finchcart/node/worker_pool/gauge_polls.py
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -19,13 +19,13 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         gauge_names: Sequence[str],
         connection: PoolConnection,
         listener: PoolListener,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.last_ticket = 0
         self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
         self._timeout_us = limits.gauges_timeout
@@ -48,7 +48,7 @@
         if self._connection.state is ConnectionState.BOUND and not self._connection.write_blocked:
             ticket = self.poll()
             self.pending_timers.add(ticket)
-            self.turn.schedule(self.turn.now + self._timeout_us, self._complete, ticket, {})
+            self.effect_buffer.schedule(self.effect_buffer.now + self._timeout_us, self._complete, ticket, {})
         else:
             self._listener.timer_due({})
 
--- a/finchcart/node/worker_pool/notices.py
+++ b/finchcart/node/worker_pool/notices.py
@@ -16,9 +16,9 @@
     """Hands each new notice to what is notified of runs."""
 
     def __init__(
-        self, turn: EffectBuffer, cursor: NoticeCursor, commands: CommandJournal, runs: RunListener
+        self, effect_buffer: EffectBuffer, cursor: NoticeCursor, commands: CommandJournal, runs: RunListener
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self._cursor = cursor
         self._commands = commands
         self._runs = runs
@@ -54,7 +54,7 @@
         if rpc is None:
             return
         text = f"{'start' if was_start else 'command'} of {name} not carried out"
-        self.turn.log_fault(PARTY, "not carried out", text)
+        self.effect_buffer.log_fault(PARTY, "not carried out", text)
         if was_start:
             self._runs.run_ended(rpc, Outcome.NOT_STARTED, 0, b"")
         else:
--- a/finchcart/node/worker_pool/unconfirmed_runs.py
+++ b/finchcart/node/worker_pool/unconfirmed_runs.py
@@ -36,8 +36,10 @@
     decision module allows at once; each leaves by a notice or after its time.
     """
 
-    def __init__(self, turn: EffectBuffer, on_expired: Callable[[NodeRpc, RunEnd | None], None]) -> None:
-        self._turn = turn
+    def __init__(
+        self, effect_buffer: EffectBuffer, on_expired: Callable[[NodeRpc, RunEnd | None], None]
+    ) -> None:
+        self._turn = effect_buffer
         self._on_expired = on_expired
         self._runs: dict[int, UnconfirmedRun] = {}
         self._added = 0
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -22,7 +22,7 @@
 
     def __init__(self, host: FrontendHost, limits: Limits, table: ConnectionTable) -> None:
         self.host = host
-        self.turn = host.turn
+        self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.table = table
         self.idle_timeout_us: int | None = None  # None: not known yet
@@ -44,12 +44,12 @@
         if connection.closing_announced or connection.ended:
             return
         due = connection.idle_since + self.idle_timeout_us
-        if self.turn.now >= due:
+        if self.effect_buffer.now >= due:
             self.announce(connection)
         elif connection.idle_timer_at is None or connection.idle_timer_at > due:
             # Guards against timers that pile up on a busy connection: only its next check counts.
             connection.idle_timer_at = due
-            self.turn.schedule(due, self._idle_due, connection, due)
+            self.effect_buffer.schedule(due, self._idle_due, connection, due)
 
     def _idle_due(self, connection: Connection, due: int) -> None:
         if connection.idle_timer_at == due:
@@ -62,19 +62,21 @@
         """Guards against those that check health once and stay for ever, above all where many do."""
         if connection.ended or connection.closing_announced:
             return
-        now = self.turn.now
+        now = self.effect_buffer.now
         checked_once = connection.calls < 2 and self.table.is_crowded
         timeout_us = self.limits.silent_timeout if checked_once else self.limits.health_check_idle_timeout
         due = connection.last_message_at + timeout_us
         if now < due:
             when = min(due, now + self.limits.silent_timeout)
-            self.turn.schedule(when, self.check_health_checker, connection)
+            self.effect_buffer.schedule(when, self.check_health_checker, connection)
         elif not connection.open_rpcs:
             self.announce(connection, self.limits.unused_close_delay)
 
     def watch_unused(self, connection: Connection) -> None:
         """Closes a new connection that carries no message in time."""
-        self.turn.schedule(self.turn.now + self.limits.unused_timeout, self._close_unused, connection)
+        self.effect_buffer.schedule(
+            self.effect_buffer.now + self.limits.unused_timeout, self._close_unused, connection
+        )
 
     def _close_unused(self, connection: Connection) -> None:
         """Guards against those that stay silent, or never end what they send."""
@@ -114,7 +116,7 @@
         connection.closing_announced = True
         self.table.send(connection, codec.closing_notice())
         patience_us = self._patience(patience_us or self.limits.close_delay)
-        self.turn.schedule(self.turn.now + patience_us, self._defer_close, connection)
+        self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
 
     def _defer_close(self, connection: Connection) -> None:
         """What came before the close is answered first.
@@ -123,7 +125,7 @@
         before the close.
         """
         if connection.is_usable:
-            self.turn.emit(Defer(CloseDue(connection.number)))
+            self.effect_buffer.emit(Defer(CloseDue(connection.number)))
 
     def close_due(self, number: int) -> None:
         """All that was received before is handed over: tries to close, or waits for what is open."""
@@ -132,9 +134,9 @@
             return
         if connection.open_rpcs:
             patience_us = self._patience(self.limits.close_delay)
-            self.turn.schedule(self.turn.now + patience_us, self._defer_close, connection)
+            self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
         else:
-            self.turn.emit(CloseIfIdle(number))
+            self.effect_buffer.emit(CloseIfIdle(number))
 
     def close_attempted(self, number: int, closed: bool) -> None:
         """Ends a connection that is closed, or tries again."""
@@ -149,7 +151,7 @@
         if closed or holds_back:
             self.table.end(connection)  # guards against one that never sends the rest of what it began
         else:
-            self.turn.schedule(self.turn.now + interval_us, self._defer_close, connection)
+            self.effect_buffer.schedule(self.effect_buffer.now + interval_us, self._defer_close, connection)
 
     def _patience(self, patience_us: int) -> int:
         """Guards against connections of slow dispatchers, cut by the kill instead of closed before it."""
@@ -157,5 +159,5 @@
             return patience_us
         if self.is_finishing:
             return self.limits.finish_retry_interval
-        until_kill_us = self.kill_at - self.turn.now
+        until_kill_us = self.kill_at - self.effect_buffer.now
         return min(patience_us, max(self.limits.unused_close_delay, until_kill_us // KILL_TIME_PART))
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -18,7 +18,7 @@
     def __init__(
         self, host: FrontendHost, limits: Limits, table: ConnectionTable, closer: ConnectionCloser
     ) -> None:
-        self.turn = host.turn
+        self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.table = table
         self.closer = closer
@@ -33,7 +33,7 @@
             self._check_nearly_full()
         count = len(table.connections)
         if count > table.max_connections:
-            self.turn.log_fault(
+            self.effect_buffer.log_fault(
                 "dispatchers", "table full", f"{count} connections, {table.max_connections} at most"
             )
             self._drop_unused()
@@ -45,7 +45,7 @@
         carried no call: nothing of it ran. One that may be about to speak is let be; where none else is left,
         those that come wait outside.
         """
-        since = self.turn.now - self.limits.crossing_window
+        since = self.effect_buffer.now - self.limits.crossing_window
         unused = (
             connection
             for connection in self.table.connections.values()
@@ -66,7 +66,9 @@
         shorter silence: a new caller with an RPC gets in. Returns whether there was one.
         """
         at_limit = len(self.table.connections) >= self.table.max_connections
-        since = self.turn.now - (self.limits.crossing_window if at_limit else self.limits.silent_timeout)
+        since = self.effect_buffer.now - (
+            self.limits.crossing_window if at_limit else self.limits.silent_timeout
+        )
         most_calls = None if self.table.is_nearly_full else 1
         least = min(
             (
@@ -95,7 +97,9 @@
         staying = sum(not (connection.closing_announced or connection.ended) for connection in connections)
         while staying > table.max_connections * 3 // 4 and self._close_least_used():
             staying -= 1
-        self.turn.schedule(self.turn.now + self.limits.crossing_window, self._check_nearly_full)
+        self.effect_buffer.schedule(
+            self.effect_buffer.now + self.limits.crossing_window, self._check_nearly_full
+        )
 
 
 def _by_health_check_and_silence(connection: Connection) -> tuple[bool, int]:
--- a/finchcart/thrift/connection_table.py
+++ b/finchcart/thrift/connection_table.py
@@ -61,14 +61,14 @@
 
     def __init__(self, host: FrontendHost, limits: Limits) -> None:
         self.host = host
-        self.turn = host.turn
+        self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.max_connections = limits.max_connections
         self.connections: dict[int, Connection] = {}
 
     def add(self, number: int) -> Connection:
         """A connection that a dispatcher made."""
-        connection = self.connections[number] = Connection(number, self.turn.now)
+        connection = self.connections[number] = Connection(number, self.effect_buffer.now)
         return connection
 
     def usable(self, number: int) -> Connection | None:
@@ -89,7 +89,7 @@
     def send(self, connection: Connection, data: bytes) -> None:
         """Writes on a connection that is not ended."""
         if not connection.ended:
-            self.turn.emit(Send(connection.number, data))
+            self.effect_buffer.emit(Send(connection.number, data))
 
     # ---- Reads
 
@@ -108,7 +108,7 @@
 
     def _request_reads(self, connection: Connection) -> None:
         for _ in range(connection.reads_after_resume):
-            self.turn.emit(Read(connection.number))
+            self.effect_buffer.emit(Read(connection.number))
         connection.reads_requested += connection.reads_after_resume
         connection.reads_after_resume = 0
 
@@ -133,9 +133,9 @@
     def end(self, connection: Connection, effect: type[Close] | type[Drop] = Close) -> None:
         """Nothing more is read or sent; a peer that does not close in its turn is not waited for long."""
         connection.ended = True
-        self.turn.emit(effect(connection.number))
+        self.effect_buffer.emit(effect(connection.number))
         linger = self.limits.crossing_window if self.is_nearly_full else self.limits.linger_timeout
-        self.turn.schedule(self.turn.now + linger, self._drop_ended, connection)
+        self.effect_buffer.schedule(self.effect_buffer.now + linger, self._drop_ended, connection)
 
     def _drop_ended(self, connection: Connection) -> None:
         """Guards against answers that are cut off as the peer reads slowly.
@@ -143,9 +143,11 @@
         A write that makes no headway breaks the connection by itself.
         """
         if connection.write_blocked and connection.number in self.connections:
-            self.turn.schedule(self.turn.now + self.limits.linger_timeout, self._drop_ended, connection)
+            self.effect_buffer.schedule(
+                self.effect_buffer.now + self.limits.linger_timeout, self._drop_ended, connection
+            )
         else:
-            self.turn.emit(Drop(connection.number))
+            self.effect_buffer.emit(Drop(connection.number))
 
     def end_unreadable(self, connection: Connection) -> None:
         """Ends a connection that sent what can't be read, once its answers are out."""
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -34,7 +34,7 @@
 
     def __init__(self, core: FrontendHost, limits: Limits) -> None:
         self.core = core
-        self.turn = core.turn
+        self.effect_buffer = core.effect_buffer
         self.limits = limits
         self.healthy = True
         self.table = ConnectionTable(core, limits)
@@ -55,7 +55,7 @@
         self.limiter.connection_added()
         if connection.ended:
             return
-        self.turn.emit(Read(number))
+        self.effect_buffer.emit(Read(number))
         if self.closer.is_finishing:
             self.closer.announce(connection)
         else:
@@ -69,11 +69,11 @@
         kind = type(message)
         if kind is not RevokeNotice:
             connection.calls += 1
-        connection.last_message_at = self.turn.now
+        connection.last_message_at = self.effect_buffer.now
         connection.close_attempts = 0
         self._handlers[kind](connection, *message)
         if connection.idle_since is None and not (connection.open_rpcs or connection.health_checked):
-            connection.idle_since = self.turn.now
+            connection.idle_since = self.effect_buffer.now
             self.closer.check_idle(connection)
 
     def batch_completed(self, number: int) -> None:
@@ -99,7 +99,7 @@
             # Not readable: what was read before is answered, then this connection alone is closed.
             owed = len(connection.open_rpcs)
             text = f"connection {number}: {reason}; closed once {owed} answers are out"
-            self.turn.log_fault(PARTY, "unreadable", text)
+            self.effect_buffer.log_fault(PARTY, "unreadable", text)
             connection.unreadable = True
             self.core.record_invalid_traffic(number)
             self.table.end_unreadable(connection)
@@ -139,7 +139,7 @@
     def _rpc_closed(self, connection: Connection) -> None:
         """An RPC of the connection is open no more."""
         if not connection.open_rpcs:
-            connection.idle_since = self.turn.now
+            connection.idle_since = self.effect_buffer.now
             self.closer.check_idle(connection)
         self.table.end_unreadable(connection)
 
@@ -171,7 +171,7 @@
     ) -> None:
         if sequence in connection.open_rpcs:
             text = f"connection {connection.number}: sequence number {sequence} is in use; closed"
-            self.turn.log_fault(PARTY, "sequence number in use", text)
+            self.effect_buffer.log_fault(PARTY, "sequence number in use", text)
             connection.unreadable = True
             return
         try:
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -55,7 +55,7 @@
     due: int
     answers: int = 0
     has_run: bool = False
-    answer_owed: bool = True  # its dispatcher waits for it
+    response_pending: bool = True  # its dispatcher waits for it
     outcome: str | None = None  # the value of a FinalOutcome
 
 
@@ -285,10 +285,10 @@
     def on_stop_listening(self):
         kill_at = self.core.registration.kill_at
         is_last_moment = kill_at is not None and self.now >= kill_at - self.limits.finish_period
-        assert is_last_moment or not self.answers_owed()
+        assert is_last_moment or not self.responses_pending()
 
-    def answers_owed(self):
-        return [each for each in self.unanswered.values() if each.answer_owed and not each.answers]
+    def responses_pending(self):
+        return [each for each in self.unanswered.values() if each.response_pending and not each.answers]
 
     def is_unread(self, attempt):
         inbox = self.inboxes.get(attempt.connection, ())
@@ -296,7 +296,7 @@
 
     def on_end(self):
         assert self.drain_notice_at is not None
-        read = [each for each in self.answers_owed() if not self.is_unread(each)]
+        read = [each for each in self.responses_pending() if not self.is_unread(each)]
         assert read == [], "ended over RPCs that were read"
         self.ended = True
 
@@ -349,7 +349,7 @@
     def revoke(self, name):
         """The caller of an attempt goes."""
         attempt = self.attempts[name]
-        attempt.answer_owed = False
+        attempt.response_pending = False
         self.deliver(attempt.connection, RevokeNotice(attempt.sequence))
 
     def end_connection(self, connection, reason=""):
@@ -357,7 +357,7 @@
         unread = {m.sequence for m in self.inboxes.get(connection, ()) if isinstance(m, SubmitCall)}
         for attempt in self.unanswered.values():
             if attempt.connection == connection and (not reason or attempt.sequence in unread):
-                attempt.answer_owed = False
+                attempt.response_pending = False
         self.lose_connection(connection, reason)
 
     def lose_connection(self, connection, reason=""):
@@ -385,7 +385,7 @@
             return
         attempt.answers += 1
         assert attempt.answers == 1, "two answers"
-        assert self.now <= attempt.due + LATE_US or not attempt.answer_owed, "late"
+        assert self.now <= attempt.due + LATE_US or not attempt.response_pending, "late"
         if outcome is FinalOutcome.OK:
             assert (attempt.key, body) in self.results, "served what no run made"
         elif outcome is FinalOutcome.REJECTED:
@@ -421,7 +421,7 @@
         if run and run.state != "over":
             return
         assert run is None or attempt.kind == "idempotent", "run again"
-        if attempt.answers or not attempt.answer_owed:
+        if attempt.answers or not attempt.response_pending:
             self.send_notice(RunEnded, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
             return
@@ -507,7 +507,7 @@
         self.unanswered = {
             name: attempt
             for name, attempt in self.unanswered.items()
-            if attempt.answer_owed and not attempt.answers
+            if attempt.response_pending and not attempt.answers
         }
         for name, attempt in self.unanswered.items():
             assert self.now <= attempt.due + 2 * LATE_US, f"lost: {name} {attempt}"
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -16,7 +16,7 @@
 from finchcart.membership import codec
 from finchcart.membership import messages as membership
 from finchcart.node.methods import MethodInfo
-from finchcart.node.wall_clock import WallClock
+from finchcart.node.wall_clock import WallClockHistory
 from finchcart.protocol import registry_codec, store_codec, worker_pool_codec
 from finchcart.protocol.messages import (
     CommandRejected,
@@ -248,7 +248,7 @@
     """Stamps of a wall clock that never stepped, read at `NOW`."""
 
     def read_arrival(self, stamp, late_read_us):
-        return WallClock().arrival(stamp, 0, NOW, NOW - late_read_us, LIMITS.max_clock_lead)
+        return WallClockHistory().arrival(stamp, 0, NOW, NOW - late_read_us, LIMITS.max_clock_lead)
 
     def unix_now(self):
         return NOW
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -56,7 +56,7 @@
             harness.end_run(name, rng.choice((Outcome.OK, Outcome.OK, Outcome.ERROR)))
         elif run.state == "running" and chance < 0.2:
             harness.block_at_call(name)
-        elif run.state == "blocked" and (attempt.answers or not attempt.answer_owed):
+        elif run.state == "blocked" and (attempt.answers or not attempt.response_pending):
             harness.end_run(name, Outcome.STOPPED)
 
 
@@ -174,7 +174,7 @@
                 counted = sum(meter in (rpc.counted_by or ()) for rpc in harness.core.lifecycle.rpcs.values())
                 assert meter.count == counted, "counted and not in hand"
                 assert all(
-                    not rpc.completed and (rpc.answer_owed or rpc.started)
+                    not rpc.completed and (rpc.response_pending or rpc.started)
                     for rpc in harness.core.lifecycle.rpcs.values()
                     if rpc.counted_by
                 )
@@ -252,7 +252,7 @@
     )
     harness.step(MS)
     harness.step(MS)
-    assert harness.core.control is not None
+    assert harness.core.controller is not None
     return harness
 
 
@@ -353,11 +353,11 @@
     harness.step(MS)
     harness.lose_pool_connection()
     while harness.now < harness.attempts[name].due:
-        assert harness.core.control.runs_in_progress == 1  # it may be running
+        assert harness.core.controller.runs_in_progress == 1  # it may be running
         harness.step(10 * MS)
     assert how(harness, name) == "failed" and name not in harness.runs
     harness.step(100 * MS)
-    assert harness.core.control.runs_in_progress == 0  # for as long as the settings let it
+    assert harness.core.controller.runs_in_progress == 0  # for as long as the settings let it
     again = harness.submit(harness.open(), 1, name)
     harness.step(MS)
     assert how(harness, again) == "failed" and not harness.runs
@@ -426,12 +426,12 @@
     harness.end_run(first, Outcome.OK)
     harness.step(MS)
     assert [each.outcome for each in harness.attempts.values() if each.body == b"other"][1:] == ["failed"] * 2
-    odd, done = harness.submit(harness.open(), 1), harness.core.control.work_completed
+    odd, done = harness.submit(harness.open(), 1), harness.core.controller.work_completed
     harness.step(0)
     harness.commands.clear()
     harness.deliver(harness.pool_connection, CommandRejected(True, odd))
     harness.step(0)
-    assert how(harness, odd) == "failed" and harness.core.control.work_completed == done
+    assert how(harness, odd) == "failed" and harness.core.controller.work_completed == done
     true = harness.submit(harness.open(), 1, odd)
     harness.step(MS)
     harness.step(MS)
@@ -469,7 +469,7 @@
     harness.step(MS)
     ((first, calls),) = [(link, calls) for link, calls in harness.calls.items() if calls]
     body = calls[name]
-    harness.core.turn.schedule(
+    harness.core.effect_buffer.schedule(
         harness.now, harness.core.store.time_out, harness.core.lifecycle.rpcs[0], 1
     )  # its time limit comes early
     for _ in range(3):
@@ -584,7 +584,7 @@
     harness.step(MS)
     ((kind, _, _, args),) = told
     assert kind == thrift.EXCEPTION and words in args[1, thrift.STRING].decode() and not harness.runs
-    assert not harness.core.control.read_delay and not harness.core.control.callers_seen
+    assert not harness.core.controller.read_delay and not harness.core.controller.callers_seen
 
 
 def test_a_body_over_the_limit_an_unknown_method_and_the_33rd_open_rpc_are_answered():
@@ -703,7 +703,7 @@
         harness.step(MS)
         harness.end_run(name, Outcome.OK)
         harness.step(MS)
-        most = max(most, len(harness.core.turn.timers))
+        most = max(most, len(harness.core.effect_buffer.timers))
     assert how(harness, name) == "ok" and most < 12
 
 
@@ -800,7 +800,7 @@
     ):
         for name in kept:
             assert not getattr(piece, name), name
-    assert all(harness.connections[link] != "closed" for link in core.turn.connection_owners)
-    assert not core.control.active and len(core.turn.timers) < 12 + 2 * len(
+    assert all(harness.connections[link] != "closed" for link in core.effect_buffer.connection_owners)
+    assert not core.controller.active and len(core.effect_buffer.timers) < 12 + 2 * len(
         harness.frontend.table.connections
     )
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -19,11 +19,17 @@
     """No protocol at all: messages are the harness's tuples, answers are tuples too."""
 
     def __init__(self, core, limits):
-        self.core, self.turn, self.rpcs, self.said, self.links = core, core.turn, {}, [], set()
+        self.core, self.effect_buffer, self.rpcs, self.said, self.links = (
+            core,
+            core.effect_buffer,
+            {},
+            [],
+            set(),
+        )
 
     def connection_opened(self, link):
         self.links.add(link)
-        self.turn.emit(Read(link))
+        self.effect_buffer.emit(Read(link))
 
     def message_received(self, link, message):
         if isinstance(message, RevokeNotice):
@@ -40,7 +46,7 @@
             self.core.accept(
                 rpc,
                 RpcAttributes(
-                    arrived_at=min(self.turn.now, int(told["s"]) * 1000),
+                    arrived_at=min(self.effect_buffer.now, int(told["s"]) * 1000),
                     caller=link,
                     idempotency_key=told.get("k"),
                     is_retry="r" in told,
@@ -52,18 +58,18 @@
             self.send_final_answer(rpc, FinalOutcome.FAILED, b"", 0, False)
 
     def batch_completed(self, link):
-        self.turn.emit(Read(link))
+        self.effect_buffer.emit(Read(link))
 
     def send_final_answer(self, rpc, outcome, result, retry_after_us, do_not_retry):
         del self.rpcs[rpc.reference]  # a second answer, or one after `leave`, fails here
-        self.turn.emit(Send(rpc.reference[0], (rpc.reference[1], outcome, result)))
+        self.effect_buffer.emit(Send(rpc.reference[0], (rpc.reference[1], outcome, result)))
 
     def connection_ended(self, link, reason):
         if reason:
             return  # what was read before is answered still
         for ref in [ref for ref in self.rpcs if ref[0] == link]:
             self.core.abandon(self.rpcs.pop(ref))
-        self.turn.emit(Drop(link))
+        self.effect_buffer.emit(Drop(link))
 
     def connection_closed(self, link):
         self.links.discard(link)
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -233,7 +233,9 @@
 def test_rules_hold_with_key_leases_and_none_is_left_behind(seed):
     rng = random.Random(seed)
     harness = CoreHarness(
-        {**draw_settings(rng), **GAUGES}, seed, key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND)
+        {**draw_settings(rng), **GAUGES},
+        seed,
+        key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND),
     )
     statuses = [LeaseStatus.GRANTED] * 4 + [
         LeaseStatus.HELD,
@@ -252,7 +254,7 @@
 
 def one_keyed(kind, again=False, by=1000, result=b"there"):
     """How a keyed RPC is answered whose lease comes to `kind`, whether it ran, and how late it was."""
-    harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
+    harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     name = harness.submit(harness.open(), 1, **({"r": "1"} if again else {}))
     harness.step(MS)
     ((_, asks),) = harness.key_lease_inputs
@@ -281,7 +283,7 @@
 
 
 def test_a_run_elsewhere_gives_its_result():
-    harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
+    harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     told = []
     harness.on_reply = lambda link, data: told.append(read_answer(data))
     harness.submit(harness.open(), 1)
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -38,12 +38,12 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_idempotency_cache_holds_one_entry_a_key_and_bounds_results(seed):
-    rng, turn = random.Random(seed), EffectBuffer(1)
-    cache, live, windows = IdempotencyCache(turn, 500 * MS, 40), [], {}
+    rng, effect_buffer = random.Random(seed), EffectBuffer(1)
+    cache, live, windows = IdempotencyCache(effect_buffer, 500 * MS, 40), [], {}
     for index in range(400):
-        turn.begin(turn.now + rng.randrange(60) * MS)
+        effect_buffer.begin(effect_buffer.now + rng.randrange(60) * MS)
         key = ("m0", rng.randrange(12))
-        reached = turn.now - rng.randrange(200) * MS
+        reached = effect_buffer.now - rng.randrange(200) * MS
         rpc = rpc_of(index)
         rpc.key_entry, repeats = cache.entry_for(key, index, digest_of(rpc.body), reached)
         assert repeats or not any(until > reached and ran for until, ran in windows.get(key, ())), "forgotten"
@@ -62,21 +62,21 @@
                 cache.evict(done.key_entry)
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result) <= 40
     for _ in range(3):
-        turn.begin(turn.now + 4_000 * MS)
-    assert not cache.entries and not cache.with_result and not turn.timers
+        effect_buffer.begin(effect_buffer.now + 4_000 * MS)
+    assert not cache.entries and not cache.with_result and not effect_buffer.timers
 
 
 def test_a_late_duplicate_of_what_ran_is_known_though_a_later_attempt_was_evicted():
-    turn = EffectBuffer(1)
-    cache = IdempotencyCache(turn, 500 * MS, 100)
-    turn.begin(1_000 * MS)
+    effect_buffer = EffectBuffer(1)
+    cache = IdempotencyCache(effect_buffer, 500 * MS, 100)
+    effect_buffer.begin(1_000 * MS)
     ran, later = rpc_of(0), rpc_of(1)
-    ran.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), turn.now)
+    ran.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), effect_buffer.now)
     cache.store(ran, 100 * MS)
     ran.key_entry.ran = True
     cache.complete(ran.key_entry, b"result")
-    turn.begin(1_150 * MS)
-    later.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), turn.now)
+    effect_buffer.begin(1_150 * MS)
+    later.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), effect_buffer.now)
     assert not repeats  # the window is over
     cache.store(later, 100 * MS)
     cache.evict(later.key_entry)  # pushed back: it never ran
@@ -85,18 +85,18 @@
 
 
 def test_waiting_duplicates_are_notified_once_the_first_attempt_completes():
-    turn = EffectBuffer(1)
-    cache = IdempotencyCache(turn, 0, 100)
+    effect_buffer = EffectBuffer(1)
+    cache = IdempotencyCache(effect_buffer, 0, 100)
     first, second = rpc_of(0), rpc_of(1)
     first.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), 0)
     cache.store(first, 10)
     first.key_entry.ran = True
     second.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), 0)
     cache.join_in_flight(second)
-    assert repeats and not turn.effects
+    assert repeats and not effect_buffer.effects
     cache.complete(first.key_entry, b"result")
-    assert same_input(turn.effects[0].input, DuplicateReady(1))
-    assert turn.effects == [Defer(DuplicateReady(1))] and cache.is_payload_mismatch(
+    assert same_input(effect_buffer.effects[0].input, DuplicateReady(1))
+    assert effect_buffer.effects == [Defer(DuplicateReady(1))] and cache.is_payload_mismatch(
         ("m0", "k"), digest_of(b"x")
     )
 
@@ -106,9 +106,9 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.turn = EffectBuffer(1)
+        self.effect_buffer = EffectBuffer(1)
         self.ended = []
-        self.store = StoreClient(self.turn, LIMITS, ("store", 1), self.call_ended)
+        self.store = StoreClient(self.effect_buffer, LIMITS, ("store", 1), self.call_ended)
         self.in_flight = {}  # by number of the call
         self.calls_made = 0
         self.names_used = {}  # by connection
@@ -146,7 +146,7 @@
 
     def step(self, number):
         rng = self.rng
-        self.turn.begin(self.turn.now + rng.randrange(20) * MS)
+        self.effect_buffer.begin(self.effect_buffer.now + rng.randrange(20) * MS)
         if rng.random() < 0.4:
             self.call(rpc_of(rng.randrange(20) if rng.random() < 0.5 else 100 + number))
         for each, rpc in list(self.in_flight.items()):
@@ -165,7 +165,7 @@
     for number in range(600):
         calls.step(number)
     for _ in range(4):
-        calls.turn.begin(calls.turn.now + 2_000 * MS)
+        calls.effect_buffer.begin(calls.effect_buffer.now + 2_000 * MS)
     assert len(calls.ended) == calls.calls_made and not calls.store.connections and not calls.store.idle
 
 
@@ -189,8 +189,8 @@
 
 
 def test_the_pool_settles_what_a_lost_connection_may_have_lost():
-    turn, host = EffectBuffer(1), Host()
-    pool = host.pool = WorkerPoolClient(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
+    effect_buffer, host = EffectBuffer(1), Host()
+    pool = host.pool = WorkerPoolClient(effect_buffer, LIMITS, ("pool", 1), ("core_use",), host, host)
     pool.connect()
     pool.message_received(pool.connection.number, Subscribed(False, 5_000))
     safe, effect = rpc_of(1), rpc_of(2)
@@ -198,13 +198,15 @@
     pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
     pool.commands.send(effect, b"run effect", None)
     pool.connection_ended(pool.connection.number, "")
-    turn.begin(turn.now + 1_000 * MS)
+    effect_buffer.begin(effect_buffer.now + 1_000 * MS)
     pool.message_received(pool.connection.number, Subscribed(False, 1_005_000))
     settle = pool.commands.settlement_ticket
-    turn.begin(turn.now)
+    effect_buffer.begin(effect_buffer.now)
     pool.message_received(pool.connection.number, GaugesRead(settle, ()))
-    assert Send(pool.connection.number, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
-    assert b"run effect" not in [e[-1] for e in turn.effects]
+    assert Send(pool.connection.number, b"run safe") in [
+        e for e in effect_buffer.effects if isinstance(e, Send)
+    ]
+    assert b"run effect" not in [e[-1] for e in effect_buffer.effects]
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
     assert effect.index in pool.commands.unconfirmed_runs
     assert not any(told[0] == effect.name for told in host.told)
@@ -216,9 +218,9 @@
     assert safe.index in pool.commands.unconfirmed_runs
     pool.message_received(pool.connection.number, RunEnded(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
-    turn.begin(turn.now + 2_999 * MS)
+    effect_buffer.begin(effect_buffer.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
-    turn.begin(turn.now + MS)
+    effect_buffer.begin(effect_buffer.now + MS)
     assert (effect.name, Outcome.STOPPED) in host.told
 
 
@@ -241,19 +243,19 @@
 
 
 def test_the_end_waits_for_what_is_open_and_listens_no_more_before():
-    turn, busy = EffectBuffer(1), [True]
+    effect_buffer, busy = EffectBuffer(1), [True]
     host = DrainHostDouble(busy)
-    registration = Registration(turn, LIMITS, "n1", ("registry", 1), 100 * MS, host)
+    registration = Registration(effect_buffer, LIMITS, "n1", ("registry", 1), 100 * MS, host)
     registration.report()
-    assert registration.drain(turn.now) and not registration.drain(turn.now)
+    assert registration.drain(effect_buffer.now) and not registration.drain(effect_buffer.now)
     registration.set_health(False)
-    assert turn.effects[-1].data == b"HERE n1 off"
+    assert effect_buffer.effects[-1].data == b"HERE n1 off"
     told = []
     for _ in range(60):
-        told += map(type, turn.begin(turn.now + 40 * MS))
+        told += map(type, effect_buffer.begin(effect_buffer.now + 40 * MS))
         registration.end_if_idle()
-        told += [type(effect) for effect in turn.effects if isinstance(effect, StopListening | End)]
-        busy[0] = turn.now < 600 * MS
+        told += [type(effect) for effect in effect_buffer.effects if isinstance(effect, StopListening | End)]
+        busy[0] = effect_buffer.now < 600 * MS
     assert [kind for kind in told if kind is not SendReport][:2] == [StopListening, End]
     assert host.told[:2] == ["announce close", "before end"]
 
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -37,12 +37,12 @@
 
     def check(self):
         super().check()
-        control = self.core.control
-        if control is None:
+        controller = self.core.controller
+        if controller is None:
             return
         on_cores = sum(run.state == "running" for run in self.active_runs.values())
-        assert control.runs_in_progress >= len(self.active_runs), "runs that nobody counts"
-        assert control.runs_on_cores >= on_cores, "runs on cores that nobody counts"
+        assert controller.runs_in_progress >= len(self.active_runs), "runs that nobody counts"
+        assert controller.runs_on_cores >= on_cores, "runs on cores that nobody counts"
         if self.rng.random() < self.cut_probability:
             self.lose_pool_connection()
 
@@ -70,11 +70,11 @@
     for _ in range(3):
         harness.step(MS)
     assert how(harness, name) == "ok" and harness.runs[name].state == "running"
-    assert harness.core.control.runs_on_cores == 1
+    assert harness.core.controller.runs_on_cores == 1
     harness.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
-    assert harness.core.control.runs_on_cores == 0
+    assert harness.core.controller.runs_on_cores == 0
 
 
 def test_a_bound_that_is_read_late_is_no_restart_of_the_worker_pool():
@@ -87,7 +87,7 @@
         harness.establish_connections()
     harness.read_commands()  # `bound` is written,
     harness.step(1_500 * MS)  # and read later than starts of a worker pool lie apart
-    assert how(harness, name) is None and harness.core.control.runs_in_progress == 1
+    assert how(harness, name) is None and harness.core.controller.runs_in_progress == 1
     ends_well(harness, name)
 
 
@@ -96,7 +96,7 @@
     name = running(harness, 1)
     harness.deliver(harness.pool_connection, CommandRejected(False, name))
     harness.step(MS)
-    assert how(harness, name) is None and harness.core.control.runs_in_progress == 1
+    assert how(harness, name) is None and harness.core.controller.runs_in_progress == 1
     ends_well(harness, name)
 
 
@@ -113,11 +113,11 @@
             harness.step(MS)
             if harness.core.pool.commands.settlement_ticket:
                 break
-    assert harness.core.pool.cursor.position == 1 and harness.core.control.runs_in_progress == 1
+    assert harness.core.pool.cursor.position == 1 and harness.core.controller.runs_in_progress == 1
     end = harness.now + harness.settings["methods.1.deadline"]
     while harness.now <= end:
         harness.step(20 * MS)
-    assert how(harness, name) == "failed" and harness.core.control.runs_in_progress == 0
+    assert how(harness, name) == "failed" and harness.core.controller.runs_in_progress == 0
 
 
 class BreakingPool(WorkerPool):
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -48,7 +48,7 @@
 def test_whatever_is_watched_answers_are_the_same_and_the_same_settings_decide_alike(seed):
     told = draw_settings(random.Random(seed))
     plain, ends, counts = day(seed, told)
-    assert type(plain.core.control) is NodeController and not counts
+    assert type(plain.core.controller) is NodeController and not counts
     other = {"methods.0.latency_target": 1 * MS, "can_stop": True, "can_pause": True, "feedback": "credit"}
     for watched, differs in (({"tick": told["tick"]}, False), (other, True)):
         harness, watched_ends, counts = day(seed, told, watched)
@@ -62,7 +62,7 @@
 
 def ended(harness):
     """A fault of the watched has ended the watching alone, with one line."""
-    control = harness.core.control
+    control = harness.core.controller
     assert sum("watching ended by a fault" in line for line in harness.log_lines) == 1
     assert not (control.shadow or control.handles or control.port.rejections or control.port.failed_or_paused)
 
@@ -75,7 +75,7 @@
     link = harness.open()
     names = [harness.submit(link, 0) for _ in range(6)]
     harness.step(MS)
-    for handle in harness.core.control.handles.values():
+    for handle in harness.core.controller.handles.values():
         handle.shadow = SimpleNamespace(state=None, run_ended=lambda *_: None, caller_gone=lambda now: 1 / 0)
     for _ in range(400):
         harness.step(10 * MS)
@@ -96,7 +96,7 @@
                 harness.submit(links[step % 4], n, waited=waited, p="0.9" if n else "0.1")
             for name in list(harness.active_runs) if step % 20 == 0 else ():
                 harness.end_run(name, Outcome.OK)
-    return harness.core.control.counts
+    return harness.core.controller.counts
 
 
 def targets(ms):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -2,7 +2,7 @@
 
 import random
 
-from finchcart.node.wall_clock import WallClock
+from finchcart.node.wall_clock import WallClockHistory
 
 MS = 1000
 SECOND = 1_000_000
@@ -12,7 +12,7 @@
 
 
 def test_a_stamp_is_found_in_the_period_in_which_it_was_taken():
-    clock = WallClock()
+    clock = WallClockHistory()
     assert clock.look(0, 5_000 * SECOND) == 0
     assert clock.look(10 * SECOND, 5_010 * SECOND + 3600 * SECOND) == 3600 * SECOND
     before = clock.arrival(5_009 * SECOND, 0, 10 * SECOND, 4 * SECOND, LEAD)
@@ -22,7 +22,7 @@
 
 
 def test_what_can_mean_two_moments_is_a_span_unless_the_connection_was_read_empty_between():
-    clock = WallClock()
+    clock = WallClockHistory()
     clock.look(0, 100 * SECOND)
     clock.look(10 * SECOND, 108 * SECOND)  # back by 2 s
     stamp = 108 * SECOND + 500 * MS
@@ -32,7 +32,7 @@
 
 
 def test_a_slewed_clock_is_followed_and_no_step():
-    clock = WallClock()
+    clock = WallClockHistory()
     now = unix = 0
     for _ in range(1000):
         now += TURN
@@ -46,7 +46,7 @@
 def test_the_true_moment_lies_in_the_span_whatever_the_steps():
     for seed in range(200):
         rng = random.Random(seed)
-        clock = WallClock()
+        clock = WallClockHistory()
         offset = true_offset = 1_700_000_000 * SECOND
         now = 0
         for _ in range(300):
