--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -186,10 +186,10 @@
         """The last lines: what was left out of the log, what was counted, and what is open still."""
         self.effect_buffer.fault_log.summarize_all()
         self._write_statistics()
-        owed = sum(rpc.response_pending for rpc in self.lifecycle.rpcs.values())
+        pending = sum(rpc.response_pending for rpc in self.lifecycle.rpcs.values())
         connections = 0 if all(frontend.is_idle() for frontend in self.frontends.values()) else 1
         open_connections = "open connections" if connections else "no open connection"
-        self.effect_buffer.emit(Log(f"end: {owed} answers owed, {open_connections}"))
+        self.effect_buffer.emit(Log(f"end: {pending} responses pending, {open_connections}"))
 
     def _on_timers_due(self) -> None:
         """Nothing but the timers."""
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -236,7 +236,7 @@
         return [rpc for rpc in self.rpcs.values() if rpc.is_running]
 
     def longest_run_us(self, rpc: NodeRpc) -> int:
-        """How long a run that was lost sight of may go on: nobody waits for it longer than its deadline."""
+        """How long an unconfirmed run may go on: nobody waits for it longer than its deadline."""
         return self.methods[rpc.method].deadline_us
 
     def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -26,11 +26,11 @@
 from finchcart.node.supported_settings import ShadowSettings
 
 # What is counted, in the words of the log line.
-ADMITTED_WOULD_REJECT = "taken, would be pushed back"
-REJECTED_WOULD_ADMIT = "pushed back, would be taken"
-FAILED_OR_PAUSED = "given up or paused"
+ADMITTED_WOULD_REJECT = "admitted, would be rejected"
+REJECTED_WOULD_ADMIT = "rejected, would be admitted"
+FAILED_OR_PAUSED = "failed or paused"
 ADVICE = "advice"
-FEEDBACK = "told value"
+FEEDBACK = "feedback"
 HEALTH = "health"
 KINDS = (ADMITTED_WOULD_REJECT, REJECTED_WOULD_ADMIT, FAILED_OR_PAUSED, ADVICE, FEEDBACK, HEALTH)
 
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -156,7 +156,7 @@
         state = connection.state.value
         pending = (
             f"{len(self.commands.unconfirmed)} commands not confirmed, "
-            f"{len(self.polls.pending_timers)} polls open"
+            f"{len(self.polls.pending_timers)} polls pending"
         )
         text = f"connection {connection.number} lost while {state} ({reason or 'closed'})"
         self.effect_buffer.log_fault(PARTY, state, f"{text}, cursor {self.cursor.position}, {pending}")
@@ -166,7 +166,8 @@
 
     def _on_subscribed(self, cold: bool, uptime_us: int) -> None:
         effect_buffer = self.effect_buffer
-        effect_buffer.emit(Log(f"{PARTY}: up, {'cold' if cold else 'warm'}, for {uptime_us // 1000} ms"))
+        start = "cold start" if cold else "warm"
+        effect_buffer.emit(Log(f"{PARTY}: ready, {start}, started {uptime_us // 1000} ms ago"))
         self.connection.bound()
         contact = self._restarts.observe(effect_buffer.now, self.connection.bind_requested_at, uptime_us)
         if contact is PoolContact.FIRST:
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -37,7 +37,7 @@
 
     WRITTEN = "written"  # for the first time
     WRITTEN_AGAIN = "written again"
-    UNCONFIRMED = "of unknown fate"  # it may have been read, and must not be written again
+    UNCONFIRMED = "unconfirmed"  # it may have been read, and must not be written again
 
 
 class CommandJournal:
@@ -157,6 +157,6 @@
             self.presume_running(rpc)
 
     def _presume_ended(self, rpc: NodeRpc, first_end: RunEnd | None) -> None:
-        text = f"run of {rpc.name} counts as over: no notice for {self._runs.longest_run_us(rpc)} us"
-        self.effect_buffer.log_fault(PARTY, "unknown run over", text)
+        text = f"run of {rpc.name} presumed ended: no notice for {self._runs.longest_run_us(rpc)} us"
+        self.effect_buffer.log_fault(PARTY, "unconfirmed run presumed ended", text)
         self._runs.run_ended(rpc, *(first_end or RunEnd(Outcome.STOPPED, 0, b"")))
--- a/finchcart/node/worker_pool/unconfirmed_runs.py
+++ b/finchcart/node/worker_pool/unconfirmed_runs.py
@@ -53,7 +53,7 @@
             return
         self._added += 1
         self._runs[rpc.index] = UnconfirmedRun(rpc, first_end, self._added)
-        self._turn.statistics.count("runs lost sight of")
+        self._turn.statistics.count("unconfirmed runs")
         self._turn.schedule_after(limit_us, self._expire, rpc.index, self._added)
 
     def first_end(self, rpc: NodeRpc) -> RunEnd | None:
