--- /dev/null
+++ b/finchcart/node/arrivals.py
@@ -0,0 +1,47 @@
+"""When the RPCs of a batch reached the machine.
+
+Owns the times of the batch at hand and the history of the wall clock. It must never order anything by the
+wall clock: spans are counted on the node's clock alone.
+"""
+
+from finchcart.node.effect_buffer import EffectBuffer
+from finchcart.node.wall_clock import Arrival, WallClockHistory
+
+
+class ArrivalClock:
+    """Turns the Unix times of one batch into arrivals. Times are whole microseconds."""
+
+    __slots__ = ("_effect_buffer", "_max_clock_lead_us", "_not_before", "_received_at", "_wall_clock")
+
+    def __init__(self, effect_buffer: EffectBuffer, max_clock_lead_us: int) -> None:
+        self._effect_buffer = effect_buffer
+        self._max_clock_lead_us = max_clock_lead_us
+        self._wall_clock = WallClockHistory()
+        self._received_at = 0  # of the batch at hand
+        self._not_before = 0
+
+    def begin_batch(self, received_at: int, not_before: int) -> None:
+        """Begin a batch that was received then, and reached the machine not before that moment."""
+        self._received_at = received_at
+        self._not_before = not_before
+
+    def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
+        """Return when an RPC of the batch at hand with that Unix time arrived, see `FrontendHost`."""
+        now = self._effect_buffer.now
+        return self._wall_clock.arrival(
+            stamp,
+            self._not_before,
+            min(self._received_at, now),
+            now - late_read_us,
+            self._max_clock_lead_us,
+        )
+
+    def unix_now(self) -> int:
+        """Return the Unix time."""
+        return self._wall_clock.to_unix(self._effect_buffer.now)
+
+    def on_wall_clock_read(self, unix_us: int) -> None:
+        """Handle what the wall clock says now."""
+        step_us = self._wall_clock.look(self._effect_buffer.now, unix_us)
+        if step_us:
+            self._effect_buffer.log_fault("wall clock", "step", f"stepped by {step_us} us")
--- /dev/null
+++ b/finchcart/node/drain.py
@@ -0,0 +1,107 @@
+"""What a drain does to the parts of a node.
+
+Owns the order in which frontends, key leases and the decision module are notified. It must never choose the
+moment: shutdown.py does.
+"""
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from finchcart.limits import Limits
+from finchcart.node.controller_host import ControllerHost
+from finchcart.node.effect_buffer import EffectBuffer
+from finchcart.node.effects import Log
+from finchcart.node.frontend import Frontend
+from finchcart.node.port import CorePort
+from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
+from finchcart.node.shutdown import ShutdownSchedule
+from finchcart.node.statistics_log import StatisticsLog
+
+if TYPE_CHECKING:  # not imported where no key leases are configured
+    from finchcart.node.key_leases import KeyLeaseGate
+
+
+class NodeDrain:
+    """Carries a drain out; see `ShutdownHost`. Bounds: one timer while there is no worker pool."""
+
+    controllers: ControllerHost  # set by `connect`, as the three below
+    shutdown: ShutdownSchedule
+    frontends: Mapping[str, Frontend]
+    port: CorePort
+
+    def __init__(
+        self,
+        effect_buffer: EffectBuffer,
+        limits: Limits,
+        lifecycle: RpcLifecycle,
+        statistics_log: StatisticsLog,
+        key_leases: "KeyLeaseGate | None",
+    ) -> None:
+        self.effect_buffer = effect_buffer
+        self._check_interval_us = limits.unready_check_interval
+        self._lifecycle = lifecycle
+        self._statistics_log = statistics_log
+        self._key_leases = key_leases
+
+    def connect(
+        self,
+        controllers: ControllerHost,
+        shutdown: ShutdownSchedule,
+        frontends: Mapping[str, Frontend],
+        port: CorePort,
+    ) -> None:
+        """Set what is drained: called once, before the first input."""
+        self.controllers = controllers
+        self.shutdown = shutdown
+        self.frontends = frontends
+        self.port = port
+
+    def on_notice(self, received_at: int | None = None) -> None:
+        """Handle the notice to leave; grace and kill count from when it came, not from its turn."""
+        now = self.effect_buffer.now
+        times = self.shutdown.drain(min(received_at or now, now))
+        if times is None:
+            return
+        for frontend in self.frontends.values():
+            frontend.drain(times.kill_at)
+        if self._key_leases:
+            self._key_leases.end_by(times.kill_at - KEY_LEASE_MARGIN_US)
+        if self.controllers.controller is not None:
+            self.controllers.drain()
+        else:
+            self.port.set_health(False, True)
+            self._end_without_worker_pool()
+
+    def is_busy(self) -> bool:
+        """Return whether a connection is in use or a response pending."""
+        return not self._is_idle() or self._lifecycle.any_response_pending()
+
+    def announce_close(self) -> None:
+        """Announce to all connections that they will be closed."""
+        for frontend in self.frontends.values():
+            frontend.announce_close()
+
+    def close_now(self) -> None:
+        """Close all connections as soon as nothing is open on them."""
+        for frontend in self.frontends.values():
+            frontend.close_now()
+
+    def before_end(self) -> None:
+        """Write the last lines: what was left out of the log, what was counted, and what is open still."""
+        self.effect_buffer.fault_log.summarize_all()
+        self._statistics_log.write()
+        pending = sum(rpc.response_pending for rpc in self._lifecycle.rpcs.values())
+        connections = "no open connection" if self._is_idle() else "open connections"
+        self.effect_buffer.emit(Log(f"end: {pending} responses pending, {connections}"))
+
+    def _is_idle(self) -> bool:
+        return all(frontend.is_idle() for frontend in self.frontends.values())
+
+    def _end_without_worker_pool(self) -> None:
+        """Reject what comes, close connections as they idle, and end as ever."""
+        if self.controllers.controller is not None:
+            return
+        for frontend in self.frontends.values():
+            frontend.set_idle_timeout(0)
+        self.shutdown.end_if_idle()
+        self.effect_buffer.schedule_after(self._check_interval_us, self._end_without_worker_pool)
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -5,13 +5,14 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from finchcart.decisions.arrival import FleetQuota
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import PublishEvidence, PublishUsage
+from finchcart.node.inputs import FleetMemberState
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 
@@ -20,7 +21,14 @@
     from finchcart.node.limiters import CallsInFlight
     from finchcart.node.observer import NodeObserver
 
-GONE_STATES = ("failed", "left")  # of members
+GONE_STATES = (FleetMemberState.FAILED, FleetMemberState.LEFT)
+
+
+class FleetMember(NamedTuple):
+    """A member of the fleet, as last reported."""
+
+    state: FleetMemberState
+    incarnation: int
 
 
 class FleetView:
@@ -42,21 +50,21 @@
         self.limiters = limiters
         self.observer = observer
         self.limits_rpcs = limiters is not None or observer is not None
-        self.members: dict[str, tuple[str, int]] = {}  # name -> (state, incarnation)
+        self.members: dict[str, FleetMember] = {}  # by name
         self.isolated = False
         self._hosts: dict[int, str | None] = {}  # by connection, where there is an observer
 
     # ---- Inputs of the fleet
 
-    def member_changed(self, name: str, state: str, incarnation: int) -> None:
-        """See `MemberChanged`."""
+    def member_changed(self, name: str, state: FleetMemberState, incarnation: int) -> None:
+        """Handle a change of a member, see `FleetMemberChanged`."""
         if state in GONE_STATES:
             self.members.pop(name, None)
         else:
-            self.members[name] = state, incarnation
+            self.members[name] = FleetMember(state, incarnation)
 
     def isolation_changed(self, isolated: bool) -> None:
-        """See `IsolationChanged`."""
+        """Handle the loss or return of contact, see `FleetIsolationChanged`."""
         self.isolated = isolated
 
     def allocation_granted(self, limit: str, floor: int | None, amount: int, until: int) -> None:
--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -17,10 +17,11 @@
     AllocationGranted,
     ConsensusChanged,
     FleetInput,
-    IsolationChanged,
+    FleetIsolationChanged,
+    FleetMemberChanged,
+    FleetMemberState,
     KeyLeaseAnswered,
     KeyLeaseOutcome,
-    MemberChanged,
 )
 
 OUTCOMES = {
@@ -50,8 +51,9 @@
         key, answer, result, run_by = fields
         return KeyLeaseAnswered(key, OUTCOMES[answer], result, run_by)
     if kind == "isolated":
-        return IsolationChanged(fields[0])
-    return MemberChanged(*fields[:3])
+        return FleetIsolationChanged(fields[0])
+    name, state, incarnation = fields[:3]
+    return FleetMemberChanged(name, FleetMemberState(state), incarnation)
 
 
 def key_lease_client_input(command: KeyLeaseAction) -> tuple:
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -9,6 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
+from finchcart.node.addresses import NodeAddresses
 from finchcart.protocol.connection_events import (
     ConnectionClosed,
     ConnectionEnded,
@@ -62,7 +63,7 @@
 class AddressesChanged(NamedTuple):
     """The addresses of worker pool, store and registry, from a configuration that was read again."""
 
-    addresses: Mapping[str, tuple[str, int] | None]
+    addresses: NodeAddresses
 
 
 class ThreadDied(NamedTuple):
@@ -71,15 +72,24 @@
     thread: str
 
 
-class MemberChanged(NamedTuple):
+class FleetMemberState(Enum):
+    """The states of a member of the fleet, as this node sees it."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    FAILED = "failed"
+    LEFT = "left"
+
+
+class FleetMemberChanged(NamedTuple):
     """The state of a member of the fleet changed."""
 
     name: str
-    state: str  # "alive", "suspect", "failed" or "left"
+    state: FleetMemberState
     incarnation: int
 
 
-class IsolationChanged(NamedTuple):
+class FleetIsolationChanged(NamedTuple):
     """Whether this node is cut off from most of the fleet."""
 
     isolated: bool
@@ -126,7 +136,7 @@
 class WallClockRead(NamedTuple):
     """What the wall clock says now, where its distance to the node's clock has changed."""
 
-    unix: int
+    unix_us: int
 
 
 class TimersDue(NamedTuple):
@@ -136,33 +146,35 @@
 class LoadMeasured(NamedTuple):
     """The part of the last span in which inputs were processed."""
 
-    busy: int
-    span: int
+    busy_us: int
+    span_us: int
 
 
 class DuplicateReady(NamedTuple):
     """The first RPC of a duplicate's key has completed."""
 
-    index: int
+    rpc_index: int
 
 
 class CallNotMade(NamedTuple):
     """A call was not made, for want of capacity or of an address: it never ran."""
 
-    index: int
+    rpc_index: int
 
 
 class RunNotStarted(NamedTuple):
     """A run was not commanded, as its key lease had expired: it never ran."""
 
-    index: int
+    rpc_index: int
 
 
 class KeyLeasesRequested(NamedTuple):
     """The key leases requested in one batch are to be sent in one message."""
 
 
-FleetInput = MemberChanged | IsolationChanged | AllocationGranted | ConsensusChanged | KeyLeaseAnswered
+FleetInput = (
+    FleetMemberChanged | FleetIsolationChanged | AllocationGranted | ConsensusChanged | KeyLeaseAnswered
+)
 
 Input = (
     Start
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -15,6 +15,7 @@
 from finchcart.decisions.node_settings import DEFAULT_DEADLINE_US, NodeSettings
 from finchcart.errors import ConfigError
 from finchcart.limits import MS, Limits
+from finchcart.node.addresses import NodeAddresses
 from finchcart.node.inputs import AddressesChanged
 from finchcart.node.methods import read_methods
 from finchcart.node.supported_settings import ShadowSettings, supported_settings
@@ -25,9 +26,6 @@
 MAX_PORT = 65_535
 MAX_ERROR_LENGTH = 200  # characters of a message that others worded
 
-# The parties whose addresses may change while the node runs, by their keys in the configuration.
-ADDRESS_KEYS = {"pool": "pool", "store": "store", "registry": "roster"}
-
 MIN_SHADOW_PERIOD_MS = 100
 MAX_SHADOW_PERIOD_MS = 86_400_000
 DEFAULT_SHADOW_PERIOD_MS = 10_000
@@ -49,7 +47,7 @@
 
     name: str  # by which the registry knows the node
     listen: Address
-    addresses: Mapping[str, Address | None]  # of worker pool, store (None: there is none) and registry
+    addresses: NodeAddresses  # may change while the node runs
     seed: int
     settings: NodeSettings
     limits: Limits
@@ -98,7 +96,7 @@
     config = NodeConfig(
         name=str(tree["name"]),
         listen=_parse_address(tree["listen"]),
-        addresses={party: _parse_party(tree, party, key) for party, key in ADDRESS_KEYS.items()},
+        addresses=_parse_addresses(tree),
         seed=int(str(tree.get("seed", "0")), 16),
         settings=node_settings,
         limits=Limits.from_config(tree["limits"], tree["stop_ms"], longest_deadline_us),
@@ -111,11 +109,13 @@
     return config._replace(watch=watch, shadow=_make_shadow(node_settings, watch))
 
 
-def _parse_party(tree: Mapping[str, Any], party: str, key: str) -> Address | None:
-    """Return a party's address. A node of the last tier has nothing below: no store is named there."""
-    if party == "store" and key not in tree:
-        return None
-    return _parse_address(tree[key])
+def _parse_addresses(tree: Mapping[str, Any]) -> NodeAddresses:
+    """Return the peers' addresses. A node of the last tier calls nothing: no store is named there."""
+    return NodeAddresses(
+        pool=_parse_address(tree["pool"]),
+        store=_parse_address(tree["store"]) if "store" in tree else None,
+        registry=_parse_address(tree["roster"]),
+    )
 
 
 def _parse_address(text: str) -> Address:
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -9,6 +9,7 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
 from finchcart.node import effects
+from finchcart.node.addresses import NodeAddresses
 from finchcart.node.core import Core
 from finchcart.node.fleet_inputs import key_lease_client_input
 from finchcart.node.inputs import CloseAttempted, MessagesReceived, Start, TimersDue
@@ -88,7 +89,7 @@
         self.now = NOW
         self.rng = random.Random(seed)
         self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
-        self.addresses = {"pool": ("pool", 1), "store": ("store", 1), "registry": ("registry", 1)}
+        self.addresses = NodeAddresses(("pool", 1), ("store", 1), ("registry", 1))
         self.core = Core(
             typed(settings),
             self.limits,
@@ -233,7 +234,7 @@
             assert self.reads_requested[connection] <= self.limits.read_ahead, "asked too often"
 
     def on_connect(self, connection, kind, address):
-        assert address == self.addresses[kind], "not its address"
+        assert address == getattr(self.addresses, kind), "not its address"
         self.connections[connection] = "connecting"
         self.calls[connection] = {}
         if kind == "pool":
@@ -276,15 +277,15 @@
         return True
 
     def on_send_report(self, address, data):
-        assert address == self.addresses["registry"]
+        assert address == self.addresses.registry
         self.reports.append((self.now, data))
 
     def on_log(self, text):
         self.log_lines.append(text)
 
     def on_stop_listening(self):
-        kill_at = self.core.registration.kill_at
-        is_last_moment = kill_at is not None and self.now >= kill_at - self.limits.finish_period
+        times = self.core.shutdown.times
+        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period
         assert is_last_moment or not self.responses_pending()
 
     def responses_pending(self):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,6 +7,7 @@
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
+from finchcart.node.addresses import NodeAddresses
 from finchcart.node.inputs import AddressesChanged, AllocationGranted, Drain
 from finchcart.node.limiter_set import LimiterSet
 from finchcart.node.limiters import RateLimiter, RpcConcurrencyLimiter
@@ -390,7 +391,7 @@
 
 
 def move(harness):
-    harness.addresses = {kind: (place, port + 1) for kind, (place, port) in harness.addresses.items()}
+    harness.addresses = NodeAddresses(*((host, port + 1) for host, port in harness.addresses))
     harness.feed(AddressesChanged(harness.addresses))
 
 
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -20,6 +20,7 @@
 from finchcart.node.key_entry import NoResult
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import NodeRpc
+from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol.connection_events import ConnectionEnded
@@ -224,7 +225,7 @@
     assert (effect.name, Outcome.STOPPED) in host.told
 
 
-class DrainHostDouble:
+class ShutdownHostDouble:
     def __init__(self, busy):
         self.busy = busy
         self.told = []
@@ -244,16 +245,18 @@
 
 def test_the_end_waits_for_what_is_open_and_listens_no_more_before():
     effect_buffer, busy = EffectBuffer(1), [True]
-    host = DrainHostDouble(busy)
-    registration = Registration(effect_buffer, LIMITS, "n1", ("registry", 1), 100 * MS, host)
+    host = ShutdownHostDouble(busy)
+    registration = Registration(effect_buffer, LIMITS, "n1", ("registry", 1))
+    schedule = ShutdownSchedule(effect_buffer, LIMITS, 100 * MS, host)
     registration.report()
-    assert registration.drain(effect_buffer.now) and not registration.drain(effect_buffer.now)
+    assert schedule.drain(effect_buffer.now)
+    assert not schedule.drain(effect_buffer.now)
     registration.set_health(False)
     assert effect_buffer.effects[-1].data == b"HERE n1 off"
     told = []
     for _ in range(60):
         told += map(type, effect_buffer.begin(effect_buffer.now + 40 * MS))
-        registration.end_if_idle()
+        schedule.end_if_idle()
         told += [type(effect) for effect in effect_buffer.effects if isinstance(effect, StopListening | End)]
         busy[0] = effect_buffer.now < 600 * MS
     assert [kind for kind in told if kind is not SendReport][:2] == [StopListening, End]
