--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -15,13 +15,13 @@
 from finchcart.cli.settings_file import load_settings
 from finchcart.cli.settings_schema import Settings, key_lease_config, quota_config
 from finchcart.errors import SettingsError
+from finchcart.fleet.codec import parse_address
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.replica import KeyLeaseReplica
-from finchcart.membership.codec import parse_address
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
 from finchcart.node_process import EXIT_NOT_STARTED
 from finchcart.quota import messages as quota_messages
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.planner import Planner
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -105,7 +105,7 @@
         logger.info("settings taken from {}", self._path)
         if not self._quota:
             return []
-        return [(quota_messages.CHANNEL, (QuotaInput.CONFIG, quota_config(settings)))]
+        return [(quota_messages.CHANNEL, QuotaConfigChanged(quota_config(settings)))]
 
     def _check_unchanged(self, settings: Settings) -> None:
         """Raise SettingsError where something is new that only a start can take."""
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -78,6 +78,7 @@
     ALIVE = "alive"
     SUSPECT = "suspect"
     FAILED = "failed"
+    LEAVING = "leaving"
     LEFT = "left"
 
 
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -11,9 +11,9 @@
 from finchcart.consensus import messages as consensus
 from finchcart.consensus import subjects
 from finchcart.decisions.outcome import Outcome
+from finchcart.fleet import codec
 from finchcart.key_leases import messages as key_leases
 from finchcart.limits import Limits
-from finchcart.membership import codec
 from finchcart.membership import messages as membership
 from finchcart.node.methods import MethodInfo
 from finchcart.node.wall_clock import WallClockHistory
@@ -33,9 +33,9 @@
     UnservedCall,
 )
 from finchcart.quota import messages as quota
+from finchcart.simulator.codec import OUTCOMES
 from finchcart.thrift import codec as thrift
 from finchcart.thrift import fields as thrift_fields
-from finchcart.wire import OUTCOMES
 
 FLEET = "example"
 PLAIN_OUTCOME = {outcome: code for code, outcome in OUTCOMES.items()}
@@ -68,14 +68,14 @@
     "quota want": (quota, quota.LeaseRequest("n1", 2**63, 8, 6, True, [LIMIT_LINE])),
     "quota grant": (quota, quota.LeaseGrant(3, 2**63, 8, [quota.LimitLease("store", 4, 5, 3_000_000, 200)])),
     "quota elsewhere": (quota, quota.Redirect(2**63, 8, "10.0.0.9:7400")),
-    "quota ask": (quota, quota.StatusRequest(4)),
-    "quota told": (quota, quota.StatusResponse(4, {"limits": []})),
-    "consensus ask": (consensus, consensus.StatusRequest(4, 1)),
+    "quota ask": (quota, quota.QuotaStatusRequest(4)),
+    "quota told": (quota, quota.QuotaStatusResponse(4, {"limits": []})),
+    "consensus ask": (consensus, consensus.ConsensusStatusRequest(4, 1)),
     "consensus say": (consensus, consensus.OverrideRequest(4, 2**58 + 1, 1000, 60_000_000, "too hot")),
-    "consensus told": (consensus, consensus.StatusResponse(4, {"taken": True})),
+    "consensus told": (consensus, consensus.ConsensusStatusResponse(4, {"taken": True})),
     "key lease claim": (
         key_leases,
-        key_leases.AcquireLeases("n1", 2**63, [key_leases.LeaseRequest(KEY, 5, 3, 20_000_000)]),
+        key_leases.AcquireLeases("n1", 2**63, [key_leases.LeaseProposal(KEY, 5, 3, 20_000_000)]),
     ),
     "key lease votes": (key_leases, key_leases.Votes(2**63, [VOTE])),
     "key lease say": (key_leases, key_leases.ReportOutcomes("n1", 2**63, [VOTE])),
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -6,13 +6,18 @@
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.limits import Limits
+from finchcart.membership.effects import MemberChanged
+from finchcart.membership.records import MemberState
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
+from finchcart.node.fleet_inputs import fleet_input
 from finchcart.node.idempotency import IdempotencyCache, digest_of
 from finchcart.node.inputs import (
     CloseAttempted,
     Drain,
     DuplicateReady,
+    FleetMemberChanged,
+    FleetMemberState,
     MessagesReceived,
     ThreadDied,
     TimersDue,
@@ -284,3 +289,10 @@
         assert of_connection(taken, connection) == of_connection(words, connection)
     signs = [what.connection < 0 for what in taken if hasattr(what, "connection")]
     assert signs == sorted(signs, reverse=True)
+
+
+def test_each_state_of_a_member_has_its_state_in_the_node():
+    expected = {state: FleetMemberState(state.value) for state in MemberState}
+    assert list(expected.values()) == list(FleetMemberState)
+    for state, seen in expected.items():
+        assert fleet_input(MemberChanged("n2", state, 1)) == FleetMemberChanged("n2", seen, 1)
