--- a/finchcart/fleet_participant.py
+++ b/finchcart/fleet_participant.py
@@ -4,12 +4,13 @@
 """
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from finchcart.node.effects import Effect, KeyLeaseAction
 from finchcart.node.inputs import Drain, Input, ReloadConfig
 
 if TYPE_CHECKING:  # none is imported where no fleet is configured
+    from finchcart.consensus.observations import Evidence
     from finchcart.node.core import Core
     from finchcart.node.effect_buffer import EffectBuffer
     from finchcart.node.key_leases import KeyLeaseGate
@@ -46,7 +47,7 @@
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Carry out the effect `PublishUsage`."""
 
-    def publish_evidence(self, evidence: dict[str, Any]) -> None:
+    def publish_evidence(self, evidence: "Evidence") -> None:
         """Carry out the effect `PublishEvidence`."""
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -23,32 +23,32 @@
     """What is notified of a connection, whose codec reads messages of one protocol."""
 
     def message_received(self, connection: int, message: MessageT) -> None:
-        """One message of the connection's codec; `batch_completed` follows after the last of a batch."""
+        """Handle one message of the connection's codec; `batch_completed` follows the last of a batch."""
 
     def batch_completed(self, connection: int) -> None:
-        """All of a batch was handed over: the next read may be asked for."""
+        """Handle the end of a batch: the next read may be requested."""
 
     def write_blocked(self, connection: int) -> None:
-        """The peer does not read what is sent."""
+        """Handle a peer that does not read what is sent."""
 
     def write_resumed(self, connection: int) -> None:
-        """All that was pending is written."""
+        """Handle a peer that reads again: all that was pending is written."""
 
     def connection_refused(self, connection: int, reason: str) -> None:
-        """A connection of the node's own was never established."""
+        """Handle a connection of the node's own that was never established."""
 
     def connection_ended(self, connection: int, reason: str) -> None:
-        """Nothing more will be read; `reason` is empty where the peer closed."""
+        """Handle the end of what is read; `reason` is empty where the peer closed."""
 
     def connection_closed(self, connection: int) -> None:
-        """The connection is gone."""
+        """Handle a connection that is gone."""
 
 
 AnyOwner = ConnectionOwner[Any]  # each connection's codec reads what its owner handles
 
 
 def own_connections_first(inputs: Iterable[Input]) -> list[Input]:
-    """The inputs of one turn with those of the node's own connections first: work under way before new work.
+    """Return the inputs of one turn, work under way first: those of the node's own connections.
 
     Guards against an end that overtakes what was read before it: the order on each connection is kept.
     """
@@ -73,9 +73,10 @@
         self.fault_log = FaultLog(log_interval_us, self._log, self.schedule_after)
 
     def begin(self, now: int) -> list[Effect]:
-        """Begins a turn: runs all timers that are due, and returns the list that effects are added to."""
+        """Begin a turn: run all timers that are due, and return the list that effects are added to."""
         self.now = now = max(now, self.now)
-        self.effects = effects = []
+        effects: list[Effect] = []
+        self.effects = effects
         timers = self.timers
         while timers and timers[0][0] <= now:
             _, _, callback, arguments = heappop(timers)
@@ -83,20 +84,20 @@
         return effects
 
     def next_timer(self) -> int | None:
-        """When the next timer is due, or None."""
+        """Return when the next timer is due, or None."""
         return self.timers[0][0] if self.timers else None
 
     def emit(self, effect: Effect) -> None:
-        """Adds an effect to those of this turn."""
+        """Add an effect to those of this turn."""
         self.effects.append(effect)
 
     def schedule(self, when: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Has `callback(*arguments)` called at the beginning of the first turn from `when` on."""
+        """Have `callback(*arguments)` called at the beginning of the first turn from `when` on."""
         self._timers_made += 1
         heappush(self.timers, (when, self._timers_made, callback, arguments))
 
     def connect(self, kind: str, address: tuple[str, int], owner: AnyOwner) -> int:
-        """Opens a connection with the codec of that kind for `owner`. Returns its number."""
+        """Open a connection with the codec of that kind for `owner`; return its number."""
         self._connections_made += 1
         connection = -self._connections_made
         self.connection_owners[connection] = owner
@@ -104,11 +105,11 @@
         return connection
 
     def schedule_after(self, delay: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Has `callback(*arguments)` called at the beginning of the first turn after `delay`."""
+        """Have `callback(*arguments)` called at the beginning of the first turn after `delay`."""
         self.schedule(self.now + delay, callback, *arguments)
 
     def log_fault(self, party: str, cause: str, text: str) -> None:
-        """One line on a fault of a party, or its cause counted where there are many; see `FaultLog`."""
+        """Log a fault of a party, or count its cause where there are many; see `FaultLog`."""
         self.statistics.count(f"{party}: {cause}")
         self.fault_log.record(party, cause, text)
 
--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -5,10 +5,13 @@
 """
 
 from collections.abc import Sequence
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from finchcart.node.inputs import Input
 
+if TYPE_CHECKING:  # not imported where no fleet is configured
+    from finchcart.consensus.observations import Evidence
+
 
 class Read(NamedTuple):
     """Deliver one batch more from a connection."""
@@ -81,7 +84,7 @@
 
 
 class End(NamedTuple):
-    """End the process: nothing is open or owed any more, or the kill is due."""
+    """End the process: nothing is open or pending any more, or the kill is due."""
 
 
 class PublishUsage(NamedTuple):
@@ -96,7 +99,7 @@
 class PublishEvidence(NamedTuple):
     """Observations for the fleet's consensus."""
 
-    evidence: dict[str, Any]
+    evidence: "Evidence"
 
 
 class KeyLeaseRequest(NamedTuple):
--- a/finchcart/node/fault_log.py
+++ b/finchcart/node/fault_log.py
@@ -47,7 +47,7 @@
             faults.left_out[cause] += 1
 
     def summarize(self, party: str) -> None:
-        """The party's interval is over: write what was left out."""
+        """Write what was left out: the party's interval is over."""
         faults = self._parties.pop(party, None)
         if faults and faults.left_out:
             causes = ", ".join(f"{cause} {count}" for cause, count in faults.left_out.most_common())
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -68,7 +68,7 @@
         self.isolated = isolated
 
     def allocation_granted(self, limit: str, floor: int | None, amount: int, until: int) -> None:
-        """See `AllocationGranted`."""
+        """Apply an allocation, see `AllocationGranted`."""
         if self.limiters:
             self.limiters.set_allowance(limit, floor, amount, until)
 
@@ -79,23 +79,25 @@
         min_shed_level: float,
         source_states: Mapping[int, int],
     ) -> None:
-        """See `ConsensusChanged`."""
-        self.observer.apply_consensus(dependency_state, ejected, min_shed_level, source_states)
-        self.limiters.set_dependency_down(self.observer.dependency_down)
+        """Apply what the fleet holds to be so, see `ConsensusChanged`."""
+        if self.observer:
+            self.observer.apply_consensus(dependency_state, ejected, min_shed_level, source_states)
+            if self.limiters:
+                self.limiters.set_dependency_down(self.observer.dependency_down)
 
     # ---- Connections
 
     def connection_opened(self, connection: int, host: str | None) -> None:
-        """A peer connected from that host."""
+        """Remember where a connection comes from."""
         if self.observer:
             self._hosts[connection] = host
 
     def connection_closed(self, connection: int) -> None:
-        """The connection is gone."""
+        """Forget a connection that is gone."""
         self._hosts.pop(connection, None)
 
     def record_invalid_traffic(self, connection: int) -> None:
-        """A message that can't be read came on the connection, or none at all."""
+        """Record a message that can't be read, or a connection without any."""
         if self.observer:
             self.observer.record_invalid_traffic(self._hosts.get(connection))
 
@@ -104,9 +106,9 @@
     def quota_for(
         self, method: str, attributes: RpcAttributes
     ) -> "tuple[FleetQuota | None, Sequence[RpcLimiter]]":
-        """What an RPC may use, None for no bound, and the limiters that count it where it is admitted."""
+        """Return what an RPC may use, None for no bound, and the limiters that count it if admitted."""
         quota = None
-        limiters = ()
+        limiters: Sequence[RpcLimiter] = ()
         caller = attributes.caller
         if self.limiters:
             limiters = self.limiters.limiters_of(method, caller)
@@ -114,31 +116,31 @@
             if self.observer and quota and quota.available <= 0 and _counts_dispatcher(limiters):
                 self.observer.record_over_limit(caller)
         if self.observer:
-            host = self._hosts.get(attributes.connection)
+            host = None if attributes.connection is None else self._hosts.get(attributes.connection)
             source_quota = self.observer.quota_for(self.effect_buffer.now, host, caller)
             if source_quota and (quota is None or source_quota < quota):
                 quota = source_quota
         return quota, limiters
 
     def run_ended(self, outcome: Outcome, spent_us: int) -> None:
-        """A run is over."""
+        """Record the end of a run."""
         if self.observer:
             self.observer.run_ended(outcome, spent_us)
 
     def call_awaited(self) -> None:
-        """A run awaits a call."""
+        """Record the demand of a run that awaits a call."""
         if self.limiters and self.limiters.calls_rate:
             self.limiters.calls_rate.record_demand()
 
     def call_ended(self, outcome: Outcome, spent_us: int, time_cut: bool) -> None:
-        """A call is over; `time_cut`: see `NodeObserver.call_ended`."""
+        """Record the end of a call; `time_cut`: see `NodeObserver.call_ended`."""
         if self.observer:
             self.observer.call_ended(outcome, spent_us, time_cut)
 
     # ---- The control loop
 
     def add_gauges(self, gauges: Gauges, calls: "CallsInFlight") -> Gauges:
-        """The gauges with what the fleet allows and holds."""
+        """Return the gauges with what the fleet allows and holds."""
         if self.limiters:
             gauges = gauges._replace(call_capacity=self.limiters.call_capacity(calls))
         if self.observer:
@@ -150,7 +152,7 @@
         return gauges
 
     def publish_usage(self, rpcs: Iterable[NodeRpc], calls: "CallsInFlight") -> None:
-        """Publishes what is used and wanted of the limits of which something changed."""
+        """Publish what is used and wanted of the limits of which something changed."""
         if not self.limiters:
             return
         waiting = [self.methods[rpc.method].has_priority for rpc in rpcs if rpc.awaited_call is not None]
@@ -158,7 +160,7 @@
             self.effect_buffer.emit(PublishUsage(limit, *usage))
 
     def publish_evidence(self, shed_level: float) -> None:
-        """Publishes what was seen since the last time, where that is due."""
+        """Publish what was seen since the last time, where that is due."""
         if self.observer:
             evidence = self.observer.collect_evidence(self.effect_buffer.now, shed_level)
             if evidence:
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -4,7 +4,7 @@
 protocol; the core owns RPCs. What a frontend does, always within a turn:
 
 1. It makes an `NodeRpc` with whatever `reference` finds its caller again, and hands it over by
-   `core.accept(rpc, attributes)` once it has read it to the end. From then on the core owes it exactly one
+   `core.accept(rpc, attributes)` once it has read it to the end. From then on the core sends exactly one
    `frontend.send_final_answer(rpc, ...)`, which may come inside `accept`, so `reference` has to be in the
    frontend's tables before. An `InvalidRpcError` of `accept` says what is wrong with the RPC: the core kept
    nothing, and the frontend answers in its own words.
@@ -32,65 +32,68 @@
 
     effect_buffer: EffectBuffer
     methods: Mapping[str, MethodInfo]
-    shed_level: float | None  # to be published with all answers; None: not known yet
 
     @property
     def ready(self) -> bool:
         """Whether RPCs can be accepted yet."""
 
+    @property
+    def shed_level(self) -> float | None:
+        """The shed level, to be published with all answers; None: not known yet."""
+
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
-        """When an RPC of the batch at hand with that Unix time arrived; None where it can't have."""
+        """Return when an RPC of the batch at hand with that Unix time arrived; None where it can't have."""
 
     def unix_now(self) -> int:
-        """The Unix time in microseconds, for texts."""
+        """Return the Unix time in microseconds, for texts."""
 
     def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
-        """Takes over an RPC that was read to the end.
+        """Take over an RPC that was read to the end.
 
         Raises:
             InvalidRpcError: with what is wrong with it; nothing of it is kept then.
         """
 
     def abandon(self, rpc: NodeRpc) -> None:
-        """The caller of an accepted RPC has gone."""
+        """Handle the loss of an accepted RPC's caller."""
 
     def record_invalid_traffic(self, connection: int) -> None:
-        """A message that can't be read came on the connection, or none at all."""
+        """Record a message that can't be read, or a connection without any."""
 
 
 class Frontend(AnyOwner, AnswerReceiver, Protocol):
     """What the core calls, besides what it tells any owner of connections."""
 
     def connection_opened(self, connection: int) -> None:
-        """A connection that a peer made."""
+        """Handle a connection that a peer made."""
 
     def close_due(self, connection: int) -> None:
-        """The frontend's own deferred `CloseDue`: all that was received before it has been handed over."""
+        """Handle the frontend's own deferred `CloseDue`: all that was received before it was handed over."""
 
     def close_attempted(self, connection: int, closed: bool) -> None:
-        """The result of the effect `CloseIfIdle`.
+        """Handle the result of the effect `CloseIfIdle`.
 
         Where `closed`, nothing more is read or sent on the connection; else something was under way, and it
         is as before.
         """
 
     def set_idle_timeout(self, timeout_us: int) -> None:
-        """Connections that are idle for so long may be closed."""
+        """Set after how long connections that are idle may be closed."""
 
     def set_health(self, healthy: bool) -> None:
-        """How health checks are answered from now on."""
+        """Set how health checks are answered from now on."""
 
     def drain(self, kill_at: int) -> None:
-        """The notice to leave; the process is killed at `kill_at`."""
+        """Handle the notice to leave; the process is killed at `kill_at`."""
 
     def announce_close(self) -> None:
-        """The node leaves: every connection that is open now is announced to close."""
+        """Announce to every connection that is open now that it will be closed: the node leaves."""
 
     def close_now(self) -> None:
-        """The node ends shortly: every connection is closed between two RPCs, as soon as nothing is open.
+        """Close every connection between two RPCs, as soon as nothing is open: the node ends shortly.
 
         Those that are still made are announced to close at once.
         """
 
     def is_idle(self) -> bool:
-        """Whether it holds nothing that the end of the node would cut."""
+        """Return whether nothing is open that the end of the node would cut."""
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -1,6 +1,6 @@
 """The idempotency cache: which key was seen when, and the results that duplicates may share.
 
-Owns the entry of each idempotency key, which RPC holds it and what that came to. It must never let a result
+Owns the entry of each idempotency key, which RPC holds it and how that ended. It must never let a result
 go to an RPC with another body, nor lose an entry whose RPC may have run.
 """
 
@@ -16,10 +16,16 @@
 
 
 def digest_of(body: bytes) -> bytes:
-    """By which two bodies are compared."""
+    """Return by what two bodies are compared."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
+def entry_of(rpc: NodeRpc) -> KeyEntry:
+    """Return the entry of an RPC that has an idempotency key."""
+    assert rpc.key_entry is not None, f"RPC {rpc.index}: no idempotency key"
+    return rpc.key_entry
+
+
 class IdempotencyCache:
     """Entries by key, and the results kept.
 
@@ -36,16 +42,16 @@
         self.result_bytes = 0
 
     def is_payload_mismatch(self, key: IdempotencyKey, digest: bytes) -> bool:
-        """Whether the key is held by an RPC with another body."""
+        """Return whether the key is held by an RPC with another body."""
         entry = self.entries.get(key)
         return entry is not None and entry.digest != digest
 
     def entry_for(
         self, key: IdempotencyKey, index: int, digest: bytes, arrived_at: int
     ) -> tuple[KeyEntry, bool]:
-        """The entry that an RPC belongs to, and whether it is a duplicate.
+        """Return the entry that an RPC belongs to, and whether it is a duplicate.
 
-        By when it reached the machine (`arrived_at`), not by when it is read.
+        That counts from when it reached the machine (`arrived_at`), not from when it is read.
         """
         entry = self.entries.get(key)
         if (
@@ -57,10 +63,10 @@
         return KeyEntry(key, index, digest), False
 
     def store(self, rpc: NodeRpc, ttl_us: int) -> None:
-        """Keeps the RPC's key for `ttl_us`."""
-        if rpc.key_entry.index != rpc.index:
-            rpc.key_entry = KeyEntry(rpc.key_entry.key, rpc.index, rpc.key_entry.digest)
-        entry = rpc.key_entry
+        """Keep the RPC's key for `ttl_us`."""
+        entry = entry_of(rpc)
+        if entry.index != rpc.index:
+            rpc.key_entry = entry = KeyEntry(entry.key, rpc.index, entry.digest)
         previous = self.entries.get(entry.key)
         if previous is not None and previous is not entry:
             self._drop_result(previous)
@@ -73,7 +79,7 @@
         self.effect_buffer.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
 
     def evict(self, entry: KeyEntry) -> None:
-        """Removes a key whose RPC never ran; its duplicates fail."""
+        """Remove a key whose RPC never ran; its duplicates fail."""
         if self.entries.get(entry.key) is entry:
             previous = entry.previous
             entry.previous = None
@@ -85,16 +91,17 @@
         self._notify_waiting(entry)
 
     def join_in_flight(self, rpc: NodeRpc) -> None:
-        """Has a duplicate wait for what the first RPC of its key comes to: `DuplicateReady` follows."""
-        if rpc.key_entry.result is NoResult.PENDING:
-            rpc.key_entry.waiting.append(rpc.index)
+        """Have a duplicate wait for the end of the first RPC of its key: `DuplicateReady` follows."""
+        entry = entry_of(rpc)
+        if entry.result is NoResult.PENDING:
+            entry.waiting.append(rpc.index)
         else:
             self.effect_buffer.emit(Defer(DuplicateReady(rpc.index)))
 
     def complete(self, entry: KeyEntry, result: bytes | NoResult) -> None:
-        """The RPC that holds the entry is completed: with its result, or `NoResult.FAILED`."""
+        """Handle the end of the RPC that holds the entry: with its result, or `NoResult.FAILED`."""
         entry.result = result
-        if result is not NoResult.FAILED:
+        if not isinstance(result, NoResult):
             self.with_result[entry] = None
             self.result_bytes += len(result)
             while self.result_bytes > self.max_result_bytes:
@@ -102,7 +109,7 @@
         self._notify_waiting(entry)
 
     def _drop_result(self, entry: KeyEntry) -> None:
-        if entry in self.with_result:
+        if entry in self.with_result and not isinstance(entry.result, NoResult):
             del self.with_result[entry]
             self.result_bytes -= len(entry.result)
             entry.result = NoResult.FAILED
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -60,24 +60,28 @@
     def _add(self, limit: Limit, slack_us: int, processes: int) -> None:
         is_rate = limit.per == "rate"
         if limit.counts == "trial":
-            limiter = self.probe = ProbeLimiter(limit, slack_us, processes)
+            self.probe = ProbeLimiter(limit, slack_us, processes)
+            self.all.append(self.probe)
         elif limit.counts == "rpcs":
-            limiter = (RateLimiter if is_rate else RpcConcurrencyLimiter)(limit, slack_us, processes)
+            kind: type[RpcLimiter] = RateLimiter if is_rate else RpcConcurrencyLimiter
+            limiter = kind(limit, slack_us, processes)
             self.rpcs.append(limiter)
+            self.all.append(limiter)
         elif is_rate:
-            limiter = self.calls_rate = RateLimiter(limit, slack_us, processes)
+            self.calls_rate = RateLimiter(limit, slack_us, processes)
+            self.all.append(self.calls_rate)
         else:
-            limiter = self.calls = CallConcurrencyLimiter(limit, slack_us, processes)
-        self.all.append(limiter)
+            self.calls = CallConcurrencyLimiter(limit, slack_us, processes)
+            self.all.append(self.calls)
 
     def set_clock(self, now_us: int) -> None:
-        """The boot clock of this turn."""
+        """Set the boot clock of this turn."""
         self.now_us = now_us
         for limiter in self.all:
             limiter.now_us = now_us
 
     def set_allowance(self, name: str, floor: int | None, amount: int, until: int) -> None:
-        """What the node may use of the limit of that name, see `Limiter`; an unknown one is ignored."""
+        """Set what the node may use of the limit of that name; an unknown one is ignored."""
         if name in self.by_name:
             self.by_name[name].set_allowance(floor, amount, until)
 
@@ -89,18 +93,18 @@
         return self.probe is not None and self.probe.probing
 
     def set_dependency_down(self, down: bool) -> None:
-        """The fleet's consensus on the store."""
+        """Apply the fleet's consensus on the store."""
         if self.probe and self.probe.probing != down:
             self.probe.probing = down
             self._recovering_since = None if down else self.now_us
 
     def _recovery_capacity(self, calls: CallsInFlight) -> int | None:
-        """Calls that may be in flight as far as the consensus goes; None: no bound.
+        """Return how many calls the consensus allows in flight; None: no bound.
 
         This node's part of the probe calls, then twice as many after each step. Guards against a rush of all
         nodes on a store that came back.
         """
-        if self.probing:
+        if self.probe is not None and self.probe.probing:
             return self.probe.capacity(calls)
         if self._recovering_since is None:
             return None
@@ -113,7 +117,7 @@
     # ---- Calls
 
     def call_capacity(self, calls: CallsInFlight) -> int | None:
-        """Calls that may be in flight until the next look; None: as many as the decision module likes."""
+        """Return how many calls may be in flight until the next look; None: no bound."""
         capacities = [self._recovery_capacity(calls)]
         if self.calls:
             capacities.append(self.calls.capacity(calls))
@@ -123,7 +127,7 @@
         return min((capacity for capacity in capacities if capacity is not None), default=None)
 
     def acquire_call(self, calls: CallsInFlight) -> LimitedCall | None:
-        """The permission for one more call, or None where there is no capacity."""
+        """Return the permission for one more call, or None where there is no capacity."""
         recovery_capacity = self._recovery_capacity(calls)
         if recovery_capacity is not None:
             in_flight = calls.in_flight(False) + calls.in_flight(True)
@@ -147,7 +151,7 @@
     # ---- RPCs
 
     def limiters_of(self, method: str, caller: str | int) -> list[RpcLimiter]:
-        """Those that an RPC is counted by."""
+        """Return those that an RPC is counted by."""
         return [
             limiter
             for limiter in self.rpcs
@@ -157,20 +161,25 @@
         ]
 
     def quota(self, limiters: Sequence[RpcLimiter]) -> FleetQuota | None:
-        """What is left for one more RPC, of the limit that has the least left; None without any."""
+        """Return what is left for one more RPC, of the limit that has the least left; None without any."""
         for limiter in limiters:
             limiter.record_demand()
         if not limiters:
             return None
-        return min(FleetQuota(*limiter.availability(), limiter.retry_after_us()) for limiter in limiters)
+        return min(_quota_of(limiter) for limiter in limiters)
 
     def usage(
         self, calls: CallsInFlight, waiting: int, waiting_with_priority: int
     ) -> list[tuple[str, Usage]]:
-        """The limits of which something changed, by name; `waiting`: runs that await a call."""
+        """Return the usage of the limits of which something changed, by name; see `Limiter.usage`."""
         changed = []
         for limiter in self.all:
             usage = limiter.usage(calls, waiting, waiting_with_priority)
             if usage:
                 changed.append((limiter.name, usage))
         return changed
+
+
+def _quota_of(limiter: RpcLimiter) -> FleetQuota:
+    available, capacity = limiter.availability()
+    return FleetQuota(available, capacity, limiter.retry_after_us())
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -27,7 +27,7 @@
     """What counts the calls in flight: the store client."""
 
     def in_flight(self, leased: bool) -> int:
-        """Those beyond the floor of the fleet's limit, or the others."""
+        """Return how many are beyond the floor of the fleet's limit, or the others."""
 
 
 class Usage(NamedTuple):
@@ -73,7 +73,7 @@
         self._last_usage: Usage | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """What the node may use from now on; a floor of None: the limit is removed."""
+        """Set what the node may use from now on; a floor of None: the limit is removed."""
         if floor is None:
             self.removed = True
             return
@@ -82,8 +82,18 @@
         self.amount = amount
         self.until = until
 
+    def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
+        """Return what to publish, where it changed.
+
+        Arguments:
+            calls: what counts the calls in flight.
+            waiting: runs that await a call.
+            waiting_with_priority: those of them whose method has priority.
+        """
+        raise NotImplementedError(f"{type(self).__name__}: a limiter publishes its usage")
+
     def _if_changed(self, usage: Usage) -> Usage | None:
-        """The usage where it is another than the last one published."""
+        """Return the usage where it is another than the last one published."""
         if usage == self._last_usage:
             return None
         self._last_usage = usage
@@ -98,21 +108,22 @@
     """
 
     def leased_time_left_us(self) -> int:
-        """How long a call beyond the floor may take from here on."""
+        """Return how long a call beyond the floor may take from here on, in microseconds."""
         return self.until - self.now_us - self.slack_us - WRITE_MARGIN_US
 
     def capacity(self, calls: CallsInFlight) -> int | None:
-        """Calls that may be in flight now; None: as many as the decision module likes."""
-        if self.removed:
-            return None
+        """Return how many calls may be in flight now; None: as many as the decision module likes."""
+        return None if self.removed else self._capacity()
+
+    def _capacity(self) -> int:
         return self.floor + (self.amount if self.leased_time_left_us() > self.slack_us else 0)
 
     def try_acquire(self, calls: CallsInFlight) -> CallPermit | None:
-        """The permission for one more call, or None where there is no capacity."""
+        """Return the permission for one more call, or None where there is no capacity."""
         if self.removed:
             return CallPermit(False, None)
         if not self.limit.strict:
-            if calls.in_flight(False) < self.capacity(calls):
+            if calls.in_flight(False) < self._capacity():
                 return CallPermit(False, None)
         else:
             if calls.in_flight(False) < self.floor:
@@ -124,7 +135,7 @@
         return None
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """What to publish where it changed; `waiting`: runs that await a call."""
+        """Return what to publish, where it changed; see `Limiter.usage`."""
         if not self.limit.strict:
             in_use = calls.in_flight(False)
             return self._if_changed(Usage(in_use, max(in_use, waiting), waiting_with_priority))
@@ -145,7 +156,7 @@
         self._called_at: int | None = None
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """What to publish where it changed."""
+        """Return what to publish, where it changed: a probe is wanted by who called lately."""
         in_flight = calls.in_flight(False) + calls.in_flight(True)
         if waiting or in_flight:
             self._called_at = self.now_us
@@ -169,17 +180,17 @@
         self._looked_at: int | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """What the node may use from now on; a floor of None: the limit is removed."""
+        """Set what the node may use from now on; a floor of None: the limit is removed."""
         if not self.removed:
             self.fill()  # at the old rate until now
         super().set_allowance(floor, amount, until)
 
     def per_second(self) -> int:
-        """The rate that is allowed now."""
+        """Return the rate that is allowed now, in requests a second."""
         return self.floor + (self.amount if self.now_us < self.until else 0)
 
     def fill(self) -> None:
-        """Adds what came since the last time: the allowance may have ended meanwhile."""
+        """Add the tokens since the last time: the allowance may have ended meanwhile."""
         if self._filled_at is None:
             self._filled_at = self.now_us
         allowed = max(0, min(self.now_us, self.until) - self._filled_at) * self.amount
@@ -188,22 +199,20 @@
         self._filled_at = self.now_us
 
     def capacity(self) -> float:
-        """Tokens that the bucket holds at most."""
+        """Return how many tokens the bucket holds at most."""
         return 1 + max(0, self.limit.burst - self.processes) * self.per_second() / self.limit.amount
 
-    def availability(self) -> Availability | None:
-        """What may be acquired now; None where the limit is removed."""
-        if self.removed:
-            return None
+    def availability(self) -> Availability:
+        """Return what may be acquired now of a limit that is not removed."""
         self.fill()
         return Availability(int(self.tokens), int(self.capacity()))
 
     def record_demand(self) -> None:
-        """One more is wanted, whatever comes of it."""
+        """Count one that is wanted, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc | None = None) -> bool:
-        """Whether one more was acquired."""
+        """Return whether one more was acquired."""
         if self.removed:
             return True
         self.fill()
@@ -214,12 +223,12 @@
         return True
 
     def retry_after_us(self) -> int:
-        """Until there is one more, as things are."""
+        """Return after how long there is one more at the present rate."""
         rate = self.per_second()
         return int((1 - min(1.0, self.tokens)) / rate * SECOND) if rate else SECOND
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """What to publish where it changed: calls that wait are to be worked off within a second."""
+        """Return what to publish, where it changed: calls that wait are wanted within a second."""
         backlog = 0
         if self.limit.counts == "calls":
             backlog = max(0, waiting - calls.in_flight(False) - calls.in_flight(True))
@@ -251,31 +260,29 @@
         self._looked_at = 0
 
     def capacity(self) -> int:
-        """RPCs that may be in flight now."""
+        """Return how many RPCs may be in flight now."""
         return self.floor + (self.amount if self.now_us < self.until else 0)
 
-    def availability(self) -> Availability | None:
-        """What may be admitted now; None where the limit is removed."""
-        if self.removed:
-            return None
+    def availability(self) -> Availability:
+        """Return what may be admitted now under a limit that is not removed."""
         return Availability(self.capacity() - self.count, self.capacity())
 
     def record_demand(self) -> None:
-        """One more is wanted, whatever comes of it."""
+        """Count one that is wanted, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc) -> bool:
-        """Counts an admitted RPC until it is completed: the decision module knew the capacity before."""
+        """Count an admitted RPC until it is completed: the decision module knew the capacity before."""
         self.count += 1
         rpc.counted_by = (*(rpc.counted_by or ()), self)
         return True
 
     def retry_after_us(self) -> int:
-        """No advice: nobody knows when one is completed."""
+        """Return 0, no advice: nobody knows when one is completed."""
         return 0
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """What to publish where it changed: those that were rejected in the last period are wanted too."""
+        """Return what to publish, where it changed: who was rejected in the last period is wanted too."""
         if self.now_us - self._looked_at >= DEMAND_PERIOD_US:
             self._requests_before = self._requests
             self._requests = 0
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -35,7 +35,7 @@
         self.ejected = False
         self.min_shed_level = 0.0
         self.blocked_rpcs = 0
-        self._dependency_state = StoreHealth.WORKING
+        self._dependency_state: int = StoreHealth.WORKING
         self._source_states: Mapping[int, int] = {}
         self._throttles: dict[int, tuple[float, int]] = {}  # subject -> (tokens, filled at)
         self._looked_at: int | None = None
@@ -50,14 +50,14 @@
     # ---- What was seen
 
     def collect_evidence(self, now: int, shed_level: float) -> "Evidence | None":
-        """The evidence since the last look, or None where it is too soon."""
+        """Return the evidence since the last look, or None where it is too soon."""
         if self._looked_at is not None and now - self._looked_at < self.config.look_interval:
             return None
         evidence: Evidence = {
-            "calls": tuple(self._calls),
-            "runs": tuple(self._runs),
+            "calls": _three(self._calls),
+            "runs": _three(self._runs),
             "rpcs": self._rpcs,
-            "sources": {name: tuple(counts) for name, counts in self._sources.items()},
+            "sources": {name: _three(counts) for name, counts in self._sources.items()},
             "level": shed_level,
         }
         self._looked_at = now
@@ -65,7 +65,7 @@
         return evidence
 
     def call_ended(self, outcome: Outcome, spent_us: int, time_cut: bool) -> None:
-        """Counts a call.
+        """Count a call.
 
         `time_cut`: its time was cut short by this node's own allowance, so that a timeout tells nothing of
         the store.
@@ -77,19 +77,19 @@
             self._calls[FAILED] += 1
 
     def run_ended(self, outcome: Outcome, spent_us: int) -> None:
-        """Counts a run that ended by itself."""
+        """Count a run that ended by itself."""
         if outcome in (Outcome.OK, Outcome.ERROR):
             self._runs[ENDED] += 1
             self._runs[ENDED_IN_ERROR] += outcome is Outcome.ERROR
             self._runs[TIME] += spent_us
 
     def record_invalid_traffic(self, host: str | None) -> None:
-        """A message that can't be read, or a connection without an RPC."""
+        """Count a message that can't be read, or a connection without an RPC."""
         if host:
             self._count(source_subject(host), INVALID)
 
     def record_over_limit(self, caller: str | int) -> None:
-        """An RPC beyond a limit of its dispatcher."""
+        """Count an RPC beyond a limit of its dispatcher."""
         self._count(self._number_of(caller), OVER_LIMIT)
 
     def _count(self, name: int | None, item: int) -> None:
@@ -98,7 +98,8 @@
 
     @staticmethod
     def _number_of(caller: str | int) -> int | None:
-        return make_subject(SubjectKind.DISPATCHER, int(caller)) if caller and caller.isdecimal() else None
+        text = str(caller)
+        return make_subject(SubjectKind.DISPATCHER, int(text)) if text.isdecimal() else None
 
     # ---- The consensus
 
@@ -109,7 +110,7 @@
         min_shed_level: float,
         source_states: Mapping[int, int],
     ) -> None:
-        """What the fleet holds from now on, see `ConsensusChanged`."""
+        """Apply what the fleet holds from now on, see `ConsensusChanged`."""
         self._dependency_state = dependency_state
         self.ejected = ejected
         self.min_shed_level = min_shed_level
@@ -124,7 +125,7 @@
         return self._dependency_state == StoreHealth.DOWN
 
     def quota_for(self, now: int, host: str | None, caller: str | int) -> FleetQuota | None:
-        """What an RPC of this source may use; None: the fleet holds nothing of it."""
+        """Return what an RPC of this source may use; None: as much as any."""
         self._rpcs += 1
         names = source_subject(host) if host else None, self._number_of(caller)
         for name in names:
@@ -133,7 +134,7 @@
             return None
         state, name = max(
             ((self._source_states.get(name, Restriction.NONE), name) for name in names if name is not None),
-            default=(Restriction.NONE, None),
+            default=(Restriction.NONE, 0),
         )
         if state == Restriction.BLOCKED:
             self.blocked_rpcs += 1
@@ -143,9 +144,14 @@
         return self._throttled(now, name)
 
     def _throttled(self, now: int, name: int) -> FleetQuota:
-        """Of a source that is throttled to so many RPCs a second."""
+        """Return what is left to a source that is throttled to so many RPCs a second."""
         rate = self.config.throttled_rate
         tokens, filled_at = self._throttles.get(name, (rate, now))
         tokens = min(rate, tokens + (now - filled_at) * rate / SECOND)
         self._throttles[name] = max(0.0, tokens - 1), now
         return FleetQuota(int(tokens), 1, SECOND // rate)
+
+
+def _three(counts: list[int]) -> tuple[int, int, int]:
+    first, second, third = counts
+    return first, second, third
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -8,9 +8,10 @@
 
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer, Log
+from finchcart.node.idempotency import entry_of
 from finchcart.node.inputs import CallNotMade, RunNotStarted
 from finchcart.node.registration import Registration
-from finchcart.node.rpc import FinalOutcome, NodeRpc
+from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
@@ -49,7 +50,7 @@
     # ---- Runs
 
     def run(self, index: int) -> None:
-        """Starts a queued RPC, where its key lease still allows it."""
+        """Start a queued RPC, where its key lease still allows it."""
         rpc = self.rpcs[index]
         rpc.started = True
         if self.key_leases and not self.key_leases.may_run(index):
@@ -60,18 +61,18 @@
         self.pool.run(rpc, self.lifecycle.methods[rpc.method].is_idempotent)
 
     def stop(self, index: int) -> None:
-        """Never called: the settings say to the decision module that this worker pool stops nothing."""
+        """Refuse: the settings state that this worker pool stops nothing (supported_settings.py)."""
         raise NotImplementedError("this worker pool stops nothing")
 
     # ---- Final answers
 
     def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
-        """Final answer: it never ran here."""
+        """Send the final answer that it never ran here."""
         rpc = self.rpcs[index]
         self.lifecycle.answer(rpc, FinalOutcome.REJECTED, b"", retry_after, do_not_retry)
 
     def fail(self, index: int) -> None:
-        """Final answer: failed, without saying whether it ran."""
+        """Send the final answer that it failed, whether it ran or not."""
         rpc = self.rpcs[index]
         self.store.drop(rpc)
         self.lifecycle.answer(rpc, FinalOutcome.FAILED)
@@ -79,84 +80,90 @@
     # ---- Calls
 
     def call(self, index: int, timeout: int) -> None:
-        """Makes the call that a run awaits, where there is an address and capacity for it."""
+        """Make the call that a run awaits, where there is an address and capacity for it."""
         rpc = self.rpcs[index]
         if self.store.address is None:
             self.effect_buffer.emit(Defer(CallNotMade(index)))
         elif self.limiters:
-            self._call_within_limits(rpc, timeout)
+            self._call_within_limits(self.limiters, rpc, timeout)
         else:
-            self.store.call(rpc, timeout, rpc.awaited_call.body)
+            self.store.call(rpc, timeout, _awaited_call(rpc).body)
 
-    def _call_within_limits(self, rpc: NodeRpc, timeout_us: int) -> None:
-        permit = self.limiters.acquire_call(self.store)
+    def _call_within_limits(self, limiters: "LimiterSet", rpc: NodeRpc, timeout_us: int) -> None:
+        permit = limiters.acquire_call(self.store)
         if permit is None:
             # Deferred, as the decision module is in the midst of its calls.
             self.effect_buffer.emit(Defer(CallNotMade(rpc.index)))
             return
         limit_us = permit.time_limit_us
-        rpc.call_time_cut = limit_us is not None and limit_us < timeout_us and not self.limiters.probing
+        rpc.call_time_cut = limit_us is not None and limit_us < timeout_us and not limiters.probing
         if limit_us is not None:
             timeout_us = min(timeout_us, limit_us)
-        self.store.call(rpc, timeout_us, rpc.awaited_call.body, permit.leased, permit.write_by)
+        self.store.call(rpc, timeout_us, _awaited_call(rpc).body, permit.leased, permit.write_by)
 
     def degrade(self, index: int) -> None:
-        """Leaves out the call that a run awaits, for a degraded answer."""
+        """Leave out the call that a run awaits, for a degraded answer."""
         rpc = self.rpcs[index]
-        cursor = rpc.awaited_call.cursor
+        cursor = _awaited_call(rpc).cursor
         rpc.awaited_call = None
         self.pool.degrade(rpc, cursor)
 
     # ---- Idempotency keys
 
     def answer_duplicate(self, index: int) -> None:
-        """Answers a duplicate from the result of the first RPC of its key, once that is known."""
+        """Answer a duplicate from the result of the first RPC of its key, once that is known."""
         rpc = self.rpcs[index]
         rpc.joined_at = self.effect_buffer.now
         self.lifecycle.idempotency.join_in_flight(rpc)
 
     def store_key(self, index: int, ttl: int) -> None:
-        """Keeps the RPC's idempotency key, so that duplicates are recognized."""
+        """Keep the RPC's idempotency key, so that duplicates are recognized."""
         rpc = self.rpcs[index]
         # The window counts from the arrival of what ran: after a step of the wall clock from the latest that
         # it can have been, lest it take effect twice.
         self.lifecycle.idempotency.store(rpc, ttl + rpc.arrival_uncertainty_us)
 
     def evict_key(self, index: int) -> None:
-        """Removes the RPC's idempotency key."""
-        self.lifecycle.idempotency.evict(self.rpcs[index].key_entry)
+        """Remove the RPC's idempotency key."""
+        self.lifecycle.idempotency.evict(entry_of(self.rpcs[index]))
 
     # ---- What is published
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """How health checks and the registry are answered from now on."""
+        """Set how health checks and the registry are answered from now on."""
         self.registration.set_health(healthy)
         for frontend in self.frontends.values():
             frontend.set_health(healthy)
 
     def set_shed_level(self, level: float) -> None:
-        """The shed level that is published with all answers."""
+        """Publish the shed level with all answers."""
         self.shed_level = level
 
     def set_credit(self, credit: float) -> None:
-        """Never called: the settings say to the decision module that answers carry no credit."""
+        """Refuse: the settings state that answers carry no credit (supported_settings.py)."""
         raise NotImplementedError("dispatchers' answers carry no credit")
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Connections that are idle for so long are closed."""
+        """Close connections that are idle for so long."""
         for frontend in self.frontends.values():
             frontend.set_idle_timeout(timeout)
 
     # ---- Timers, log lines, the end of an RPC
 
     def set_timer(self, delay: int) -> None:
-        """Has the decision module's `on_timer` called with gauges after `delay`."""
+        """Have the decision module's `on_timer` called with gauges after `delay`."""
         self.effect_buffer.schedule(self.effect_buffer.now + delay, self.pool.request_gauges)
 
     def log(self, text: str) -> None:
-        """One line for the operators."""
+        """Write one line for the operators."""
         self.effect_buffer.emit(Log(text))
 
     def release(self, index: int) -> None:
-        """The decision module won't name this index again."""
+        """Forget the RPC: the decision module won't name this index again."""
         self.lifecycle.release(index)
+
+
+def _awaited_call(rpc: NodeRpc) -> AwaitedCall:
+    """Return the call that the run of an RPC awaits."""
+    assert rpc.awaited_call is not None, f"RPC {rpc.index}: awaits no call"
+    return rpc.awaited_call
--- a/finchcart/node/statistics.py
+++ b/finchcart/node/statistics.py
@@ -14,11 +14,11 @@
         self._logged: Counter[str] = Counter()
 
     def count(self, name: str, by: int = 1) -> None:
-        """Something happened."""
+        """Count something that happened."""
         self.counts[name] += by
 
     def line(self) -> str | None:
-        """The counts since the last line, with the sums since the start; None where nothing happened."""
+        """Return the counts since the last line, with the sums since the start; None where there are none."""
         changed = self.counts - self._logged
         self._logged = self.counts.copy()
         if not changed:
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -32,7 +32,7 @@
         self.is_leased = False  # that call is beyond the floor of the fleet's limit
         self.names_used: set[str] = set()  # of all RPCs that it carried calls for
         self.retired = False  # it takes no further call
-        self.idle_since: int | None = None
+        self.idle_since = 0  # of one that carries no call
 
 
 class AbandonedCall(NamedTuple):
@@ -69,7 +69,7 @@
         self._abandoned: list[AbandonedCall] = []
 
     def in_flight(self, leased: bool) -> int:
-        """Calls that the store may be working on: those beyond the floor of the limit, or the others."""
+        """Return how many calls the store may be working on: beyond the floor of the limit, or the others."""
         now = self.effect_buffer.now
         self._abandoned = [call for call in self._abandoned if call.until > now]
         carried = sum(
@@ -81,7 +81,7 @@
     def call(
         self, rpc: NodeRpc, timeout_us: int, body: bytes, leased: bool = False, write_by: int | None = None
     ) -> None:
-        """Makes the call of an RPC.
+        """Make the call of an RPC.
 
         Arguments:
             rpc: whose call it is.
@@ -106,20 +106,22 @@
         effect_buffer.schedule(effect_buffer.now + timeout_us, self.time_out, rpc, rpc.calls_made)
 
     def drop(self, rpc: NodeRpc) -> None:
-        """Abandons a call, and its connection with it: a late reply may still come there."""
+        """Abandon a call, and its connection with it: a late reply may still come there."""
+        if rpc.call_connection is None:
+            return
         connection = self.connections.get(rpc.call_connection)
         rpc.call_connection = None
         if connection:
             self._close(connection)
 
     def time_out(self, rpc: NodeRpc, call_number: int) -> None:
-        """The time limit of the RPC's call of this number is over."""
+        """End the RPC's call of this number, whose time limit is over."""
         if rpc.call_connection is not None and rpc.calls_made == call_number:
             self.drop(rpc)
             self.call_ended(rpc, Outcome.TIMEOUT, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Calls in flight end at the old address; new ones go to the new."""
+        """Make new calls at another address; those in flight end at the old one."""
         self.address = address
         for connection in list(self.connections.values()):
             self._retire(connection)
@@ -147,26 +149,26 @@
         self.call_ended(rpc, outcome, body, self.effect_buffer.now - rpc.call_started_at)
 
     def batch_completed(self, number: int) -> None:
-        """Asks for the next read."""
+        """Request the next read."""
         if number in self.connections:
             self.effect_buffer.emit(Read(number))
 
     def connection_refused(self, number: int, reason: str) -> None:
-        """Its call never ran."""
+        """End its call, which never ran."""
         self._lose(number, Outcome.UNREACHABLE, reason)
 
     def connection_ended(self, number: int, reason: str) -> None:
-        """Its call may have run."""
+        """End its call, which may have run."""
         self._lose(number, Outcome.CONNECTION_LOST, reason)
 
     def write_blocked(self, number: int) -> None:
-        """Nothing: the call's own time limit bounds it."""
+        """Do nothing: the call's own time limit bounds it."""
 
     def write_resumed(self, number: int) -> None:
-        """Nothing: the call's own time limit bounds it."""
+        """Do nothing: the call's own time limit bounds it."""
 
     def connection_closed(self, number: int) -> None:
-        """Nothing: it was forgotten when it was dropped."""
+        """Do nothing: it was forgotten when it was dropped."""
 
     # ---- Connections
 
@@ -176,6 +178,7 @@
             if rpc.name not in connection.names_used:
                 self.idle.remove(connection)
                 return connection
+        assert self.address is not None, "a call without an address: see CorePort.call"
         effect_buffer = self.effect_buffer
         connection = StoreConnection(effect_buffer.connect("store", self.address, self))
         self.connections[connection.number] = connection
@@ -206,7 +209,7 @@
             self.call_ended(rpc, outcome, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def _retire(self, connection: StoreConnection) -> None:
-        """It takes no further call, and is closed once it has none."""
+        """Give the connection no further call, and close it once it has none."""
         connection.retired = True
         if connection.rpc is None:
             self._close(connection)
@@ -221,7 +224,7 @@
         self.effect_buffer.emit(Drop(connection.number))
 
     def _close_if_idle(self, connection: StoreConnection) -> None:
-        """Closes what idles long before the store does it, so that no call crosses the store's close."""
+        """Close what idles, long before the store does, so that no call crosses the store's close."""
         if connection.number not in self.connections:
             return
         since = self.effect_buffer.now if connection.rpc else connection.idle_since
