--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -16,6 +16,7 @@
 from finchcart.node.fleet import FleetView
 from finchcart.node.input_load import InputLoad
 from finchcart.node.port import CorePort
+from finchcart.node.rpc_admission import RpcAdmission
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.store import StoreClient
@@ -25,7 +26,8 @@
 class ControllerHost:
     """Makes the decision module and calls it; see `PoolListener`. Times are whole microseconds."""
 
-    port: CorePort  # set by `connect`
+    lifecycle: RpcLifecycle  # set by `connect`, as the two below
+    port: CorePort
     store: StoreClient
 
     def __init__(
@@ -34,7 +36,7 @@
         settings: NodeSettings,
         seed: int,
         shadow: ShadowSettings | None,
-        lifecycle: RpcLifecycle,
+        admission: RpcAdmission,
         fleet: FleetView,
         load: InputLoad,
         shutdown: ShutdownSchedule,
@@ -44,13 +46,14 @@
         self._settings = settings
         self._seed = seed
         self._shadow = shadow
-        self._lifecycle = lifecycle
+        self._admission = admission
         self._fleet = fleet
         self._load = load
         self._shutdown = shutdown
 
-    def connect(self, port: CorePort, store: StoreClient) -> None:
+    def connect(self, lifecycle: RpcLifecycle, port: CorePort, store: StoreClient) -> None:
         """Set what the decision module acts on: called once, before the first input."""
+        self.lifecycle = lifecycle
         self.port = port
         self.store = store
 
@@ -61,7 +64,7 @@
         # The slow start after a cold start counts from here: of the two starts the later one.
         controller = self._make_controller(cold)
         self.controller = controller
-        self._lifecycle.controller = controller
+        self._admission.start(controller)
         self._shutdown.worker_pool_ready()
         controller.start(self.effect_buffer.now)
         self.drain()  # the notice may have come before the worker pool
@@ -71,10 +74,10 @@
         if self.controller is None:
             return
         self.controller.worker_pool_restarted(self.effect_buffer.now, cold)
-        lost = self._lifecycle.running_rpcs()
+        lost = self.lifecycle.running_rpcs()
         self.effect_buffer.emit(Log(f"worker pool: restarted, {len(lost)} runs lost"))
         for rpc in lost:
-            self._lifecycle.run_lost(rpc)
+            self.lifecycle.run_lost(rpc)
 
     def timer_due(self, readings: Mapping[str, float]) -> None:
         """Call the decision module's timer with the worker pool's gauges, given by name."""
@@ -82,7 +85,7 @@
             return
         gauges = self._load.add_gauges(Gauges.from_readings(readings))
         gauges = self._fleet.add_gauges(gauges, self.store)
-        self._fleet.publish_usage(self._lifecycle.rpcs.values(), self.store)
+        self._fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
         self._fleet.publish_evidence(self.controller.own_level)
         self.controller.on_timer(self.effect_buffer.now, gauges)
         self._shutdown.end_if_idle()
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -31,6 +31,7 @@
 from finchcart.node.port import CorePort
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import NodeRpc, RpcAttributes
+from finchcart.node.rpc_admission import RpcAdmission
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.statistics_log import StatisticsLog
@@ -90,13 +91,16 @@
         self.lifecycle = RpcLifecycle(
             effect_buffer, self.methods, self.idempotency, self.fleet, self.key_leases
         )
+        self.admission = RpcAdmission(
+            effect_buffer, self.methods, self.idempotency, self.fleet, self.lifecycle, self.key_leases
+        )
         self.registration = Registration(effect_buffer, limits, name, addresses.registry)
         self._load = InputLoad()
         self._statistics_log = StatisticsLog(effect_buffer, self.lifecycle, limits.log_interval)
         self._drain = NodeDrain(effect_buffer, limits, self.lifecycle, self._statistics_log, self.key_leases)
         self.shutdown = ShutdownSchedule(effect_buffer, limits, settings.drain_grace_us, self._drain)
         self._controllers = ControllerHost(
-            effect_buffer, settings, seed, shadow, self.lifecycle, self.fleet, self._load, self.shutdown
+            effect_buffer, settings, seed, shadow, self.admission, self.fleet, self._load, self.shutdown
         )
         self.pool = WorkerPoolClient(
             effect_buffer, limits, addresses.pool, settings.gauges, self.lifecycle, self._controllers
@@ -127,7 +131,7 @@
     def _connect_parts(self) -> None:
         """Set what parts need of others that were made after them."""
         self.lifecycle.connect(self.pool, self.store)
-        self._controllers.connect(self.port, self.store)
+        self._controllers.connect(self.lifecycle, self.port, self.store)
         self._drain.connect(self._controllers, self.shutdown, self.frontends, self.port)
 
     def _input_handlers(self) -> InputHandlers:
@@ -228,7 +232,7 @@
 
     def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
         """Take over an RPC that was read to the end, see `FrontendHost`."""
-        self.lifecycle.accept(rpc, attributes)
+        self.admission.accept(rpc, attributes)
 
     def abandon(self, rpc: NodeRpc) -> None:
         """Handle the loss of an accepted RPC's caller."""
--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -13,7 +13,8 @@
 from finchcart.node.effects import Log
 from finchcart.node.frontend import Frontend
 from finchcart.node.port import CorePort
-from finchcart.node.rpc_lifecycle import KEY_LEASE_MARGIN_US, RpcLifecycle
+from finchcart.node.rpc_admission import KEY_LEASE_MARGIN_US
+from finchcart.node.rpc_lifecycle import RpcLifecycle
 from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.statistics_log import StatisticsLog
 
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -71,68 +71,72 @@
         self._unsent: list[KeyLeaseRequest] = []  # of this turn
         self._end: int | None = None  # all is answered by then: the process is killed
 
-    def request(self, rpc: NodeRpc, attributes: RpcAttributes, due: int, on_resolved: OnResolved) -> None:
-        """Asks for the key lease of an RPC that is not known here.
+    def request(
+        self, rpc: NodeRpc, key: str, attributes: RpcAttributes, due: int, on_resolved: OnResolved
+    ) -> None:
+        """Request the key lease of an RPC that is not known here.
 
         Arguments:
             rpc: which is to run.
-            attributes: as they came with it; it has an idempotency key.
+            key: its idempotency key.
+            attributes: as they came with it.
             due: when it has to be answered at the latest.
             on_resolved: is called once with the outcome, perhaps inside this call.
         """
-        key = key_digest(rpc.method, attributes.idempotency_key)
-        if key in self.waiting or len(self.waiting) >= MAX_WAITING:
+        digest = key_digest(rpc.method, key)
+        if digest in self.waiting or len(self.waiting) >= MAX_WAITING:
             self.counts["no capacity"] += 1
             on_resolved(rpc, attributes, KeyLeaseOutcome.NO_MAJORITY, b"")
             return
-        self.waiting[key] = WaitingRpc(rpc, attributes, on_resolved)
+        self.waiting[digest] = WaitingRpc(rpc, attributes, on_resolved)
         if not self._unsent:
             self.effect_buffer.emit(Defer(KeyLeasesRequested()))  # those of one batch go in one message
-        self._unsent.append(KeyLeaseRequest(key, payload_digest(rpc.body), self.lifetime_us))
+        self._unsent.append(KeyLeaseRequest(digest, payload_digest(rpc.body), self.lifetime_us))
         self.effect_buffer.schedule(
-            due if self._end is None else min(due, self._end), self._time_out, key, rpc
+            due if self._end is None else min(due, self._end), self._time_out, digest, rpc
         )
 
     def send_requests(self) -> None:
-        """Sends the requests of this turn in one message."""
+        """Send the requests of this turn in one message."""
         unsent = self._unsent
         self._unsent = []
         if unsent:
             self.effect_buffer.emit(KeyLeaseCommand(RequestKeyLeases(unsent)))
 
     def end_by(self, when: int) -> None:
-        """Guards against RPCs that the decision module does not know of yet when the kill is due."""
+        """Have all requests resolved by then: the decision module does not know of their RPCs yet."""
         self._end = when
         for key, waiting in self.waiting.items():
             self.effect_buffer.schedule(when, self._time_out, key, waiting.rpc)
 
     def abandon(self, rpc: NodeRpc) -> bool:
-        """Its caller has gone. True where it waited for its key lease: then nothing more is to come of it."""
+        """Handle the loss of the caller; return whether it waited for its key lease, which ends here."""
         key = next((key for key, waiting in self.waiting.items() if waiting.rpc is rpc), None)
         if key is not None:
             self._abandon_request(key)
         return key is not None
 
     def answered(self, key: bytes, outcome: KeyLeaseOutcome, result: bytes, run_by: int | None) -> None:
-        """What the request for a key came to; see `KeyLeaseAnswered`."""
+        """Handle the answer to the request for a key; see `KeyLeaseAnswered`."""
         waiting = self.waiting.pop(key, None)
         if waiting is None:
             if outcome is KeyLeaseOutcome.GRANTED:
                 self._release(key)  # nobody waits for it any more
             return
         rpc = waiting.rpc
-        if outcome is KeyLeaseOutcome.GRANTED and (not rpc.response_pending or self.now_us >= run_by):
-            self._release(key)
-            outcome = KeyLeaseOutcome.NO_MAJORITY
-        self.counts[COUNTED_AS[outcome]] += 1
         if outcome is KeyLeaseOutcome.GRANTED:
-            self.held[rpc.index] = HeldKeyLease(key, run_by)
+            if run_by is not None and rpc.response_pending and self.now_us < run_by:
+                self.held[rpc.index] = HeldKeyLease(key, run_by)
+            else:
+                self._release(key)
+                outcome = KeyLeaseOutcome.NO_MAJORITY
+        self.counts[COUNTED_AS[outcome]] += 1
         if outcome is KeyLeaseOutcome.NO_MAJORITY and waiting.attributes.is_retry:
             outcome = KeyLeaseOutcome.FAILED  # an earlier attempt may have run elsewhere
         waiting.on_resolved(rpc, waiting.attributes, outcome, result)
 
     def may_run(self, index: int) -> bool:
-        """The last look at the clock before the command. RPCs that need no key lease may always run."""
+        """Return whether a run may be commanded now. RPCs that need no key lease may always run."""
         lease = self.held.get(index)
         if lease is None or self.now_us < lease.run_by:
             return True
@@ -140,7 +144,7 @@
         return False
 
     def run_ended(self, index: int, succeeded: bool, result: bytes) -> None:
-        """The run of an RPC is over."""
+        """Handle the end of an RPC's run."""
         lease = self.held.pop(index, None)
         if lease:
             self.effect_buffer.emit(
@@ -148,7 +152,7 @@
             )
 
     def release(self, index: int) -> None:
-        """The RPC won't run, where it has not."""
+        """Release the key lease of an RPC that will not run, where it has not."""
         lease = self.held.pop(index, None)
         if lease:
             self._release(lease.key)
@@ -157,7 +161,7 @@
         self.effect_buffer.emit(KeyLeaseCommand(ReleaseKeyLease(key)))
 
     def _abandon_request(self, key: bytes) -> None:
-        """Nobody waits for it any more."""
+        """Withdraw a request that nobody waits for any more."""
         del self.waiting[key]
         unsent = len(self._unsent)
         self._unsent = [request for request in self._unsent if request.key != key]
@@ -166,7 +170,7 @@
             self._release(key)
 
     def _time_out(self, key: bytes, rpc: NodeRpc) -> None:
-        """No answer in time. The RPC never ran here, but a duplicate may have, elsewhere."""
+        """Resolve a request without an answer: the RPC never ran here, a duplicate may have elsewhere."""
         waiting = self.waiting.get(key)
         if waiting and waiting.rpc is rpc:
             self._abandon_request(key)
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from finchcart.decisions.rpc import RpcHandle
+from finchcart.node.controller_interface import ControlledRpc
 from finchcart.node.key_entry import KeyEntry
 
 NOT_ACCEPTED = -1  # the index of an RPC that was not accepted yet
@@ -104,7 +104,7 @@
         self.body = body
         self.index = NOT_ACCEPTED
         self.key_entry: KeyEntry | None = None  # of its idempotency key
-        self.handle: RpcHandle | None = None  # of the decision module; None until it is admitted there
+        self.handle: ControlledRpc | None = None  # of the decision module; None until it is admitted there
         self.response_pending = True
         self.arrival_uncertainty_us = 0
         self.started = False  # the decision module had it run
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -1,40 +1,36 @@
-"""The life of each RPC, from a frontend's hand-over until the decision module releases it.
+"""The open RPCs: their runs, their calls and their final answers, until the decision module releases them.
 
 Owns the open RPCs. It must never do I/O, know a frontend's protocol or decide about an RPC: decisions come
-from the decision module through port.py.
+from the decision module through port.py. How an RPC is admitted: rpc_admission.py.
 """
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from finchcart.decisions.arrival import FleetQuota, RpcArrival
 from finchcart.decisions.outcome import Outcome
-from finchcart.errors import InvalidRpcError
+from finchcart.node.controller_interface import ControlledRpc
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.fleet import FleetView
-from finchcart.node.idempotency import IdempotencyCache, digest_of
-from finchcart.node.inputs import KeyLeaseOutcome
+from finchcart.node.idempotency import IdempotencyCache
 from finchcart.node.key_entry import NoResult
 from finchcart.node.methods import MethodInfo
-from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc, RpcAttributes
+from finchcart.node.rpc import AwaitedCall, FinalOutcome, NodeRpc
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
 
-if TYPE_CHECKING:
-    from finchcart.decisions.controller import NodeController
+if TYPE_CHECKING:  # not imported where no fleet is configured
     from finchcart.node.key_leases import KeyLeaseGate
 
-KEY_LEASE_MARGIN_US = 200_000  # before an RPC is due its key lease is waited for no longer
-NO_MAJORITY_RETRY_US = 200_000  # when to come back where no majority answers
-UNKNOWN_INDEX = -1  # of the first RPC of a key, where that is no longer known here
-
 
 class RpcLifecycle:
-    """The open RPCs by index, and the indices by the worker pool's names.
+    """The open RPCs by index, and the indices by the worker pool's names. Times are whole microseconds.
 
     Bounds: the decision module's memory and limits; an entry ends with `release`.
     """
 
+    pool: WorkerPoolClient  # set by `connect`
+    store: StoreClient
+
     def __init__(
         self,
         effect_buffer: EffectBuffer,
@@ -50,102 +46,29 @@
         self.key_leases = key_leases
         self.rpcs: dict[int, NodeRpc] = {}
         self.index_by_name: dict[str, int] = {}
-        self.pool: WorkerPoolClient | None = None
-        self.store: StoreClient | None = None
-        self.controller: NodeController | None = None  # from the worker pool's start on
         self._next_index = 0
 
     def connect(self, pool: WorkerPoolClient, store: StoreClient) -> None:
-        """Where runs and calls go: both report back to this object."""
+        """Set where runs and calls go: called once, before the first input."""
         self.pool = pool
         self.store = store
 
-    # ---- Admission
-
-    def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
-        """Takes over an RPC that was read to the end, see `FrontendHost.accept`."""
-        key = attributes.idempotency_key
-        rpc.arrival_uncertainty_us = attributes.arrival_uncertainty_us
-        if rpc.name in self.index_by_name:
-            raise InvalidRpcError(f"name {rpc.name!r}: in use by an open RPC")
-        if key is None:
-            self._open(rpc)
-            self._admit(rpc, attributes)
-            return
-        digest = digest_of(rpc.body)
-        if self.idempotency.is_payload_mismatch((rpc.method, key), digest):
-            # Guards against a result that is shared with what is no retry of the same RPC.
-            raise InvalidRpcError("body: not that of the other tries with this key")
-        self._open(rpc)
-        rpc.key_entry, is_duplicate = self.idempotency.entry_for(
-            (rpc.method, key), rpc.index, digest, attributes.arrived_at
-        )
-        if is_duplicate:
-            first = rpc.key_entry.index
-            self._admit(rpc, attributes, duplicate_of=first if first in self.rpcs else UNKNOWN_INDEX)
-        elif self.key_leases:
-            due = attributes.arrived_at + self.methods[rpc.method].deadline_us - KEY_LEASE_MARGIN_US
-            self.key_leases.request(
-                rpc, attributes, max(self.effect_buffer.now, due), self.key_lease_resolved
-            )
-        else:
-            self._admit(rpc, attributes)
-
-    def _open(self, rpc: NodeRpc) -> None:
+    def open(self, rpc: NodeRpc) -> None:
+        """Give an accepted RPC its index, and keep it until `release`."""
         rpc.index = self._next_index
         self._next_index += 1
         self.rpcs[rpc.index] = rpc
         self.index_by_name[rpc.name] = rpc.index
 
-    def key_lease_resolved(
-        self, rpc: NodeRpc, attributes: RpcAttributes, outcome: KeyLeaseOutcome, result: bytes
-    ) -> None:
-        """A request for a key lease is answered: the RPC goes to the decision module, or ended elsewhere."""
-        if outcome is KeyLeaseOutcome.GRANTED:
-            self._admit(rpc, attributes)
-        elif outcome is KeyLeaseOutcome.NO_MAJORITY and rpc.response_pending:
-            # It never ran: rejected.
-            self._admit(rpc, attributes, quota=FleetQuota(0, 0, NO_MAJORITY_RETRY_US))
-        else:
-            rpc.completed = True
-            rpc.body = b""
-            if outcome is KeyLeaseOutcome.ENDED:
-                self.answer(rpc, FinalOutcome.OK, result)
-            else:
-                self.answer(rpc, FinalOutcome.FAILED)
-            self.release(rpc.index)
-
-    def _admit(
-        self,
-        rpc: NodeRpc,
-        attributes: RpcAttributes,
-        duplicate_of: int | None = None,
-        quota: FleetQuota | None = None,
-    ) -> None:
-        """Hands an RPC to the decision module; `quota` goes before what the fleet leaves."""
-        now = self.effect_buffer.now
-        limiters = ()
-        if self.fleet.limits_rpcs and duplicate_of is None:
-            fleet_quota, limiters = self.fleet.quota_for(rpc.method, attributes)
-            quota = quota or fleet_quota
-        arrival = RpcArrival(
-            rpc.method,
-            attributes.memory_kb,
-            attributes.caller,
-            attributes.expires_at,
-            waited=now - attributes.arrived_at,
-            shed_rank=attributes.shed_rank,
-            service_time_hint=attributes.cost_hint_us,
-            is_retry=attributes.is_retry,
-            duplicate_of=duplicate_of,
-            quota=quota,
-        )
-        rpc.handle = self.controller.admit(now, rpc.index, arrival)
-        if rpc.response_pending:
-            for limiter in limiters:
-                limiter.try_acquire(rpc)
+    def release(self, index: int) -> None:
+        """Forget an RPC."""
+        rpc = self.rpcs.pop(index)
+        if self.key_leases:
+            self.key_leases.release(index)  # where it ran, that was reported
+        if self.index_by_name.get(rpc.name) == index:
+            del self.index_by_name[rpc.name]
 
-    # ---- The answer
+    # ---- The final answer
 
     def answer(
         self,
@@ -155,7 +78,7 @@
         retry_after_us: int = 0,
         do_not_retry: bool = False,
     ) -> None:
-        """Gives the final answer, where it is still owed; see `Frontend.send_final_answer`."""
+        """Send the final answer where it is still pending; see `AnswerReceiver.send_final_answer`."""
         if rpc.response_pending:
             rpc.response_pending = False
             self.effect_buffer.statistics.count(f"RPCs {outcome.value}")
@@ -163,7 +86,7 @@
             rpc.frontend.send_final_answer(rpc, outcome, result, retry_after_us, do_not_retry)
 
     def abandon(self, rpc: NodeRpc) -> None:
-        """The caller has gone: nothing is owed, and the frontend is not notified."""
+        """Handle the loss of an RPC's caller: no response is pending, and the frontend is not notified."""
         rpc.response_pending = False
         self.effect_buffer.statistics.count("RPCs abandoned")
         self.store.drop(rpc)
@@ -174,25 +97,38 @@
             self.release(rpc.index)
 
     def release_limits(self, rpc: NodeRpc) -> None:
-        """It is counted by no limiter any more, where nothing of it runs."""
+        """Have no limiter count the RPC any more, where nothing of it runs."""
         if rpc.counted_by and not rpc.is_running:
             for limiter in rpc.counted_by:
                 limiter.count -= 1
             rpc.counted_by = None
 
     def any_response_pending(self) -> bool:
-        """Whether a final answer is owed to anybody."""
+        """Return whether any final answer is pending."""
         return any(rpc.response_pending for rpc in self.rpcs.values())
 
     # ---- Runs: see RunListener
 
     def find_running(self, name: str) -> NodeRpc | None:
-        """The RPC of that name whose run is not completed, or None."""
-        rpc = self.rpcs.get(self.index_by_name.get(name))
+        """Return the RPC of that name whose run is not completed, or None."""
+        index = self.index_by_name.get(name)
+        rpc = None if index is None else self.rpcs.get(index)
         return rpc if rpc and rpc.started and not rpc.completed else None
 
+    def running_rpcs(self) -> list[NodeRpc]:
+        """Return the RPCs that were started and are not completed."""
+        return [rpc for rpc in self.rpcs.values() if rpc.is_running]
+
+    def longest_run_us(self, rpc: NodeRpc) -> int:
+        """Return how long an unconfirmed run counts: nobody waits for it longer than its deadline."""
+        return self.methods[rpc.method].deadline_us
+
+    def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
+        """Answer a run that ended and may have been started once more, without a wait for that."""
+        self.answer(rpc, FinalOutcome.OK if outcome is Outcome.OK else FinalOutcome.FAILED, result)
+
     def run_ended(self, rpc: NodeRpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
-        """A run, or the wait of a duplicate, is over: answers first, then tells the decision module."""
+        """Handle the end of a run, or of a duplicate's wait: answer, then report to the decision module."""
         succeeded = outcome is Outcome.OK
         rpc.completed = True
         rpc.awaited_call = None
@@ -208,75 +144,66 @@
             self.answer(rpc, FinalOutcome.FAILED)
         self.fleet.run_ended(outcome, spent_us)
         if self.key_leases:
-            if outcome is Outcome.NOT_STARTED:
-                self.key_leases.release(rpc.index)
-            else:
-                self.key_leases.run_ended(rpc.index, succeeded, result)
+            self._settle_key_lease(self.key_leases, rpc, outcome, result)
         if rpc.key_entry and rpc.key_entry.index == rpc.index:
             self.idempotency.complete(rpc.key_entry, result if succeeded else NoResult.FAILED)
-        rpc.handle.run_ended(self.effect_buffer.now, outcome, spent_us)
+        _handle_of(rpc).run_ended(self.effect_buffer.now, outcome, spent_us)
 
     def run_not_started(self, index: int) -> None:
-        """A run was not commanded, as its key lease had expired: it never ran."""
+        """Handle a run that was not commanded, as its key lease had expired: it never ran."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.is_running:
             self.run_ended(rpc, Outcome.NOT_STARTED, 0, b"")
 
+    def run_lost(self, rpc: NodeRpc) -> None:
+        """Handle a run that the worker pool has lost."""
+        self.run_ended(rpc, Outcome.STOPPED, 0, b"")
+
     def duplicate_ready(self, index: int) -> None:
-        """The first RPC of a duplicate's key is completed: the duplicate gets its result."""
+        """Answer a duplicate as the first RPC of its key, which is completed."""
         rpc = self.rpcs.get(index)
-        if rpc is None or rpc.completed or rpc.joined_at is None:
+        if rpc is None or rpc.completed or rpc.joined_at is None or rpc.key_entry is None:
             return
+        waited_us = self.effect_buffer.now - rpc.joined_at
         result = rpc.key_entry.result
-        outcome = Outcome.OK if isinstance(result, bytes) else Outcome.ERROR
-        self.run_ended(rpc, outcome, self.effect_buffer.now - rpc.joined_at, result)
-
-    def running_rpcs(self) -> list[NodeRpc]:
-        """The RPCs that were started and are not completed."""
-        return [rpc for rpc in self.rpcs.values() if rpc.is_running]
-
-    def longest_run_us(self, rpc: NodeRpc) -> int:
-        """How long an unconfirmed run may go on: nobody waits for it longer than its deadline."""
-        return self.methods[rpc.method].deadline_us
-
-    def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
-        """The run is over and may have been started once more: its answer does not wait for that."""
-        self.answer(rpc, FinalOutcome.OK if outcome is Outcome.OK else FinalOutcome.FAILED, result)
+        if isinstance(result, NoResult):
+            self.run_ended(rpc, Outcome.ERROR, waited_us, b"")
+        else:
+            self.run_ended(rpc, Outcome.OK, waited_us, result)
 
-    def run_lost(self, rpc: NodeRpc) -> None:
-        """The worker pool has lost a run: it is answered."""
-        self.run_ended(rpc, Outcome.STOPPED, 0, b"")
+    @staticmethod
+    def _settle_key_lease(key_leases: "KeyLeaseGate", rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
+        if outcome is Outcome.NOT_STARTED:
+            key_leases.release(rpc.index)
+        else:
+            key_leases.run_ended(rpc.index, outcome is Outcome.OK, result)
 
     # ---- Calls
 
     def awaiting_call(self, rpc: NodeRpc, cursor: int, body: bytes) -> None:
-        """A run awaits a call: the decision module has it made, or left out."""
+        """Handle a run that awaits a call: the decision module has it made, or left out."""
         rpc.awaited_call = AwaitedCall(cursor, body)
         self.fleet.call_awaited()
-        rpc.handle.awaiting_call(self.effect_buffer.now)
+        _handle_of(rpc).awaiting_call(self.effect_buffer.now)
 
     def call_ended(self, rpc: NodeRpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
-        """A call is over; its run goes on with the reply."""
+        """Handle the end of a call; its run goes on with the reply."""
         if outcome is Outcome.OK and rpc.awaited_call:
             cursor = rpc.awaited_call.cursor
             rpc.awaited_call = None
             can_degrade = self.methods[rpc.method].degraded_value > 0
             self.pool.reply(rpc, cursor, body, can_degrade)
         self.fleet.call_ended(outcome, spent_us, rpc.call_time_cut)
-        rpc.handle.call_ended(self.effect_buffer.now, outcome, spent_us)
+        _handle_of(rpc).call_ended(self.effect_buffer.now, outcome, spent_us)
 
     def call_not_made(self, index: int) -> None:
-        """A call was not made, for want of capacity or of an address: it never ran."""
+        """Handle a call that was not made, for want of capacity or of an address: it never ran."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.awaited_call and rpc.call_connection is None:
-            rpc.handle.call_ended(self.effect_buffer.now, Outcome.REJECTED, 0)
+            _handle_of(rpc).call_ended(self.effect_buffer.now, Outcome.REJECTED, 0)
 
-    # ---- The end
 
-    def release(self, index: int) -> None:
-        """Forgets an RPC."""
-        rpc = self.rpcs.pop(index)
-        if self.key_leases:
-            self.key_leases.release(index)  # where it ran, that was reported
-        if self.index_by_name.get(rpc.name) == index:
-            del self.index_by_name[rpc.name]
+def _handle_of(rpc: NodeRpc) -> ControlledRpc:
+    """Return the handle of an admitted RPC: nothing of any other one runs."""
+    assert rpc.handle is not None, f"RPC {rpc.index}: not admitted"
+    return rpc.handle
