--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -14,7 +14,7 @@
 
 from collections import Counter
 from collections.abc import Callable
-from typing import NamedTuple, TypeVar
+from typing import TypeVar
 
 from finchcart.decisions.arrival import RpcArrival
 from finchcart.decisions.controller import NodeController
@@ -23,6 +23,7 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import RpcHandle, RpcState
+from finchcart.node.recording_port import RecordedDecisions, RecordingPort
 from finchcart.node.supported_settings import ShadowSettings
 
 # What is counted, in the words of the log line.
@@ -39,61 +40,6 @@
 MAX_FAULT_CHARACTERS = 200  # of a fault in its log line
 
 
-class Decisions(NamedTuple):
-    """What was decided of one RPC."""
-
-    rejection: tuple | None  # what its rejection advised; None: it was not rejected
-    failed_or_paused: bool
-
-
-class RecordingPort:
-    """A port that records what is answered and published, and passes it all on to `port` where there is one.
-
-    Bounds: what is recorded of an RPC is taken away as that is over.
-    """
-
-    def __init__(self, port: Port | None = None) -> None:
-        self.port = port
-        self.enabled = True
-        self.rejections: dict[int, tuple] = {}  # by index
-        self.failed_or_paused: set[int] = set()  # indices
-        self.feedback: float | None = None  # the shed level or credit that was published last
-        self.healthy = True
-
-    def __getattr__(self, verb: str) -> Callable[..., None]:
-        """Any verb of a port."""
-
-        def act(*arguments: object) -> None:
-            if self.enabled:
-                self._record(verb, arguments)
-            if self.port:
-                getattr(self.port, verb)(*arguments)
-
-        return act
-
-    def _record(self, verb: str, arguments: tuple) -> None:
-        if verb == "reject":
-            self.rejections[arguments[0]] = arguments[1:]
-        elif verb in ("fail", "stop"):
-            self.failed_or_paused.add(arguments[0])
-        elif verb in ("set_shed_level", "set_credit"):
-            self.feedback = arguments[0]
-        elif verb == "set_health":
-            self.healthy = arguments[0]
-
-    def take(self, index: int) -> Decisions:
-        """What was recorded of an RPC, and is no longer."""
-        failed_or_paused = index in self.failed_or_paused
-        self.failed_or_paused.discard(index)
-        return Decisions(self.rejections.pop(index, None), failed_or_paused)
-
-    def disable(self) -> None:
-        """Records nothing from here on: nobody would take it away."""
-        self.enabled = False
-        self.rejections = {}
-        self.failed_or_paused = set()
-
-
 class ShadowedHandle:
     """The handle of one RPC: both instances are notified of what happens to it."""
 
@@ -104,21 +50,29 @@
         self.active = active
         self.shadow: RpcHandle | None = None
 
-    def run_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
-        """Its run, or its wait as a duplicate, is over."""
-        self.owner.notify_both(self.active, self.shadow, "run_ended", now, outcome, spent_us)
+    def run_ended(self, now: int, outcome: Outcome, spent: int) -> None:
+        """Report the end of its run, or of its wait as a duplicate."""
+        self.active.run_ended(now, outcome, spent)
+        if self.shadow is not None:
+            self.owner.mirror(now, self.shadow.run_ended, now, outcome, spent)
 
     def caller_gone(self, now: int) -> None:
-        """Its caller has gone."""
-        self.owner.notify_both(self.active, self.shadow, "caller_gone", now)
+        """Report the loss of its caller."""
+        self.active.caller_gone(now)
+        if self.shadow is not None:
+            self.owner.mirror(now, self.shadow.caller_gone, now)
 
     def awaiting_call(self, now: int) -> None:
-        """Its run awaits a call."""
-        self.owner.notify_both(self.active, self.shadow, "awaiting_call", now)
+        """Report that its run awaits a call."""
+        self.active.awaiting_call(now)
+        if self.shadow is not None:
+            self.owner.mirror(now, self.shadow.awaiting_call, now)
 
-    def call_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
-        """Its call is over."""
-        self.owner.notify_both(self.active, self.shadow, "call_ended", now, outcome, spent_us)
+    def call_ended(self, now: int, outcome: Outcome, spent: int) -> None:
+        """Report the end of its call."""
+        self.active.call_ended(now, outcome, spent)
+        if self.shadow is not None:
+            self.owner.mirror(now, self.shadow.call_ended, now, outcome, spent)
 
 
 class ShadowController:
@@ -150,10 +104,10 @@
         )
 
     def _guarded(self, act: Callable[..., T], *arguments: object, **keywords: object) -> T | None:
-        """Guards the active instance against faults of the shadow: they end the watching alone."""
+        """Have the shadow act; its faults end the watching, and never reach the active instance."""
         try:
             return act(*arguments, **keywords)
-        except Exception as error:
+        except Exception as error:  # guards against any fault of the shadow: the active one goes on
             self.shadow = None
             self.handles.clear()
             self.port.disable()
@@ -161,18 +115,10 @@
             self.log(text[:MAX_FAULT_CHARACTERS])
             return None
 
-    def notify_both(
-        self,
-        active: NodeController | RpcHandle,
-        shadow: NodeController | RpcHandle | None,
-        method: str,
-        now: int,
-        *arguments: object,
-    ) -> None:
-        """Calls the method of both, the active one's first."""
-        getattr(active, method)(now, *arguments)
+    def mirror(self, now: int, act: Callable[..., None], *arguments: object) -> None:
+        """Have the shadow do what the active one did, and compare what is completed."""
         if self.shadow:
-            self._guarded(getattr(shadow, method), now, *arguments)
+            self._guarded(act, *arguments)
         self._settle(now)
 
     # ---- As NodeController has it
@@ -185,19 +131,27 @@
     def start(self, now: int) -> None:
         """See `NodeController`."""
         self.logged_at = now
-        self.notify_both(self.active, self.shadow, "start", now)
+        self.active.start(now)
+        if self.shadow:
+            self.mirror(now, self.shadow.start, now)
 
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
         """See `NodeController`."""
-        self.notify_both(self.active, self.shadow, "worker_pool_restarted", now, cold)
+        self.active.worker_pool_restarted(now, cold)
+        if self.shadow:
+            self.mirror(now, self.shadow.worker_pool_restarted, now, cold)
 
     def drain(self, now: int, kill_at: int) -> None:
         """See `NodeController`."""
-        self.notify_both(self.active, self.shadow, "drain", now, kill_at)
+        self.active.drain(now, kill_at)
+        if self.shadow:
+            self.mirror(now, self.shadow.drain, now, kill_at)
 
     def on_timer(self, now: int, gauges: Gauges) -> None:
         """See `NodeController`; also counts what is published otherwise, and logs the counts each period."""
-        self.notify_both(self.active, self.shadow, "on_timer", now, gauges)
+        self.active.on_timer(now, gauges)
+        if self.shadow:
+            self.mirror(now, self.shadow.on_timer, now, gauges)
         self.counts[FEEDBACK] += self.port.feedback != self.shadow_port.feedback
         self.counts[HEALTH] += self.port.healthy != self.shadow_port.healthy
         if self.shadow and now - self.logged_at >= self.period_us:
@@ -221,7 +175,7 @@
     # ---- The comparison
 
     def _settle(self, now: int) -> None:
-        """Compares what is completed for the active instance, and ends it for the shadow too."""
+        """Compare what is completed for the active instance, and end it for the shadow too."""
         completed = [
             index for index, handle in self.handles.items() if handle.active.state is RpcState.COMPLETED
         ]
@@ -230,10 +184,11 @@
                 return  # one of those before it was the shadow's end
             handle = self.handles.pop(index).shadow
             self._compare(self.port.take(index), self.shadow_port.take(index))
-            self._end_in_shadow(handle, now)
+            if handle is not None:
+                self._end_in_shadow(handle, now)
             self.shadow_port.take(index)  # of what ended it
 
-    def _compare(self, active: Decisions, shadow: Decisions) -> None:
+    def _compare(self, active: RecordedDecisions, shadow: RecordedDecisions) -> None:
         rejected = active.rejection is not None
         would_reject = shadow.rejection is not None
         self.counts[ADMITTED_WOULD_REJECT] += would_reject and not rejected
