--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -38,6 +38,8 @@
 MICROSECONDS_PER_SECOND = 1e6
 CLOCK_CHANGE_US = 1_000  # a smaller change between the two clocks is not worth an input
 
+EffectHandlers = dict[type[effects.Effect], Callable[..., None]]
+
 
 class EventLoop:
     """Turn after turn, until the core asks for the end.
@@ -73,10 +75,10 @@
         self._last_turn_at = 0
         self._awake_since = 0  # the thread took turns from then on, with no gap
 
-    def _effect_handlers(self, fleet: "FleetParticipant | None") -> dict[type, Callable[..., None]]:
-        """What carries out each effect but `End`; called with the effect's fields."""
+    def _effect_handlers(self, fleet: "FleetParticipant | None") -> EffectHandlers:
+        """Return what carries out each effect but `End`; called with the effect's fields."""
         connections = self._connections
-        handlers: dict[type, Callable[..., None]] = {
+        handlers: EffectHandlers = {
             effects.Read: connections.request_batch,
             effects.Send: connections.send,
             effects.SendBefore: connections.send_before,
@@ -166,10 +168,9 @@
 
     def _prepare(self, received: Input) -> Input:
         """Make of an input what the core sees: frames are decoded, and a configuration is read."""
-        kind = type(received)
-        if kind is FramesReceived:
+        if isinstance(received, FramesReceived):
             return self._decode(received)
-        if kind is ReloadConfig:
+        if isinstance(received, ReloadConfig):
             return self._reread_config() or TimersDue()
         return received
 
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -75,7 +75,7 @@
         raise ConfigError(f"{path}: {type(error).__name__}: {str(error)[:MAX_ERROR_LENGTH]}") from None
 
 
-def reread_config(path: str, used: NodeConfig) -> AddressesChanged | None:
+def reread_config(path: str | None, used: NodeConfig) -> AddressesChanged | None:
     """Read the configuration once more, as an input; None where it cannot be used, which is logged."""
     try:
         config = read_config(path)
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -38,7 +38,11 @@
 EXIT_FAULT = 1
 EXIT_NOT_STARTED = 2
 FRONTEND = "thrift"
-NOTICES = {signal.SIGTERM: Drain, signal.SIGINT: Drain, signal.SIGHUP: ReloadConfig}
+NOTICES: dict[int, type[Drain] | type[ReloadConfig]] = {
+    signal.SIGTERM: Drain,
+    signal.SIGINT: Drain,
+    signal.SIGHUP: ReloadConfig,
+}
 
 Inputs = SimpleQueue[Input]
 JoinFleet = Callable[[Inputs, str], "FleetParticipant | None"]
@@ -106,13 +110,14 @@
 def _configure_threads(inputs: Inputs, stack_size: int) -> None:
     """Set the stacks of threads, in bytes, and what happens when one dies.
 
-    No thread dies in silence: the node ends rather than lose what its connection was owed.
+    No thread dies without a log line: the node ends rather than lose a response that is pending.
     """
 
     def on_death(fault: threading.ExceptHookArgs) -> None:
         exception = fault.exc_type, fault.exc_value, fault.exc_traceback
-        logger.opt(exception=exception).error("thread {} died", fault.thread.name)
-        inputs.put(ThreadDied(fault.thread.name))
+        name = fault.thread.name if fault.thread else "unknown"
+        logger.opt(exception=exception).error("thread {} died", name)
+        inputs.put(ThreadDied(name))
 
     threading.stack_size(stack_size)
     threading.excepthook = on_death
@@ -137,8 +142,7 @@
         fleet.start()
     try:
         loop.run()
-    except Exception:
-        # Guards against serving wrongly: state that an exception went through is not trusted any more.
+    except Exception:  # guards against serving on with state that an exception left half changed
         logger.exception("the node's state can't be trusted, ending")
         return EXIT_FAULT
     if fleet:
