--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -14,6 +14,7 @@
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.node.worker_pool.command_journal import CommandJournal
 from finchcart.node.worker_pool.unconfirmed_runs import UnconfirmedRuns
+from finchcart.node_process import exit_process, run_node
 from finchcart.thrift.frontend import ThriftFrontend
 
 VARIABLE = "FINCHCART_PLANT"
@@ -109,9 +110,7 @@
 def main() -> None:
     """Plant the defect, and run a node."""
     DEFECTS[os.environ[VARIABLE]]()
-    from finchcart.__main__ import start
-
-    start()
+    exit_process(run_node())
 
 
 if __name__ == "__main__":
--- a/finchcart/cli/queries.py
+++ b/finchcart/fleet_queries.py
@@ -67,7 +67,7 @@
 
 def send_override(
     address: Address,
-    subject: tuple,
+    subject: int,
     value: int,
     lifetime_s: float,
     reason: str,
--- a/finchcart/node/connection_dispatch.py
+++ b/finchcart/node/connection_dispatch.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping, Sequence
 from typing import cast
 
+from finchcart.errors import ProtocolError
 from finchcart.node.arrivals import ArrivalClock
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Drop
@@ -58,11 +59,11 @@
         if owner:
             owner.connection_refused(connection, reason)
 
-    def on_ended(self, connection: int, reason: str) -> None:
+    def on_ended(self, connection: int, fault: ProtocolError | None) -> None:
         """Handle the end of what is read."""
         owner = self._owners.get(connection)
         if owner:
-            owner.connection_ended(connection, reason)
+            owner.connection_ended(connection, fault)
 
     def on_write_blocked(self, connection: int) -> None:
         """Handle a peer that does not read."""
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -11,6 +11,7 @@
 from heapq import heappop, heappush
 from typing import Any, Protocol, TypeVar
 
+from finchcart.errors import ProtocolError
 from finchcart.node.effects import Connect, Effect, Log
 from finchcart.node.fault_log import FaultLog
 from finchcart.node.inputs import Input
@@ -37,8 +38,8 @@
     def connection_refused(self, connection: int, reason: str) -> None:
         """Handle a connection of the node's own that was never established."""
 
-    def connection_ended(self, connection: int, reason: str) -> None:
-        """Handle the end of what is read; `reason` is empty where the peer closed."""
+    def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
+        """Handle the end of what is read; `fault` is None where the peer closed."""
 
     def connection_closed(self, connection: int) -> None:
         """Handle a connection that is gone."""
--- a/finchcart/node/recording_port.py
+++ b/finchcart/node/recording_port.py
@@ -6,6 +6,7 @@
 from typing import NamedTuple
 
 from finchcart.decisions.port import Port
+from finchcart.decisions.rejection_reason import RejectionReason
 
 
 class RejectionAdvice(NamedTuple):
@@ -50,12 +51,12 @@
 
     # ---- Verbs that are recorded
 
-    def reject(self, index: int, retry_after: int, do_not_retry: bool) -> None:
+    def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
         """Record the rejection and its advice."""
         if self.enabled:
             self.rejections[index] = RejectionAdvice(retry_after, do_not_retry)
         if self.port:
-            self.port.reject(index, retry_after, do_not_retry)
+            self.port.reject(index, reason, retry_after, do_not_retry)
 
     def fail(self, index: int) -> None:
         """Record the failure."""
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Callable, Sequence
 
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Log, Read
@@ -122,17 +123,17 @@
         if connection == self.connection.number:
             self._lose_connection(reason)
 
-    def connection_ended(self, connection: int, reason: str) -> None:
+    def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
         """Connect again."""
         if connection != self.connection.number:
             return
-        if reason and self.connection.state is ConnectionState.BOUND:
+        if fault is not None and self.connection.state is ConnectionState.BOUND:
             # Guards against a notice that can't be read and comes again right after each bind. Once it may
             # have been damaged on its way; the second time it is passed over, and its run answered in time.
             is_settling = self.commands.settlement_ticket is not None
             if self.cursor.is_unreadable_again() and is_settling:
                 self.notices.unreadable()
-        self._lose_connection(reason)
+        self._lose_connection(str(fault or ""))
 
     def connection_closed(self, connection: int) -> None:
         """Do nothing: the connection was given up before."""
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -10,8 +10,6 @@
 import msgspec
 import pytest
 
-from finchcart.cli.settings_file import check_settings
-from finchcart.cli.settings_schema import consensus_config
 from finchcart.consensus import active_decisions, decision, subjects
 from finchcart.consensus.active_decisions import ActiveDecision
 from finchcart.consensus.config import SECOND, ConsensusConfig, config_errors, config_warnings
@@ -43,6 +41,8 @@
 from finchcart.fault_injection.consensus.simulation import ConsensusSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, encode_value, name_hash
+from finchcart.fleet_settings.configs import consensus_config
+from finchcart.fleet_settings.file import check_settings
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.gossip import GossipEntryStore
 from finchcart.membership.member import Member
@@ -56,8 +56,8 @@
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
 from tests.core_harness import CoreHarness
+from tests.decision_runs import PLAIN, one_step
 from tests.harness import MS, Node, draw_settings
-from tests.test_control import PLAIN, one_step
 from tests.test_core import GAUGES, plain_harness, play
 
 CONFIG = ConsensusConfig()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -5,6 +5,7 @@
 import pytest
 
 from finchcart.decisions.outcome import Outcome
+from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.membership.effects import MemberChanged
 from finchcart.membership.records import MemberState
@@ -145,7 +146,7 @@
             store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
             assert rpc.call_connection == connection and store.connections[connection].retired
         elif chance < 0.16:
-            store.connection_ended(connection, "cut")
+            store.connection_ended(connection, ProtocolError("cut"))
         elif chance < 0.18:
             store.drop(rpc)
             self.ended.append(rpc.index)
@@ -203,7 +204,7 @@
     host.rpcs = {safe.name: safe, effect.name: effect}
     pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
     pool.commands.send(effect, b"run effect", None)
-    pool.connection_ended(pool.connection.number, "")
+    pool.connection_ended(pool.connection.number, None)
     effect_buffer.begin(effect_buffer.now + 1_000 * MS)
     pool.message_received(pool.connection.number, Subscribed(False, 1_005_000))
     settle = pool.commands.settlement_ticket
@@ -276,7 +277,11 @@
         link = rng.choice((-2, -1, 1, 2))
         words.append(
             rng.choice(
-                (MessagesReceived(link, [n], n), ConnectionEnded(link, f"{n}"), CloseAttempted(link, n))
+                (
+                    MessagesReceived(link, [n], n),
+                    ConnectionEnded(link, ProtocolError(f"{n}")),
+                    CloseAttempted(link, n),
+                )
             )
         )
     rng.shuffle(words)
