--- a/finchcart/node/arrivals.py
+++ b/finchcart/node/arrivals.py
@@ -11,27 +11,23 @@
 class ArrivalClock:
     """Turns the Unix times of one batch into arrivals. Times are whole microseconds."""
 
-    __slots__ = ("_effect_buffer", "_max_clock_lead_us", "_not_before", "_received_at", "_wall_clock")
+    __slots__ = ("_effect_buffer", "_max_clock_lead_us", "_wall_clock", "not_before", "received_at")
 
     def __init__(self, effect_buffer: EffectBuffer, max_clock_lead_us: int) -> None:
         self._effect_buffer = effect_buffer
         self._max_clock_lead_us = max_clock_lead_us
         self._wall_clock = WallClockHistory()
-        self._received_at = 0  # of the batch at hand
-        self._not_before = 0
-
-    def begin_batch(self, received_at: int, not_before: int) -> None:
-        """Begin a batch that was received then, and reached the machine not before that moment."""
-        self._received_at = received_at
-        self._not_before = not_before
+        # Of the batch at hand, set by connection_dispatch.py.
+        self.received_at = 0
+        self.not_before = 0  # it reached the machine at this moment at the earliest
 
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
         """Return when an RPC of the batch at hand with that Unix time arrived, see `FrontendHost`."""
         now = self._effect_buffer.now
         return self._wall_clock.arrival(
             stamp,
-            self._not_before,
-            min(self._received_at, now),
+            self.not_before,
+            min(self.received_at, now),
             now - late_read_us,
             self._max_clock_lead_us,
         )
--- a/finchcart/node/connection_dispatch.py
+++ b/finchcart/node/connection_dispatch.py
@@ -45,8 +45,14 @@
         self, connection: int, messages: Sequence[Message], received_at: int, not_before: int
     ) -> None:
         """Handle a batch of messages."""
-        self._arrivals.begin_batch(received_at, not_before)
-        self._load.record_wait(self._effect_buffer.now - received_at)
+        # Attributes in place of calls: this is on the way of each RPC.
+        arrivals = self._arrivals
+        arrivals.received_at = received_at
+        arrivals.not_before = not_before
+        wait_us = self._effect_buffer.now - received_at
+        load = self._load
+        if wait_us > load.longest_wait_us:
+            load.longest_wait_us = wait_us
         owner = self._owners.get(connection)
         if owner:
             for message in messages:
--- a/finchcart/node/input_load.py
+++ b/finchcart/node/input_load.py
@@ -10,15 +10,11 @@
 class InputLoad:
     """The load of the thread that processes the inputs."""
 
-    __slots__ = ("_busy_part", "_longest_wait_us")
+    __slots__ = ("_busy_part", "longest_wait_us")
 
     def __init__(self) -> None:
         self._busy_part = 0.0  # of the last measured span
-        self._longest_wait_us = 0  # of the inputs since the last timer of the decision module
-
-    def record_wait(self, wait_us: int) -> None:
-        """Count an input that waited for so long."""
-        self._longest_wait_us = max(self._longest_wait_us, wait_us)
+        self.longest_wait_us = 0  # of the inputs since the last timer, set by connection_dispatch.py
 
     def on_load_measured(self, busy_us: int, span_us: int) -> None:
         """Handle a measurement: inputs were processed for `busy_us` of the last `span_us`."""
@@ -26,6 +22,6 @@
 
     def add_gauges(self, gauges: Gauges) -> Gauges:
         """Return the gauges with the load since the last call."""
-        longest_wait_us = self._longest_wait_us
-        self._longest_wait_us = 0
+        longest_wait_us = self.longest_wait_us
+        self.longest_wait_us = 0
         return gauges._replace(input_age=longest_wait_us, input_busy=self._busy_part)
