--- /dev/null
+++ b/tests/core_cases.py
@@ -0,0 +1,57 @@
+"""Plain cases of a core with simulated peers round it: what many tests begin with."""
+
+from finchcart.decisions.outcome import Outcome
+from tests.core_harness import MS, CoreHarness
+from tests.decision_runs import PLAIN
+
+GAUGES = {"gauges": ("core_use", "on_cores")}
+
+
+def plain_harness(limiters=None, observer=None, key_leases=None, **settings):
+    harness = CoreHarness(
+        {**PLAIN, **GAUGES, **settings}, limiters=limiters, observer=observer, key_leases=key_leases
+    )
+    harness.step(MS)
+    harness.step(MS)
+    assert harness.core.controller is not None
+    return harness
+
+
+def running(harness, n=0):
+    """A try that runs."""
+    name = harness.submit(harness.open(), n)
+    harness.step(MS)
+    harness.step(MS)
+    assert harness.runs[name].state == "running"
+    return name
+
+
+def ends_well(harness, name):
+    harness.end_run(name, Outcome.OK)
+    harness.step(MS)
+    assert how(harness, name) == "ok"
+
+
+def calling(harness, n=0):
+    """A try at a call, and the link that the call is on."""
+    name = running(harness, n)
+    harness.block_at_call(name)
+    for _ in range(3):
+        harness.step(MS)
+    ((link, _),) = [(link, calls) for link, calls in harness.calls.items() if calls]
+    return name, link
+
+
+def repeated(harness, outcome):
+    """A try that ends so, and a repeat of it that came while it ran."""
+    first = harness.submit(harness.open(), 1)
+    harness.step(MS)
+    second = harness.submit(harness.open(), 1, first)
+    harness.step(MS)
+    harness.end_run(first, outcome)
+    harness.step(MS)
+    return first, second
+
+
+def how(harness, name):
+    return harness.attempts[name].outcome
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -55,10 +55,11 @@
 from finchcart.protocol.messages import HeartbeatCall
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
+from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, one_step
 from tests.harness import MS, Node, draw_settings
-from tests.test_core import GAUGES, plain_harness, play
+from tests.random_core_runs import play
 
 CONFIG = ConsensusConfig()
 SHORT = replace(  # rounds end sooner
--- a/tests/test_early_kill.py
+++ b/tests/test_early_kill.py
@@ -61,13 +61,15 @@
 
 def test_all_is_answered_and_the_node_has_ended_before_the_earliest_kill(testbed):
     found, status, _, _ = leave_under_load(testbed)
-    assert found == [] and status == 0
+    assert found == []
+    assert status == 0
 
 
 def test_signals_in_series_change_nothing_of_that(testbed):
     series = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
     found, status, _, _ = leave_under_load(testbed, series, grace_s=5.0)
-    assert found == [] and status == 0
+    assert found == []
+    assert status == 0
 
 
 def test_a_reload_before_the_handlers_stand_ends_nobody(testbed):
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -9,10 +9,11 @@
 from finchcart.node.effects import Drop, Read, Send
 from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.protocol.messages import RevokeNotice, SubmitCall
+from tests.core_cases import GAUGES, running
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
-from tests.test_core import GAUGES, play, running
+from tests.random_core_runs import play
 
 
 class MemoryFrontend:
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -22,9 +22,10 @@
 from finchcart.key_leases.replica import KeyLeaseReplica
 from finchcart.node.fleet_inputs import fleet_input, key_lease_client_input
 from finchcart.node.key_leases import KeyLeaseGate
+from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness, read_answer
 from tests.harness import draw_settings
-from tests.test_core import GAUGES, may_be_running_at_the_end, plain_harness, play
+from tests.random_core_runs import may_be_running_at_the_end, play
 
 
 def settle(simulation, rounds=40):
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -70,7 +70,9 @@
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result) <= 40
     for _ in range(3):
         effect_buffer.begin(effect_buffer.now + 4_000 * MS)
-    assert not cache.entries and not cache.with_result and not effect_buffer.timers
+    assert not cache.entries
+    assert not cache.with_result
+    assert not effect_buffer.timers
 
 
 def test_a_late_duplicate_of_what_ran_is_known_though_a_later_attempt_was_evicted():
@@ -100,12 +102,12 @@
     first.key_entry.ran = True
     second.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), 0)
     cache.join_in_flight(second)
-    assert repeats and not effect_buffer.effects
+    assert repeats
+    assert not effect_buffer.effects
     cache.complete(first.key_entry, b"result")
     assert same_input(effect_buffer.effects[0].input, DuplicateReady(1))
-    assert effect_buffer.effects == [Defer(DuplicateReady(1))] and cache.is_payload_mismatch(
-        ("m0", "k"), digest_of(b"x")
-    )
+    assert effect_buffer.effects == [Defer(DuplicateReady(1))]
+    assert cache.is_payload_mismatch(("m0", "k"), digest_of(b"x"))
 
 
 class CallsByChance:
@@ -144,7 +146,8 @@
         elif chance < 0.13:
             # Corrupt: it never passes for the call's.
             store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
-            assert rpc.call_connection == connection and store.connections[connection].retired
+            assert rpc.call_connection == connection
+            assert store.connections[connection].retired
         elif chance < 0.16:
             store.connection_ended(connection, ProtocolError("cut"))
         elif chance < 0.18:
@@ -173,7 +176,9 @@
         calls.step(number)
     for _ in range(4):
         calls.effect_buffer.begin(calls.effect_buffer.now + 2_000 * MS)
-    assert len(calls.ended) == calls.calls_made and not calls.store.connections and not calls.store.idle
+    assert len(calls.ended) == calls.calls_made
+    assert not calls.store.connections
+    assert not calls.store.idle
 
 
 class Host:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -26,8 +26,10 @@
         client.submit("shout", b""),
     )
     got = read_answers(client, 4)
-    assert got[look] == ("ok", b"BIRD drib tuoba") and got[first] == got[second] == ("ok", b"SEAT")
-    assert got[odd][0] == "exception" and b"no such method" in got[odd][1]
+    assert got[look] == ("ok", b"BIRD drib tuoba")
+    assert got[first] == got[second] == ("ok", b"SEAT")
+    assert got[odd][0] == "exception"
+    assert b"no such method" in got[odd][1]
     assert sorted(run[1:] for run in testbed.pool.spawned if run[2] != b"?") == [
         ("book", b"seat"),
         ("look-up", b"bird"),
@@ -54,7 +56,10 @@
     assert testbed.process.wait(10) == 0
     assert testbed.registration() == "off"
     log = testbed.process.stderr.read()
-    assert "drain" in log and "ended" in log and "Traceback" not in log and "ERROR" not in log
+    assert "drain" in log
+    assert "ended" in log
+    assert "Traceback" not in log
+    assert "ERROR" not in log
 
 
 def test_a_node_of_the_last_tier_starts_and_serves_with_no_store_named(testbed):
@@ -67,7 +72,9 @@
     seq = client.submit("book", b"seat", "a" * 32)
     assert read_answers(client, 1) == {seq: ("ok", b"SEAT")}
     status, log = testbed.terminate()
-    assert status == 0 and "Traceback" not in log and "ERROR" not in log
+    assert status == 0
+    assert "Traceback" not in log
+    assert "ERROR" not in log
 
 
 def test_sighup_moves_it_to_new_addresses_and_what_can_not_be_used_is_left(testbed):
@@ -93,7 +100,9 @@
     assert read_answers(client, 1) == {during: ("ok", b"SEAT")}
     wait_until(lambda: testbed.serves() and testbed.store.accepted > before)
     status, log = testbed.terminate()
-    assert status == 0 and "not taken" in log and "pool, store, registry readdressed" in log
+    assert status == 0
+    assert "not taken" in log
+    assert "pool, store, registry readdressed" in log
 
 
 @pytest.mark.parametrize(
@@ -146,7 +155,8 @@
         sock.close()
     wait_until(testbed.serves)
     status, log = testbed.terminate()
-    assert status == 0 and 1 <= log.count("accept:") <= 3
+    assert status == 0
+    assert 1 <= log.count("accept:") <= 3
 
 
 def test_five_hundred_connections_take_a_third_of_the_memory(testbed):
@@ -219,5 +229,8 @@
         holder.close()
     lines = done.stderr.splitlines()
     if spoil == "taken":  # it may pass: tried again for a while, which is told once
-        assert "WARNING" in lines[0] and "trying again" in lines.pop(0)
-    assert done.returncode == 2 and words in done.stderr and len(lines) == 1
+        assert "WARNING" in lines[0]
+        assert "trying again" in lines.pop(0)
+    assert done.returncode == 2
+    assert words in done.stderr
+    assert len(lines) == 1
--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -83,7 +83,8 @@
     for each in (client, half, late):
         each.sock.close()
     log += testbed.wait_for_clean_end()
-    assert "not taken" in log and log.count("drain: ") == 2  # the notice, and the grace's end
+    assert "not taken" in log
+    assert log.count("drain: ") == 2  # the notice, and the grace's end
 
 
 def test_answers_to_one_that_does_not_read_are_whole_at_the_end(testbed):
@@ -95,7 +96,8 @@
     testbed.wait_until_deregistered()
     got = read_until_closed(client)
     outcomes = Counter(what for what, _ in got.values())
-    assert sorted(got) == seqs and set(outcomes) <= {"ok", "pushed back", "aborted"}
+    assert sorted(got) == seqs
+    assert set(outcomes) <= {"ok", "pushed back", "aborted"}
     # What never ran is rejected; a run that does not end before the kill (3.7 s at its earliest) is failed.
     assert outcomes["ok"] + outcomes["aborted"] <= testbed.started_runs().count(b"x" * 2000)
     assert all(len(body) > 4000 for what, body in got.values() if what == "ok")
@@ -148,7 +150,8 @@
     testbed.send_signals(signal.SIGHUP, signal.SIGHUP)
     wait_until(testbed.serves)  # an answer without the call is one as well
     hold.set()
-    assert read_answers(client, 1)[seq][0] == "ok" and testbed.store.calls == calls
+    assert read_answers(client, 1)[seq][0] == "ok"
+    assert testbed.store.calls == calls
     testbed.addresses["store"] = before
     testbed.store.override_reply = None
     testbed.write_config()
@@ -180,7 +183,9 @@
     testbed.store.override_reply = None
     wait_until(testbed.serves)
     status, log = testbed.terminate()
-    assert status == 0 and "Traceback" not in log and "ERROR" not in log
+    assert status == 0
+    assert "Traceback" not in log
+    assert "ERROR" not in log
 
 
 def test_the_worker_pool_s_connection_breaks_under_a_run_and_its_process_restarts(testbed):
@@ -224,7 +229,8 @@
     got = read_answers(client, 3)
     whole = set(got.values())
     assert whole <= {("ok", b"%d" % n) for n in range(3)} | {("aborted", b"")}
-    assert [what for what, _ in got.values()].count("ok") == 2 and sorted(got) == seqs
+    assert [what for what, _ in got.values()].count("ok") == 2
+    assert sorted(got) == seqs
     assert testbed.pool.accepted - before < 10  # not one connection after the other
     wait_until(testbed.serves)
     assert "Traceback" not in testbed.terminate()[1]
@@ -381,7 +387,10 @@
     wait_until(testbed.serves)
     live.client.sock.close()
     status, log = testbed.terminate()
-    assert status == 0 and "Traceback" not in log and "accept:" not in log and spent < 0.7, (spent, log)
+    assert status == 0, (spent, log)
+    assert "Traceback" not in log, (spent, log)
+    assert "accept:" not in log, (spent, log)
+    assert spent < 0.7, (spent, log)
 
 
 def test_configurations_of_every_odd_kind_leave_a_running_node_as_it_is(testbed):
@@ -404,9 +413,8 @@
         testbed.send_signals(signal.SIGHUP)
         assert testbed.serves()
     log = testbed.terminate()[1]
-    assert (
-        log.count("not taken") + log.count("wait for the next start") == len(odd) and "Traceback" not in log
-    )
+    assert log.count("not taken") + log.count("wait for the next start") == len(odd)
+    assert "Traceback" not in log
 
 
 def test_a_thousand_that_connect_and_stay_silent_are_each_closed_in_time(testbed):
@@ -427,6 +435,9 @@
         told += b"closing" in got
         sock.close()
     print(f"the last of 1,000 was closed after {time.monotonic() - began:.2f} s, {told} were told")
-    assert told == 1000 and testbed.serves()
+    assert told == 1000
+    assert testbed.serves()
     status, log = testbed.terminate()
-    assert status == 0 and "Traceback" not in log and "accept:" not in log
+    assert status == 0
+    assert "Traceback" not in log
+    assert "accept:" not in log
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -19,10 +19,11 @@
 from finchcart.node.inputs import TimersDue
 from finchcart.protocol.messages import CommandRejected
 from finchcart.simulated_peers.worker_pool import WorkerPool
+from tests.core_cases import GAUGES, ends_well, how, plain_harness, running
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.node_testbed import METHODS, read_answers, wait_until
-from tests.test_core import GAUGES, ends_well, how, plain_harness, play, running
+from tests.random_core_runs import play
 
 SEEDS = range(24)
 CALLERS = 24
@@ -69,7 +70,8 @@
     harness.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
     for _ in range(3):
         harness.step(MS)
-    assert how(harness, name) == "ok" and harness.runs[name].state == "running"
+    assert how(harness, name) == "ok"
+    assert harness.runs[name].state == "running"
     assert harness.core.controller.state.runs.on_cores == 1
     harness.end_run(name, Outcome.OK)
     for _ in range(3):
@@ -87,7 +89,8 @@
         harness.establish_connections()
     harness.read_commands()  # `bound` is written,
     harness.step(1_500 * MS)  # and read later than starts of a worker pool lie apart
-    assert how(harness, name) is None and harness.core.controller.state.runs.in_progress == 1
+    assert how(harness, name) is None
+    assert harness.core.controller.state.runs.in_progress == 1
     ends_well(harness, name)
 
 
@@ -96,7 +99,8 @@
     name = running(harness, 1)
     harness.deliver(harness.pool_connection, CommandRejected(False, name))
     harness.step(MS)
-    assert how(harness, name) is None and harness.core.controller.state.runs.in_progress == 1
+    assert how(harness, name) is None
+    assert harness.core.controller.state.runs.in_progress == 1
     ends_well(harness, name)
 
 
@@ -113,11 +117,13 @@
             harness.step(MS)
             if harness.core.pool.commands.settlement_ticket:
                 break
-    assert harness.core.pool.cursor.position == 1 and harness.core.controller.state.runs.in_progress == 1
+    assert harness.core.pool.cursor.position == 1
+    assert harness.core.controller.state.runs.in_progress == 1
     end = harness.now + harness.settings["methods.1.deadline"]
     while harness.now <= end:
         harness.step(20 * MS)
-    assert how(harness, name) == "failed" and harness.core.controller.state.runs.in_progress == 0
+    assert how(harness, name) == "failed"
+    assert harness.core.controller.state.runs.in_progress == 0
 
 
 class BreakingPool(WorkerPool):
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -19,10 +19,11 @@
 from finchcart.node.inputs import LoadMeasured
 from finchcart.node.supported_settings import ShadowSettings, supported_settings
 from finchcart.node_config import read_config, reread_config
+from tests.core_cases import GAUGES
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
-from tests.test_core import GAUGES, play
+from tests.random_core_runs import play
 from tests.typed_settings import typed
 
 PERIOD = 1000 * MS
@@ -48,12 +49,14 @@
 def test_whatever_is_watched_answers_are_the_same_and_the_same_settings_decide_alike(seed):
     told = draw_settings(random.Random(seed))
     plain, ends, counts = day(seed, told)
-    assert type(plain.core.controller) is NodeController and not counts
+    assert type(plain.core.controller) is NodeController
+    assert not counts
     other = {"methods.0.latency_target": 1 * MS, "can_stop": True, "can_pause": True, "feedback": "credit"}
     for watched, differs in (({"tick": told["tick"]}, False), (other, True)):
         harness, watched_ends, counts = day(seed, told, watched)
         assert (watched_ends, harness.reports) == (ends, plain.reports)
-        assert counts and any(counts) is differs
+        assert counts
+        assert any(counts) is differs
     for broken in ({"cores": None}, {"memory_kb": None}):  # a fault at its start, and at its first arrival
         harness, watched_ends, _ = day(seed, told, broken)
         assert (watched_ends, harness.reports) == (ends, plain.reports)
@@ -143,7 +146,8 @@
     path.write_text(json.dumps({**config, name: value}))
     with pytest.raises(ConfigError) as told:
         read_config(str(path))
-    assert words in str(told.value) and "\n" not in str(told.value)
+    assert words in str(told.value)
+    assert "\n" not in str(told.value)
     assert reread_config(str(path), {}) is None  # at SIGHUP: logged and left
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,8 @@
     assert clock.look(10 * SECOND, 5_010 * SECOND + 3600 * SECOND) == 3600 * SECOND
     before = clock.arrival(5_009 * SECOND, 0, 10 * SECOND, 4 * SECOND, LEAD)
     after = clock.arrival(8_610 * SECOND, 0, 10 * SECOND, 4 * SECOND, LEAD)
-    assert before == (9 * SECOND, 9 * SECOND) and after == (10 * SECOND, 10 * SECOND)
+    assert before == (9 * SECOND, 9 * SECOND)
+    assert after == (10 * SECOND, 10 * SECOND)
     assert clock.arrival(7_000 * SECOND, 0, 10 * SECOND, 4 * SECOND, LEAD) is None
 
 
