--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -86,7 +86,7 @@
         gauges = self._load.add_gauges(Gauges.from_readings(readings))
         gauges = self._fleet.add_gauges(gauges, self.store)
         self._fleet.publish_usage(self.lifecycle.rpcs.values(), self.store)
-        self._fleet.publish_evidence(self.controller.own_level)
+        self._fleet.publish_evidence(self.controller.own_shed_level)
         self.controller.on_timer(self.effect_buffer.now, gauges)
         self._shutdown.end_if_idle()
 
--- a/finchcart/node/controller_interface.py
+++ b/finchcart/node/controller_interface.py
@@ -30,7 +30,7 @@
     """The decision module of a node."""
 
     @property
-    def own_level(self) -> float:
+    def own_shed_level(self) -> float:
         """The shed level that this node alone would publish."""
 
     def start(self, now: int, /) -> None:
