--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import replace
 
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
@@ -97,11 +96,11 @@
             self.controller.drain(times.notice_at, times.kill_at)
 
     def _make_controller(self, cold: bool) -> Controller:
-        settings = replace(self._settings, fresh_start=cold)
+        settings = self._settings._replace(fresh_start=cold)
         if not self._shadow:
             return NodeController(self.port, settings, self._seed)
         from finchcart.node.shadow import ShadowController  # not imported where nothing is watched
 
-        watched = replace(self._shadow.settings, fresh_start=cold)
+        watched = self._shadow.settings._replace(fresh_start=cold)
         shadow = self._shadow._replace(settings=watched)
         return ShadowController(self.port, settings, shadow, self._seed, self.port.log)
