--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -4,8 +4,8 @@
 for. It must never do I/O, take a lock, read a clock, know a frontend's protocol or decide about an RPC:
 decisions come from finchcart/decisions/controller.py through the port.
 
-In the order of an RPC's way: connection_dispatch.py, frontend.py, rpc_lifecycle.py, controller_host.py (the
-decision module), port.py (what that can do), worker_pool/, store.py. The fleet: fleet.py. The end:
+In the order of an RPC's way: connection_dispatch.py, frontend.py, rpc_admission.py, controller_host.py
+(the decision module), rpc_lifecycle.py, port.py (what that can do), worker_pool/, store.py. The fleet: fleet.py. The end:
 shutdown.py and drain.py. Inputs and effects: inputs.py and effects.py.
 """
 
@@ -50,7 +50,20 @@
 
 
 class Core:
-    """The state of one node; see `FrontendHost` for what frontends use. Times are whole microseconds."""
+    """The state of one node; see `FrontendHost` for what frontends use. Times are whole microseconds.
+
+    Arguments:
+        settings: see decisions/node_settings.py.
+        limits: sizes and times of the node.
+        seed: of the decision module.
+        name: by which the registry knows the node.
+        addresses: of its peers.
+        make_frontends: returns the frontends by name.
+        shadow: what is watched, see shadow.py; None: nothing.
+        limiters: of the fleet's limits; None: there are none.
+        observer: for the fleet's consensus; None: there is none.
+        make_key_leases: returns what gets key leases for runs; None: runs need none.
+    """
 
     def __init__(
         self,
@@ -65,56 +78,66 @@
         observer: "NodeObserver | None" = None,
         make_key_leases: "Callable[[EffectBuffer], KeyLeaseGate] | None" = None,
     ) -> None:
-        """Join the parts of a node.
-
-        Arguments:
-            settings: see decisions/node_settings.py.
-            limits: sizes and times of the node.
-            seed: of the decision module.
-            name: by which the registry knows the node.
-            addresses: of its peers.
-            make_frontends: returns the frontends by name.
-            shadow: what is watched, see shadow.py; None: nothing.
-            limiters: of the fleet's limits; None: there are none.
-            observer: for the fleet's consensus; None: there is none.
-            make_key_leases: returns what gets key leases for runs; None: runs need none.
-        """
-        effect_buffer = EffectBuffer(limits.log_interval)
         settings = supported_settings(settings)
-        self.effect_buffer = effect_buffer
+        self.effect_buffer = EffectBuffer(limits.log_interval)
         self.methods: Mapping[str, MethodInfo] = read_methods(settings, limits.late_read_grace)
         self.limiters = limiters
-        self.key_leases = make_key_leases(effect_buffer) if make_key_leases else None
-        self.fleet = FleetView(effect_buffer, self.methods, limiters, observer)
+        self.key_leases = make_key_leases(self.effect_buffer) if make_key_leases else None
+        self.fleet = FleetView(self.effect_buffer, self.methods, limiters, observer)
+        self.registration = Registration(self.effect_buffer, limits, name, addresses.registry)
+        self._load = InputLoad()
+        self._arrivals = ArrivalClock(self.effect_buffer, limits.max_clock_lead)
+        self._make_rpc_parts(limits)
+        self._make_shutdown(limits, settings.drain_grace_us)
+        self._controllers = self._make_controller_host(settings, seed, shadow)
+        self._make_clients(settings, limits, addresses)
+        self.frontends = make_frontends(self)
+        self.port = self._make_port()
+        self._connect_parts()
+        self._connections = ConnectionDispatcher(
+            self.effect_buffer, self.frontends, self.fleet, self._arrivals, self._load
+        )
+        self._handlers = self._input_handlers()
+
+    def _make_rpc_parts(self, limits: Limits) -> None:
         late_read_us = max((method.late_read_us for method in self.methods.values()), default=0)
-        self.idempotency = IdempotencyCache(effect_buffer, late_read_us, limits.cached_results)
+        self.idempotency = IdempotencyCache(self.effect_buffer, late_read_us, limits.cached_results)
         self.lifecycle = RpcLifecycle(
-            effect_buffer, self.methods, self.idempotency, self.fleet, self.key_leases
+            self.effect_buffer, self.methods, self.idempotency, self.fleet, self.key_leases
         )
         self.admission = RpcAdmission(
-            effect_buffer, self.methods, self.idempotency, self.fleet, self.lifecycle, self.key_leases
+            self.effect_buffer, self.methods, self.idempotency, self.fleet, self.lifecycle, self.key_leases
         )
-        self.registration = Registration(effect_buffer, limits, name, addresses.registry)
-        self._load = InputLoad()
-        self._statistics_log = StatisticsLog(effect_buffer, self.lifecycle, limits.log_interval)
-        self._drain = NodeDrain(effect_buffer, limits, self.lifecycle, self._statistics_log, self.key_leases)
-        self.shutdown = ShutdownSchedule(effect_buffer, limits, settings.drain_grace_us, self._drain)
-        self._controllers = ControllerHost(
-            effect_buffer, settings, seed, shadow, self.admission, self.fleet, self._load, self.shutdown
+
+    def _make_shutdown(self, limits: Limits, drain_grace_us: int) -> None:
+        self._statistics_log = StatisticsLog(self.effect_buffer, self.lifecycle, limits.log_interval)
+        self._drain = NodeDrain(
+            self.effect_buffer, limits, self.lifecycle, self._statistics_log, self.key_leases
         )
+        self.shutdown = ShutdownSchedule(self.effect_buffer, limits, drain_grace_us, self._drain)
+
+    def _make_controller_host(
+        self, settings: NodeSettings, seed: int, shadow: ShadowSettings | None
+    ) -> ControllerHost:
+        return ControllerHost(
+            self.effect_buffer,
+            settings,
+            seed,
+            shadow,
+            self.admission,
+            self.fleet,
+            self._load,
+            self.shutdown,
+        )
+
+    def _make_clients(self, settings: NodeSettings, limits: Limits, addresses: NodeAddresses) -> None:
         self.pool = WorkerPoolClient(
-            effect_buffer, limits, addresses.pool, settings.gauges, self.lifecycle, self._controllers
+            self.effect_buffer, limits, addresses.pool, settings.gauges, self.lifecycle, self._controllers
         )
-        linger_us = (settings.calls_linger_us or 0) if limiters else 0
-        self.store = StoreClient(effect_buffer, limits, addresses.store, self.lifecycle.call_ended, linger_us)
-        self._arrivals = ArrivalClock(effect_buffer, limits.max_clock_lead)
-        self.frontends = make_frontends(self)
-        self.port = self._make_port()
-        self._connect_parts()
-        self._connections = ConnectionDispatcher(
-            effect_buffer, self.frontends, self.fleet, self._arrivals, self._load
+        linger_us = (settings.calls_linger_us or 0) if self.limiters else 0
+        self.store = StoreClient(
+            self.effect_buffer, limits, addresses.store, self.lifecycle.call_ended, linger_us
         )
-        self._handlers = self._input_handlers()
 
     def _make_port(self) -> CorePort:
         return CorePort(
