--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -53,9 +53,9 @@
 
 
 def _quota_lines(quota: QuotaConfig) -> Iterator[str]:
-    for limit in quota.loose:
+    for limit in quota.loose_limits:
         yield from _loose_limit_lines(quota, limit)
-    for limit in quota.strict:
+    for limit in quota.strict_limits:
         if limit.per == "rate":
             yield (
                 f"  limit {limit.name}: at most {quota.window_bound(limit, SECOND)} in any second, "
@@ -75,7 +75,7 @@
 def _strict_limit_lines(quota: QuotaConfig, limit: Limit) -> Iterator[str]:
     yield (
         f"  limit {limit.name}: {limit.amount} in hand, {limit.floor} each node's own, "
-        f"{limit.shareable(quota.most)} shared among at most {quota.most};"
+        f"{limit.shareable(quota.max_processes)} shared among at most {quota.max_processes};"
     )
     yield (
         f"    over by one call for each process stopped at the write, for "
--- a/finchcart/consensus/inputs.py
+++ b/finchcart/consensus/inputs.py
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.observations import Evidence
+from finchcart.consensus.evidence import Evidence
 
 
 class EvidenceCollected(NamedTuple):
-    """What the core of this node saw since it was asked last."""
+    """What the core of this node observed since the last evidence."""
 
     evidence: Evidence
 
--- a/finchcart/fleet_participant.py
+++ b/finchcart/fleet_participant.py
@@ -10,7 +10,7 @@
 from finchcart.node.inputs import Drain, Input, ReloadConfig
 
 if TYPE_CHECKING:  # none is imported where no fleet is configured
-    from finchcart.consensus.observations import Evidence
+    from finchcart.consensus.evidence import Evidence
     from finchcart.node.core import Core
     from finchcart.node.effect_buffer import EffectBuffer
     from finchcart.node.key_leases import KeyLeaseGate
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -5,8 +5,8 @@
 decisions come from finchcart/decisions/controller.py through the port.
 
 In the order of an RPC's way: connection_dispatch.py, frontend.py, rpc_admission.py, controller_host.py
-(the decision module), rpc_lifecycle.py, port.py (what that can do), worker_pool/, store.py. The fleet: fleet.py. The end:
-shutdown.py and drain.py. Inputs and effects: inputs.py and effects.py.
+(the decision module), rpc_lifecycle.py, port.py (what that can do), worker_pool/, store.py. The fleet:
+fleet.py. The end: shutdown.py and drain.py. Inputs and effects: inputs.py and effects.py.
 """
 
 from collections.abc import Callable, Mapping
--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -10,7 +10,7 @@
 from finchcart.node.inputs import Input
 
 if TYPE_CHECKING:  # not imported where no fleet is configured
-    from finchcart.consensus.observations import Evidence
+    from finchcart.consensus.evidence import Evidence
 
 
 class Read(NamedTuple):
