--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -84,7 +84,7 @@
 
 
 class End(NamedTuple):
-    """End the process: nothing is open or owed any more, or the kill is due."""
+    """End the process: nothing is open or pending any more, or the kill is due."""
 
 
 class PublishUsage(NamedTuple):
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -10,6 +10,7 @@
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
 from finchcart.node import effects
+from finchcart.node.addresses import NodeAddresses
 from finchcart.node.core import Core
 from finchcart.node.fleet_inputs import key_lease_client_input
 from finchcart.node.inputs import CloseAttempted, MessagesReceived, Start, TimersDue
@@ -56,7 +57,7 @@
     due: int
     answers: int = 0
     has_run: bool = False
-    answer_owed: bool = True  # its dispatcher waits for it
+    response_pending: bool = True  # its dispatcher waits for it
     outcome: str | None = None  # the value of a FinalOutcome
 
 
@@ -89,7 +90,7 @@
         self.now = NOW
         self.rng = random.Random(seed)
         self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
-        self.addresses = {"pool": ("pool", 1), "store": ("store", 1), "registry": ("registry", 1)}
+        self.addresses = NodeAddresses(("pool", 1), ("store", 1), ("registry", 1))
         self.core = Core(
             typed(settings),
             self.limits,
@@ -179,7 +180,7 @@
     def establish_connections(self):
         for connection, state in list(self.connections.items()):
             if state == "connecting":
-                to_pool = connection == self.core.pool.connection
+                to_pool = connection == self.core.pool.connection.number
                 accepts = self.pool_accepts if to_pool else self.store_accepts
                 self.connections[connection] = "open" if accepts else "refused"
                 if not accepts:
@@ -234,7 +235,7 @@
             assert self.reads_requested[connection] <= self.limits.read_ahead, "asked too often"
 
     def on_connect(self, connection, kind, address):
-        assert address == self.addresses[kind], "not its address"
+        assert address == getattr(self.addresses, kind), "not its address"
         self.connections[connection] = "connecting"
         self.calls[connection] = {}
         if kind == "pool":
@@ -277,19 +278,19 @@
         return True
 
     def on_send_report(self, address, data):
-        assert address == self.addresses["registry"]
+        assert address == self.addresses.registry
         self.reports.append((self.now, data))
 
     def on_log(self, text):
         self.log_lines.append(text)
 
     def on_stop_listening(self):
-        kill_at = self.core.registration.kill_at
-        is_last_moment = kill_at is not None and self.now >= kill_at - self.limits.finish_period
-        assert is_last_moment or not self.answers_owed()
+        times = self.core.shutdown.times
+        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period
+        assert is_last_moment or not self.responses_pending()
 
-    def answers_owed(self):
-        return [each for each in self.unanswered.values() if each.answer_owed and not each.answers]
+    def responses_pending(self):
+        return [each for each in self.unanswered.values() if each.response_pending and not each.answers]
 
     def is_unread(self, attempt):
         inbox = self.inboxes.get(attempt.connection, ())
@@ -297,7 +298,7 @@
 
     def on_end(self):
         assert self.drain_notice_at is not None
-        read = [each for each in self.answers_owed() if not self.is_unread(each)]
+        read = [each for each in self.responses_pending() if not self.is_unread(each)]
         assert read == [], "ended over RPCs that were read"
         self.ended = True
 
@@ -350,7 +351,7 @@
     def revoke(self, name):
         """The caller of an attempt goes."""
         attempt = self.attempts[name]
-        attempt.answer_owed = False
+        attempt.response_pending = False
         self.deliver(attempt.connection, RevokeNotice(attempt.sequence))
 
     def end_connection(self, connection, reason=""):
@@ -358,7 +359,7 @@
         unread = {m.sequence for m in self.inboxes.get(connection, ()) if isinstance(m, SubmitCall)}
         for attempt in self.unanswered.values():
             if attempt.connection == connection and (not reason or attempt.sequence in unread):
-                attempt.answer_owed = False
+                attempt.response_pending = False
         self.lose_connection(connection, reason)
 
     def lose_connection(self, connection, reason=""):
@@ -386,7 +387,7 @@
             return
         attempt.answers += 1
         assert attempt.answers == 1, "two answers"
-        assert self.now <= attempt.due + LATE_US or not attempt.answer_owed, "late"
+        assert self.now <= attempt.due + LATE_US or not attempt.response_pending, "late"
         if outcome is FinalOutcome.OK:
             assert (attempt.key, body) in self.results, "served what no run made"
         elif outcome is FinalOutcome.REJECTED:
@@ -422,7 +423,7 @@
         if run and run.state != "over":
             return
         assert run is None or attempt.kind == "idempotent", "run again"
-        if attempt.answers or not attempt.answer_owed:
+        if attempt.answers or not attempt.response_pending:
             self.send_notice(RunEnded, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
             return
@@ -508,7 +509,7 @@
         self.unanswered = {
             name: attempt
             for name, attempt in self.unanswered.items()
-            if attempt.answer_owed and not attempt.answers
+            if attempt.response_pending and not attempt.answers
         }
         for name, attempt in self.unanswered.items():
             assert self.now <= attempt.due + 2 * LATE_US, f"lost: {name} {attempt}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -126,7 +126,7 @@
         harness.step(10 * MS)
         if harness.core.ready:
             harness.submit(connection, 0)
-    counts = harness.core.turn.statistics.counts
+    counts = harness.core.effect_buffer.statistics.counts
     names = [name for name in counts if name.startswith("rejections: ")]
     assert "rejections: load shed" in names or "rejections: misses objective" in names
     assert sum(counts[name] for name in names) == counts["RPCs rejected"]
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -10,9 +10,10 @@
 from finchcart.key_leases.messages import LeaseStatus
 from finchcart.node.fleet_inputs import fleet_input, key_lease_client_input
 from finchcart.node.key_leases import KeyLeaseGate
+from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness, read_answer
 from tests.harness import draw_settings
-from tests.test_core import GAUGES, may_be_running_at_the_end, plain_harness, play
+from tests.random_core_runs import may_be_running_at_the_end, play
 
 
 class SimulatedReplicas:
@@ -76,7 +77,9 @@
 def test_rules_hold_with_key_leases_and_none_is_left_behind(seed):
     rng = random.Random(seed)
     harness = CoreHarness(
-        {**draw_settings(rng), **GAUGES}, seed, key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND)
+        {**draw_settings(rng), **GAUGES},
+        seed,
+        key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND),
     )
     statuses = [LeaseStatus.GRANTED] * 4 + [
         LeaseStatus.HELD,
@@ -96,7 +99,7 @@
 
 def one_keyed(status, again=False, by=1000, result=b"there"):
     """How a keyed RPC is answered whose lease comes to `status`, whether it ran, and how late it was."""
-    harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
+    harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     name = harness.submit(harness.open(), 1, **({"r": "1"} if again else {}))
     harness.step(MS)
     (acquire_input,) = harness.key_lease_inputs
@@ -127,7 +130,7 @@
 
 
 def test_a_run_elsewhere_gives_its_result():
-    harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
+    harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     told = []
     harness.on_reply = lambda link, data: told.append(read_answer(data))
     harness.submit(harness.open(), 1)
