--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
-from typing import Protocol
+from typing import Any, Protocol
 
 from finchcart.errors import ProtocolError
 from finchcart.node.effects import Connect, Effect, Log
@@ -21,7 +21,7 @@
 class ConnectionOwner(Protocol):
     """What is notified of a connection. Connections are named by number."""
 
-    def message_received(self, connection: int, message: tuple) -> None:
+    def message_received(self, connection: int, message: Any) -> None:
         """One message of the connection's codec; `batch_completed` follows after the last of a batch."""
 
     def batch_completed(self, connection: int) -> None:
--- a/finchcart/simulated_peers/client.py
+++ b/finchcart/simulated_peers/client.py
@@ -17,9 +17,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from finchcart.errors import ProtocolError
 from finchcart.simulated_peers.server import Address, parse_address
 from finchcart.thrift import codec as thrift
-from finchcart.thrift.codec import BOOL, FIELD, I32, LENGTH, MAP, STRING, STRUCT
+from finchcart.thrift.codec import BOOL, FIELD, I32, LENGTH, MAP, STRING, ThriftValue
 
 TIMEOUT_S = 10
 
@@ -85,20 +86,21 @@
     def answer(self) -> Answer:
         """Return the next message; `EOFError` where the node closed the connection."""
         reader = thrift.Reader(self._receive(LENGTH.unpack(self._receive(4))[0]))
-        kind = reader.number(I32) & 0xFF
-        name = reader.value(STRING).decode()
-        sequence = reader.number(I32)
-        arguments = reader.value(STRUCT)
+        kind = reader.integer(I32) & 0xFF
+        name = reader.string().decode()
+        sequence = reader.integer(I32)
+        arguments = reader.struct()
         if kind == thrift.EXCEPTION:
-            return Answer(name, sequence, Outcome.EXCEPTION, arguments[1, STRING], {})
+            return Answer(name, sequence, Outcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
         if kind == thrift.ONEWAY:
             return Answer(name, sequence, Outcome.ONEWAY, b"", {})
         (field_number, _), inner = next(iter(arguments.items()))
-        texts = dict(inner[(2 if field_number == 0 else 1), MAP])
-        fields = {key.decode(): text.decode() for key, text in texts.items()}
+        if not isinstance(inner, dict):
+            raise ProtocolError(f"a reply to {name}: expected a struct, got {inner!r:.60}")
+        fields = thrift.read_texts(inner[(2 if field_number == 0 else 1), MAP]) or {}
         if field_number == 0:
             outcome = Outcome.OK if inner[3, BOOL] else Outcome.NOT_GOOD
-            return Answer(name, sequence, outcome, inner[1, STRING], fields)
+            return Answer(name, sequence, outcome, _bytes_of(inner[1, STRING]), fields)
         outcome = (Outcome.REJECTED, Outcome.FAILED)[field_number - 1]
         return Answer(name, sequence, outcome, b"", fields)
 
@@ -112,6 +114,12 @@
         return data
 
 
+def _bytes_of(value: ThriftValue) -> bytes:
+    if not isinstance(value, bytes):
+        raise ProtocolError(f"expected a string, got {value!r:.60}")
+    return value
+
+
 def main() -> None:
     """Send each text of the command line as one RPC and print the answers."""
     path, method, *texts = sys.argv[1:]
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -1,8 +1,8 @@
-"""The dispatchers' protocol: framed Thrift in the strict binary protocol, read and written.
+"""The dispatchers' protocol, framed Thrift in the strict binary protocol: calls are read, replies written.
 
-Owns the bytes on dispatchers' connections. A codec as protocol/framing.py has it: no I/O, nothing kept
-between calls, and nothing raised but `ProtocolError` on what it reads, whatever the bytes. What is read:
-messages.py.
+Owns the bytes on dispatchers' connections, and the words of that protocol. A codec as protocol/framing.py has
+it: no I/O, nothing kept between calls, and nothing raised but `ProtocolError` on what it reads, whatever the
+bytes. What is read: protocol/messages.py.
 """
 
 import struct
@@ -68,18 +68,20 @@
 SUBMIT_FIELDS_END = SUBMIT_FIELDS_START + len(SUBMIT_FIELDS)
 
 
-ThriftValue = bytes | bool | int | float | dict | list
+ThriftStruct = dict[tuple[int, int], "ThriftValue"]  # by number and type of each field
+ThriftPair = tuple["ThriftValue", ...]  # a key and its value, of a map
+ThriftValue = bytes | bool | int | float | ThriftStruct | list["ThriftValue"] | list[ThriftPair]
 
 
 class Reader:
-    """Reads values one after the other; `position` is where the next begins."""
+    """Reads values in sequence; `position` is where the next begins."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.position = 0
 
     def strings(self, count: int) -> list[bytes]:
-        """So many strings, the quick way: an RPC's fields are the most that is read here."""
+        """Return the next `count` strings. Fast, as an RPC's fields are most of what is read here."""
         data = self.data
         size = len(data)
         end = self.position
@@ -95,38 +97,43 @@
         return strings
 
     def read_bytes(self, count: int) -> bytes:
-        """The next so many bytes."""
+        """Return the next `count` bytes."""
         start = self.position
         self.position += count
         if count < 0 or self.position > len(self.data):
             raise ProtocolError(f"cut off: {count} bytes wanted at {start} of {len(self.data)}")
         return self.data[start : self.position]
 
-    def number(self, kind: int) -> int | float:
-        """A number of that type."""
+    def integer(self, kind: int) -> int:
+        """Return an integer of one of the types BYTE, I16, I32 and I64."""
         shape = FIXED_SIZE[kind]
         return shape.unpack(self.read_bytes(shape.size))[0]
 
+    def string(self) -> bytes:
+        """Return a string."""
+        return self.read_bytes(self.integer(I32))
+
     def count(self) -> int:
-        """Of elements: each takes a byte at least, so a count past the end can't be true."""
-        count = self.number(I32)
+        """Return a count of elements, bounded by the bytes left: each element takes at least one."""
+        count = self.integer(I32)
         left = len(self.data) - self.position
         if not 0 <= count <= left:
             raise ProtocolError(f"a count of {count} with {left} bytes left")
         return count
 
     def value(self, kind: int, depth: int = MAX_DEPTH) -> ThriftValue:
-        """A value of that type; a struct as (number, type) -> value, a map as a list of pairs."""
+        """Return a value of that type; a struct as (number, type) -> value, a map as a list of pairs."""
         if depth == 0:
             raise ProtocolError("nested too deep")
         if kind == STRING:
-            return self.read_bytes(self.number(I32))
+            return self.string()
         if kind == BOOL:
             return self.read_bytes(1)[0] != 0
         if kind in FIXED_SIZE:
-            return self.number(kind)
+            shape = FIXED_SIZE[kind]
+            return shape.unpack(self.read_bytes(shape.size))[0]
         if kind == STRUCT:
-            return self._struct(depth)
+            return self.struct(depth)
         if kind == MAP:
             return self._map(depth)
         if kind in (SET, LIST):
@@ -134,16 +141,17 @@
             return [self.value(element, depth - 1) for _ in range(self.count())]
         raise ProtocolError(f"no such type: {kind}")
 
-    def _struct(self, depth: int) -> dict[tuple[int, int], ThriftValue]:
-        fields = {}
+    def struct(self, depth: int = MAX_DEPTH) -> ThriftStruct:
+        """Return a struct, as (number, type) -> value."""
+        fields: ThriftStruct = {}
         while True:
             kind = self.read_bytes(1)[0]
             if kind == STOP:
                 return fields
-            number = self.number(I16)
+            number = self.integer(I16)
             fields[number, kind] = self.value(kind, depth - 1)
 
-    def _map(self, depth: int) -> list[tuple]:
+    def _map(self, depth: int) -> list[ThriftPair]:
         keys, values = self.read_bytes(2)
         if keys == values == STRING:
             texts = self.strings(2 * self.count())
@@ -154,19 +162,19 @@
 # ---- Reading what dispatchers send
 
 
-def find_frame_end(data: bytes, start: int, longest: int) -> int | None:
-    """Where the first frame ends, or None where it is not there yet."""
+def find_frame_end(data: bytes, start: int, max_size: int) -> int | None:
+    """Return where the first frame ends, or None until it is complete; see `Codec.find_frame_end`."""
     if len(data) < start + LENGTH_BYTES:
         return None
     (length,) = LENGTH.unpack_from(data, start)
-    if not 0 < length <= longest - LENGTH_BYTES:
+    if not 0 < length <= max_size - LENGTH_BYTES:
         raise ProtocolError(f"a frame of {length} bytes")
     end = start + LENGTH_BYTES + length
     return end if len(data) >= end else None
 
 
 def decode_frame(data: bytes) -> DispatcherMessage:
-    """The message of a whole frame."""
+    """Read the message of a complete frame; raise `ProtocolError` where it is no call."""
     try:
         return decode_message(data[LENGTH_BYTES:])
     except struct.error as error:
@@ -177,24 +185,28 @@
 
 
 def decode_message(data: bytes) -> DispatcherMessage:
-    """A message without its frame's length."""
+    """Read a message without the length of its frame; raise `ProtocolError` where it is no call."""
     submit = _plain_submit(data)
     if submit:
         return submit
     reader = Reader(data)
-    head = reader.number(I32) & 0xFFFFFFFF
+    head = reader.integer(I32) & 0xFFFFFFFF
     kind = head & KIND_MASK
     if head & VERSION_MASK != VERSION or kind not in (CALL, ONEWAY):
         raise ProtocolError(f"not a call: {head:#010x}")
-    name = reader.value(STRING)
-    sequence = reader.number(I32)
-    arguments = reader.value(STRUCT)
+    name = reader.string()
+    sequence = reader.integer(I32)
+    arguments = reader.struct()
     if reader.position != len(data):
         raise ProtocolError(f"{len(data) - reader.position} bytes after the message")
     if name == b"submit" and kind == CALL:
-        return SubmitCall(sequence, _texts(arguments.get((1, MAP))), arguments.get((2, STRING)))
-    if name == b"revoke" and (1, I32) in arguments:
-        return RevokeNotice(arguments[1, I32])
+        body = arguments.get((2, STRING))
+        return SubmitCall(
+            sequence, read_texts(arguments.get((1, MAP))), body if isinstance(body, bytes) else None
+        )
+    revoked = arguments.get((1, I32))
+    if name == b"revoke" and isinstance(revoked, int):
+        return RevokeNotice(revoked)
     if name == b"heartbeat" and kind == CALL:
         return HeartbeatCall(sequence)
     if kind == ONEWAY:
@@ -203,10 +215,9 @@
 
 
 def _plain_submit(data: bytes) -> SubmitCall | None:
-    """A `submit` in the order in which dispatchers write it, read without a look at each type.
+    """Read a `submit` whose fields are in the usual order, without a check of each type.
 
-    None where it is another message, or in another order: then `decode_message` reads it on, and says what is
-    wrong.
+    Return None where it is another message, or in another order: then `decode_message` reads it.
     """
     if data[:SUBMIT_HEAD_END] != SUBMIT_HEAD:
         return None
@@ -222,30 +233,41 @@
     if data[reader.position :] != b"\0":
         return None
     try:
-        texts = [text.decode() for text in texts]
+        words = [text.decode() for text in texts]
     except UnicodeDecodeError:
         return None
     (sequence,) = LENGTH.unpack_from(data, SUBMIT_HEAD_END)
-    return SubmitCall(sequence, dict(zip(texts[::2], texts[1::2], strict=True)), body)
+    return SubmitCall(sequence, dict(zip(words[::2], words[1::2], strict=True)), body)
 
 
-def _texts(pairs: list[tuple] | None) -> dict[str, str] | None:
-    try:
-        return {key.decode(): value.decode() for key, value in pairs}
-    except (TypeError, AttributeError, UnicodeDecodeError):
+def read_texts(pairs: ThriftValue | None) -> dict[str, str] | None:
+    """Return a map of texts, or None where it is another value or not UTF-8."""
+    if not isinstance(pairs, list):
         return None
+    texts: dict[str, str] = {}
+    for pair in pairs:
+        if not isinstance(pair, tuple):
+            return None
+        key, value = pair
+        if not (isinstance(key, bytes) and isinstance(value, bytes)):
+            return None
+        try:
+            texts[key.decode()] = value.decode()
+        except UnicodeDecodeError:
+            return None
+    return texts
 
 
 # ---- Writing
 
 
 def string(data: bytes) -> bytes:
-    """A string: its length, then its bytes."""
+    """Return a string: its length, then its bytes."""
     return LENGTH.pack(len(data)) + data
 
 
 def text_map(fields: Mapping[str, str]) -> bytes:
-    """A map of texts."""
+    """Return a map of texts."""
     parts = [HEAD.pack(STRING, STRING, len(fields))]
     for name, text in fields.items():
         parts += string(name.encode()), string(text.encode())
@@ -257,7 +279,7 @@
 
 
 def encode_message(kind: int, name: bytes, sequence: int, arguments: bytes) -> bytes:
-    """A whole frame; `arguments` is a struct."""
+    """Return a complete frame; `arguments` is a struct."""
     return string(_head(kind, name) + LENGTH.pack(sequence) + arguments)
 
 
@@ -289,39 +311,39 @@
 
 
 def ok_reply(sequence: int, body: bytes, fields: Mapping[str, str]) -> bytes:
-    """The answer to an RPC with its result; `fields` ride on it."""
+    """Return the reply to an RPC that completed, with its result and header fields."""
     return _reply(b"submit", sequence, body, fields, True)
 
 
 def rejected_reply(sequence: int, fields: Mapping[str, str]) -> bytes:
-    """The answer to an RPC that never ran here."""
+    """Return the reply to an RPC that never ran here."""
     return _declared_exception(sequence, REJECTED_FIELD, fields)
 
 
 def failed_reply(sequence: int, fields: Mapping[str, str]) -> bytes:
-    """The answer to an RPC that failed."""
+    """Return the reply to an RPC that failed."""
     return _declared_exception(sequence, FAILED_FIELD, fields)
 
 
 def health_reply(sequence: int, healthy: bool, fields: Mapping[str, str]) -> bytes:
-    """The answer to a health check."""
+    """Return the reply to a health check."""
     return _reply(b"heartbeat", sequence, b"", fields, healthy)
 
 
 def application_exception(sequence: int, name: str, kind: int, text: str) -> bytes:
-    """An application exception: the call itself was wrong. `kind`: UNKNOWN_METHOD or PROTOCOL_ERROR."""
+    """Return an exception for a call that was invalid; `kind`: UNKNOWN_METHOD or PROTOCOL_ERROR."""
     text_field = FIELD.pack(STRING, 1) + string(text.encode())
     kind_field = FIELD.pack(I32, 2) + LENGTH.pack(kind)
     return encode_message(EXCEPTION, name.encode(), sequence, text_field + kind_field + b"\0")
 
 
 def submit_call(sequence: int, fields: Mapping[str, str], body: bytes) -> bytes:
-    """The caller's side: one call of `submit`; fields: name -> text."""
+    """Return a call of `submit`, as a dispatcher sends it; fields: name -> text."""
     fields_field = FIELD.pack(MAP, 1) + text_map(fields)
     body_field = FIELD.pack(STRING, 2) + string(body)
     return encode_message(CALL, b"submit", sequence, fields_field + body_field + b"\0")
 
 
 def closing_notice() -> bytes:
-    """The notice that the node is about to close the connection."""
+    """Return the notice that the node is about to close the connection."""
     return encode_message(ONEWAY, b"closing", 0, b"\0")
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -1,4 +1,4 @@
-"""When the node closes a dispatcher's connection, and how: announced before, with nothing under way.
+"""The closing of dispatchers' connections by the node: announced before, with nothing in flight.
 
 Owns the timers of idle, unused and health-checked connections and the closing handshake. It must never let an
 RPC cross a close unanswered.
@@ -9,9 +9,9 @@
 from finchcart.node.frontend import FrontendHost
 from finchcart.node.inputs import CloseDue
 from finchcart.thrift import codec
-from finchcart.thrift.connection_table import Connection, ConnectionTable
+from finchcart.thrift.dispatcher_connections import DispatcherConnection, DispatcherConnectionTable
 
-KILL_TIME_PART = 3  # a close is waited for at most a third of the time until the kill
+KILL_TIME_DIVISOR = 3  # a close may take a third of the time until the kill
 
 
 class ConnectionCloser:
@@ -20,25 +20,25 @@
     Bounds: a few timers a connection: one that counts for idling, one each for unused, checked and announced.
     """
 
-    def __init__(self, host: FrontendHost, limits: Limits, table: ConnectionTable) -> None:
+    def __init__(self, host: FrontendHost, limits: Limits, table: DispatcherConnectionTable) -> None:
         self.host = host
         self.turn = host.turn
         self.limits = limits
         self.table = table
         self.idle_timeout_us: int | None = None  # None: not known yet
         self.kill_at: int | None = None  # from the notice to leave on
-        self.is_finishing = False  # every connection is closed as soon as nothing is open on it
+        self.is_finishing = False  # each connection is closed as soon as nothing is open on it
 
     # ---- Idle connections
 
     def set_idle_timeout(self, timeout_us: int) -> None:
-        """Connections that are idle for so long are closed."""
+        """Close connections that have been idle for this time, from now on."""
         self.idle_timeout_us = timeout_us
         for connection in list(self.table.connections.values()):
             self.check_idle(connection)
 
-    def check_idle(self, connection: Connection) -> None:
-        """Closes a connection that idles for longer than is allowed, or schedules a later check."""
+    def check_idle(self, connection: DispatcherConnection) -> None:
+        """Close a connection that has been idle for the timeout, or schedule a later check."""
         if connection.idle_since is None or self.idle_timeout_us is None:
             return
         if connection.closing_announced or connection.ended:
@@ -51,15 +51,18 @@
             connection.idle_timer_at = due
             self.turn.schedule(due, self._idle_due, connection, due)
 
-    def _idle_due(self, connection: Connection, due: int) -> None:
+    def _idle_due(self, connection: DispatcherConnection, due: int) -> None:
         if connection.idle_timer_at == due:
             connection.idle_timer_at = None
             self.check_idle(connection)
 
     # ---- Connections of health checks, and unused ones
 
-    def check_health_checker(self, connection: Connection) -> None:
-        """Guards against those that check health once and stay for ever, above all where many do."""
+    def check_health_checker(self, connection: DispatcherConnection) -> None:
+        """Close a connection that carries health checks alone, once it is silent.
+
+        Guards against those that check once and stay open, above all where there are many.
+        """
         if connection.ended or connection.closing_announced:
             return
         now = self.turn.now
@@ -72,12 +75,12 @@
         elif not connection.open_rpcs:
             self.announce(connection, self.limits.unused_close_delay)
 
-    def watch_unused(self, connection: Connection) -> None:
-        """Closes a new connection that carries no message in time."""
+    def watch_unused(self, connection: DispatcherConnection) -> None:
+        """Close a new connection that carries no message in time."""
         self.turn.schedule(self.turn.now + self.limits.unused_timeout, self._close_unused, connection)
 
-    def _close_unused(self, connection: Connection) -> None:
-        """Guards against those that stay silent, or never end what they send."""
+    def _close_unused(self, connection: DispatcherConnection) -> None:
+        # Guards against those that stay silent, or never complete what they send.
         if not connection.calls and not connection.closing_announced:
             self.host.record_invalid_traffic(connection.number)
             self.announce(connection, self.limits.unused_close_delay)
@@ -85,16 +88,17 @@
     # ---- The end of the node
 
     def announce_all(self) -> None:
-        """Guards against busy connections, which never idle: a kill would cut them with RPCs on their way.
+        """Announce to every connection that it will be closed.
 
-        Not those that are made later, whose callers would come again for each RPC: they are closed as they
-        idle, or at the end.
+        Guards against busy connections, which are never idle: a kill would cut them with RPCs in flight.
+        Those that are made later are closed when they are idle, or at the end: else their callers would
+        reconnect for each RPC.
         """
         for connection in list(self.table.connections.values()):
             self.announce(connection)
 
     def close_all(self) -> None:
-        """Closes each connection as soon as nothing is open on it or unread."""
+        """Close each connection as soon as nothing is open on it or unread."""
         self.is_finishing = True
         for connection in list(self.table.connections.values()):
             if connection.closing_announced:
@@ -104,8 +108,8 @@
 
     # ---- The closing handshake
 
-    def announce(self, connection: Connection, patience_us: int | None = None) -> None:
-        """Begins to close: no RPC may cross the close.
+    def announce(self, connection: DispatcherConnection, patience_us: int | None = None) -> None:
+        """Begin to close a connection, so that no RPC crosses the close.
 
         The dispatcher is notified, and given `patience_us` (None: the usual time) before the node closes.
         """
@@ -116,17 +120,17 @@
         patience_us = self._patience(patience_us or self.limits.close_delay)
         self.turn.schedule(self.turn.now + patience_us, self._defer_close, connection)
 
-    def _defer_close(self, connection: Connection) -> None:
-        """What came before the close is answered first.
+    def _defer_close(self, connection: DispatcherConnection) -> None:
+        """Attempt the close after all that was received before it.
 
-        Not within another input's turn, which may hand over an RPC of this very connection after the look and
-        before the close.
+        Within another input's turn an RPC of this connection could be handed over between the check and the
+        close.
         """
         if connection.is_usable:
             self.turn.emit(Defer(CloseDue(connection.number)))
 
     def close_due(self, number: int) -> None:
-        """All that was received before is handed over: tries to close, or waits for what is open."""
+        """Attempt to close, or wait for what is open: all that was received before is handed over."""
         connection = self.table.usable(number)
         if connection is None:
             return
@@ -137,7 +141,7 @@
             self.turn.emit(CloseIfIdle(number))
 
     def close_attempted(self, number: int, closed: bool) -> None:
-        """Ends a connection that is closed, or tries again."""
+        """End a connection that is closed, or schedule another attempt."""
         connection = self.table.usable(number)
         if connection is None:
             return
@@ -145,17 +149,17 @@
         limits = self.limits
         interval_us = limits.finish_retry_interval if self.is_finishing else limits.close_retry_interval
         tried_for_us = connection.close_attempts * interval_us
-        holds_back = tried_for_us > limits.partial_message_timeout and not connection.write_blocked
-        if closed or holds_back:
-            self.table.end(connection)  # guards against one that never sends the rest of what it began
+        is_withholding = tried_for_us > limits.partial_message_timeout and not connection.write_blocked
+        if closed or is_withholding:
+            self.table.end(connection)  # guards against one that never completes a message
         else:
             self.turn.schedule(self.turn.now + interval_us, self._defer_close, connection)
 
     def _patience(self, patience_us: int) -> int:
-        """Guards against connections of slow dispatchers, cut by the kill instead of closed before it."""
+        """Return the time to wait for a dispatcher, in microseconds: less as the kill comes nearer."""
         if self.kill_at is None:
             return patience_us
         if self.is_finishing:
             return self.limits.finish_retry_interval
         until_kill_us = self.kill_at - self.turn.now
-        return min(patience_us, max(self.limits.unused_close_delay, until_kill_us // KILL_TIME_PART))
+        return min(patience_us, max(self.limits.unused_close_delay, until_kill_us // KILL_TIME_DIVISOR))
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -1,7 +1,7 @@
-"""Which connections make room for new ones where there are many.
+"""The limit on dispatchers' connections: which are closed for new ones where there are many.
 
 Owns the timer by which a nearly full table is checked. It must never drop a connection that has an RPC open,
-nor one on which one may be about to come.
+nor one on which an RPC may be about to arrive.
 """
 
 from finchcart.limits import Limits
@@ -9,27 +9,27 @@
 from finchcart.node.frontend import FrontendHost
 from finchcart.thrift import codec
 from finchcart.thrift.connection_closer import ConnectionCloser
-from finchcart.thrift.connection_table import Connection, ConnectionTable
+from finchcart.thrift.dispatcher_connections import DispatcherConnection, DispatcherConnectionTable
 
 
 class ConnectionLimiter:
     """Keeps the table within `limits.max_connections`. Times are whole microseconds. Bounds: one timer."""
 
     def __init__(
-        self, host: FrontendHost, limits: Limits, table: ConnectionTable, closer: ConnectionCloser
+        self, host: FrontendHost, limits: Limits, table: DispatcherConnectionTable, closer: ConnectionCloser
     ) -> None:
         self.turn = host.turn
         self.limits = limits
         self.table = table
         self.closer = closer
-        self._checking = False  # the table is nearly full, and checked now and then
+        self._is_checking = False  # the table is nearly full, and checked from time to time
 
     def connection_added(self) -> None:
-        """A connection was added to the table: others may have to make room."""
+        """Close others where the connection that was added makes the table too full."""
         table = self.table
         if table.is_crowded:
             self._close_least_used()
-        if table.is_nearly_full and not self._checking:
+        if table.is_nearly_full and not self._is_checking:
             self._check_nearly_full()
         count = len(table.connections)
         if count > table.max_connections:
@@ -39,11 +39,11 @@
             self._drop_unused()
 
     def _drop_unused(self) -> None:
-        """Guards against running out of descriptors and memory.
+        """Drop one unused connection, so that descriptors and memory do not run out.
 
-        The longest silent that made one health check goes, as no RPC comes on it; else the oldest that
-        carried no call: nothing of it ran. One that may be about to speak is let be; where none else is left,
-        those that come wait outside.
+        It is the longest silent that made one health check, as no RPC comes on it; else the oldest that
+        carried no call, of which nothing ran. One that may be about to send is kept; where none else is left,
+        new ones wait in the backlog.
         """
         since = self.turn.now - self.limits.crossing_window
         unused = (
@@ -59,11 +59,11 @@
             self.table.end(least, Drop)
 
     def _close_least_used(self) -> bool:
-        """Guards against a crowd of connections whose threads cost more than their RPCs.
+        """Announce the close of the least used connection; return whether there was one.
 
-        One that carried no call, or one call and stayed, is asked to close, the longest silent first. Where
-        the table is nearly full, any that idles, those of health checks last, and at the limit after a
-        shorter silence: a new caller with an RPC gets in. Returns whether there was one.
+        Guards against many connections whose threads cost more than their RPCs. It is one that carried one
+        call at most, the longest silent first; where the table is nearly full, any that is idle, those of
+        health checks last, and at the limit after a shorter silence: a new caller with an RPC is admitted.
         """
         at_limit = len(self.table.connections) >= self.table.max_connections
         since = self.turn.now - (self.limits.crossing_window if at_limit else self.limits.silent_timeout)
@@ -83,10 +83,10 @@
         return True
 
     def _check_nearly_full(self) -> None:
-        """While the table is nearly full: a quarter of it is made free, also while nobody can be accepted."""
+        """Free a quarter of the table while it is nearly full, also while nobody can be accepted."""
         table = self.table
-        self._checking = table.is_nearly_full
-        if not self._checking:
+        self._is_checking = table.is_nearly_full
+        if not self._is_checking:
             return
         connections = table.connections.values()
         surplus = sum(not connection.ended for connection in connections) - table.max_connections
@@ -98,16 +98,16 @@
         self.turn.schedule(self.turn.now + self.limits.crossing_window, self._check_nearly_full)
 
 
-def _by_health_check_and_silence(connection: Connection) -> tuple[bool, int]:
+def _by_health_check_and_silence(connection: DispatcherConnection) -> tuple[bool, int]:
     return not connection.health_checked, connection.last_message_at
 
 
-def _by_repeated_checks_and_silence(connection: Connection) -> tuple[bool, int]:
+def _by_repeated_checks_and_silence(connection: DispatcherConnection) -> tuple[bool, int]:
     return connection.health_checked and connection.calls > 1, connection.last_message_at
 
 
-def _is_closable(connection: Connection, since: int, most_calls: int | None) -> bool:
-    """Whether it is silent since then with nothing under way, and carried at most so many calls."""
+def _is_closable(connection: DispatcherConnection, since: int, most_calls: int | None) -> bool:
+    """Return whether it has been silent since then, has nothing in flight and at most so many calls."""
     if most_calls is not None and connection.calls > most_calls:
         return False
     if connection.last_message_at > since or connection.open_rpcs:
--- a/finchcart/thrift/connection_table.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -1,7 +1,7 @@
 """The dispatchers' connections: what is open on each, and how one is ended.
 
-Owns the state of each connection. It must never close a connection that owes an answer, but where the
-dispatcher has gone or the kill is due.
+Owns the state of each connection. It must never close a connection that has a response pending, unless
+the dispatcher has gone or the kill is due.
 """
 
 from finchcart.limits import Limits
@@ -10,8 +10,8 @@
 from finchcart.node.rpc import NodeRpc
 
 
-class Connection:
-    """One connection of a dispatcher."""
+class DispatcherConnection:
+    """The state of one connection of a dispatcher."""
 
     __slots__ = (
         "calls",
@@ -33,26 +33,26 @@
     def __init__(self, number: int, now: int) -> None:
         self.number = number
         self.open_rpcs: dict[int, NodeRpc] = {}  # by sequence number
-        self.calls = 0  # messages that asked for an answer
+        self.calls = 0  # messages that require an answer
         self.last_message_at = now
         self.write_blocked = False  # the dispatcher does not read what is sent
-        self.reads_requested = 1  # and not come back
+        self.reads_requested = 1  # and not completed
         self.reads_after_resume = 0  # reads that are requested once its writes are not blocked any more
         self.idle_since: int | None = None
         self.idle_timer_at: int | None = None  # the one timer that counts
         self.health_checked = False
         self.closing_announced = False
         self.close_attempts = 0  # since something came last
-        self.unreadable = False  # what it sent can't be read: closed once its answers are out
+        self.unreadable = False  # it sent what cannot be read: closed once its answers are written
         self.ended = False  # nothing more is read or sent
 
     @property
     def is_usable(self) -> bool:
-        """Whether messages are still taken from it."""
+        """Return whether messages are still accepted from it."""
         return not (self.ended or self.unreadable)
 
 
-class ConnectionTable:
+class DispatcherConnectionTable:
     """The connections by number. Times are whole microseconds.
 
     Bounds: `limits.max_connections`, kept by connection_limiter.py; `limits.open_rpcs` on each, kept by the
@@ -64,37 +64,37 @@
         self.turn = host.turn
         self.limits = limits
         self.max_connections = limits.max_connections
-        self.connections: dict[int, Connection] = {}
+        self.connections: dict[int, DispatcherConnection] = {}
 
-    def add(self, number: int) -> Connection:
-        """A connection that a dispatcher made."""
-        connection = self.connections[number] = Connection(number, self.turn.now)
+    def add(self, number: int) -> DispatcherConnection:
+        """Add a connection that a dispatcher made, and return its state."""
+        connection = self.connections[number] = DispatcherConnection(number, self.turn.now)
         return connection
 
-    def usable(self, number: int) -> Connection | None:
-        """The connection of that number, where messages are still taken from it."""
+    def usable(self, number: int) -> DispatcherConnection | None:
+        """Return the connection of that number, or None where messages are no longer accepted from it."""
         connection = self.connections.get(number)
         return connection if connection and connection.is_usable else None
 
     @property
     def is_crowded(self) -> bool:
-        """Whether over a third of the table is taken."""
+        """Return whether over a third of the table is in use."""
         return len(self.connections) > self.max_connections // 3
 
     @property
     def is_nearly_full(self) -> bool:
-        """Whether over three quarters of the table are taken."""
+        """Return whether over three quarters of the table are in use."""
         return len(self.connections) > self.max_connections * 3 // 4
 
-    def send(self, connection: Connection, data: bytes) -> None:
-        """Writes on a connection that is not ended."""
+    def send(self, connection: DispatcherConnection, data: bytes) -> None:
+        """Write, unless the connection has ended."""
         if not connection.ended:
             self.turn.emit(Send(connection.number, data))
 
     # ---- Reads
 
-    def request_more_reads(self, connection: Connection) -> None:
-        """A batch came: requests the next reads.
+    def request_more_reads(self, connection: DispatcherConnection) -> None:
+        """Request the next reads, after a batch.
 
         A connection that carried RPCs is read ahead: its reader need not be woken for each. One whose peer
         does not read what it is sent is not: guards against one that sends and never reads.
@@ -106,19 +106,19 @@
         if not connection.write_blocked:
             self._request_reads(connection)
 
-    def _request_reads(self, connection: Connection) -> None:
+    def _request_reads(self, connection: DispatcherConnection) -> None:
         for _ in range(connection.reads_after_resume):
             self.turn.emit(Read(connection.number))
         connection.reads_requested += connection.reads_after_resume
         connection.reads_after_resume = 0
 
     def write_blocked(self, number: int) -> None:
-        """The dispatcher does not read what is sent: no more is read from it."""
+        """Stop reading from a dispatcher that does not read what it is sent."""
         if number in self.connections:
             self.connections[number].write_blocked = True
 
     def write_resumed(self, number: int) -> None:
-        """All is written."""
+        """Read again, as all pending data is written; or end what waited for that."""
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -130,29 +130,30 @@
 
     # ---- The end of a connection
 
-    def end(self, connection: Connection, effect: type[Close] | type[Drop] = Close) -> None:
-        """Nothing more is read or sent; a peer that does not close in its turn is not waited for long."""
+    def end(self, connection: DispatcherConnection, effect: type[Close] | type[Drop] = Close) -> None:
+        """End a connection: nothing more is read or sent, and a peer that does not close is dropped."""
         connection.ended = True
         self.turn.emit(effect(connection.number))
         linger = self.limits.crossing_window if self.is_nearly_full else self.limits.linger_timeout
         self.turn.schedule(self.turn.now + linger, self._drop_ended, connection)
 
-    def _drop_ended(self, connection: Connection) -> None:
-        """Guards against answers that are cut off as the peer reads slowly.
+    def _drop_ended(self, connection: DispatcherConnection) -> None:
+        """Drop a connection that has ended, once nothing is pending.
 
-        A write that makes no headway breaks the connection by itself.
+        Guards against answers that are cut off as the peer reads slowly. A write that makes no progress
+        breaks the connection by itself.
         """
         if connection.write_blocked and connection.number in self.connections:
             self.turn.schedule(self.turn.now + self.limits.linger_timeout, self._drop_ended, connection)
         else:
             self.turn.emit(Drop(connection.number))
 
-    def end_unreadable(self, connection: Connection) -> None:
-        """Ends a connection that sent what can't be read, once its answers are out."""
+    def end_unreadable(self, connection: DispatcherConnection) -> None:
+        """End a connection that sent what cannot be read, once its answers are written."""
         done = not connection.open_rpcs and not connection.write_blocked
         if connection.unreadable and not connection.ended and done:
             self.end(connection)
 
-    def remove(self, number: int) -> Connection | None:
-        """The connection is gone."""
+    def remove(self, number: int) -> DispatcherConnection | None:
+        """Remove a closed connection, and return its state, or None."""
         return self.connections.pop(number, None)
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -1,7 +1,7 @@
-"""What the fields of an RPC may say.
+"""Validation of the fields of an RPC.
 
-Owns the ranges that each field is held against before the decision module hears of it. Pure: it must never
-keep anything, nor accept what no dispatcher would say.
+Owns the range of each field, which is checked before the decision module receives the RPC. Pure: it must
+never keep state, nor accept a value that no dispatcher sends.
 
 The fields, by name: `c` method, `k` idempotency key, `i` name of the attempt, `f` number of the dispatcher,
 `s` when it was sent (Unix milliseconds), `p` shed rank, `r` retry mark, `h` cost hint (milliseconds), `m`
@@ -30,13 +30,13 @@
 
 
 class ArrivalReader(Protocol):
-    """What turns an RPC's Unix time into the node's own; see node/wall_clock.py."""
+    """Converts an RPC's Unix time to the node's clock; see node/wall_clock.py."""
 
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
-        """When an RPC with that stamp, of the batch at hand, arrived; None where that can't be."""
+        """Return when an RPC of the current batch with this timestamp arrived, or None if it cannot have."""
 
     def unix_now(self) -> int:
-        """The Unix time in microseconds."""
+        """Return the Unix time in microseconds."""
 
 
 class ReadRpc(NamedTuple):
@@ -44,23 +44,24 @@
 
     name: str
     method: str
+    body: bytes
     attributes: RpcAttributes
 
 
-def number(
+def read_number(
     fields: Mapping[str, str], name: str, low: float, high: float, default: float | None = None
 ) -> float:
-    """The number in that field, from `low` to under `high`; `default` where the field is missing.
+    """Return the number in a field, from `low` to under `high`; `default` where the field is missing.
 
     Raises:
-        InvalidRpcError: it is no number, out of range, or missing without a default.
+        InvalidRpcError: it is not a number, out of range, or missing without a default.
     """
     text = fields.get(name)
     if text is None and default is not None:
         return default
     try:
-        value = float(text)
-    except (TypeError, ValueError):
+        value = float(text or "")
+    except ValueError:
         raise InvalidRpcError(f"field {name}={_quoted(text)}: expected a number") from None
     if not low <= value < high:
         raise InvalidRpcError(f"field {name}={_quoted(text)}: expected {low:.0f} to under {high:.0f}")
@@ -75,39 +76,37 @@
     methods: Mapping[str, MethodInfo],
     connection: int,
 ) -> ReadRpc:
-    """The RPC that a call carries.
+    """Return the RPC that a call carries.
 
     Raises:
-        InvalidRpcError: with the field, what it says and what was expected.
+        InvalidRpcError: with the field, its value and what was expected.
     """
     if fields is None or body is None:
         raise InvalidRpcError("the call carries no fields or no body")
     if len(body) > limits.body_size:
         raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_size} at most")
     method = fields.get("c")
-    if method not in methods:
+    if method is None or method not in methods:
         raise InvalidRpcError(f"field c={_quoted(method)}: no such method")
     info = methods[method]
     name = _read_name(fields)
     key = _read_key(fields) if info.is_keyed else None
     arrival = _read_arrival(fields, arrivals, info.late_read_us)
-    caller = fields.get("f", "")
-    if not (caller.isdigit() and len(caller) <= MAX_CALLER_LENGTH):
-        raise InvalidRpcError(f"field f={_quoted(caller)}: expected the number of a dispatcher")
-    shed_rank = number(fields, "p", 0, 1, NO_SHED_RANK)
-    cost_hint_ms = number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
+    caller = _read_caller(fields)
+    shed_rank = read_number(fields, "p", 0, 1, NO_SHED_RANK)
+    cost_hint_ms = read_number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
     attributes = RpcAttributes(
         arrival.earliest,
         caller,
         key,
         is_retry="r" in fields,
         cost_hint_us=int(cost_hint_ms * US_PER_MS),
-        memory_kb=number(fields, "m", MIN_MEMORY_KB, MAX_MEMORY_KB),
+        memory_kb=read_number(fields, "m", MIN_MEMORY_KB, MAX_MEMORY_KB),
         shed_rank=None if shed_rank == NO_SHED_RANK else shed_rank,
         connection=connection,
         arrival_uncertainty_us=arrival.latest - arrival.earliest,
     )
-    return ReadRpc(name, method, attributes)
+    return ReadRpc(name, method, body, attributes)
 
 
 def _quoted(text: str | None) -> str:
@@ -128,11 +127,18 @@
     return key
 
 
+def _read_caller(fields: Mapping[str, str]) -> str:
+    caller = fields.get("f", "")
+    if not (caller.isdigit() and len(caller) <= MAX_CALLER_LENGTH):
+        raise InvalidRpcError(f"field f={_quoted(caller)}: expected the number of a dispatcher")
+    return caller
+
+
 def _read_arrival(fields: Mapping[str, str], arrivals: ArrivalReader, late_read_us: int) -> Arrival:
     text = fields.get("s", "")
     if not text.isdigit():
         raise InvalidRpcError(f"field s={_quoted(text)}: expected Unix milliseconds")
-    stamp = int(number(fields, "s", 0, MAX_UNIX_MS)) * US_PER_MS
+    stamp = int(read_number(fields, "s", 0, MAX_UNIX_MS)) * US_PER_MS
     arrival = arrivals.read_arrival(stamp, late_read_us)
     if arrival is None:
         raise InvalidRpcError(
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -1,11 +1,12 @@
-"""The frontend that dispatchers speak to: their messages as RPCs of the core, and final answers as replies.
+"""The Thrift frontend: dispatchers' messages become RPCs of the core, and final answers become replies.
 
-Owns what a message means and the words of each answer; connections: connection_table.py, connection_closer.py
-and connection_limiter.py. It must never answer an RPC by itself once the core accepted it. Contract:
-node/frontend.py.
+Owns what a message means and the fields of each reply; connections: dispatcher_connections.py,
+connection_closer.py and connection_limiter.py. It must never answer an RPC by itself once the core accepted
+it. Contract: node/frontend.py.
 """
 
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
+from typing import cast
 
 from finchcart.errors import InvalidRpcError, ProtocolError
 from finchcart.limits import Limits
@@ -22,7 +23,7 @@
 from finchcart.thrift import codec
 from finchcart.thrift.connection_closer import ConnectionCloser
 from finchcart.thrift.connection_limiter import ConnectionLimiter
-from finchcart.thrift.connection_table import Connection, ConnectionTable
+from finchcart.thrift.dispatcher_connections import DispatcherConnection, DispatcherConnectionTable
 from finchcart.thrift.fields import read_rpc
 
 PARTY = "dispatchers"  # in log lines
@@ -30,17 +31,17 @@
 
 
 class ThriftFrontend:
-    """A `Frontend`. Bounds: see `ConnectionTable`."""
+    """A `Frontend`. Bounds: see `DispatcherConnectionTable`."""
 
     def __init__(self, core: FrontendHost, limits: Limits) -> None:
         self.core = core
         self.turn = core.turn
         self.limits = limits
         self.healthy = True
-        self.table = ConnectionTable(core, limits)
+        self.table = DispatcherConnectionTable(core, limits)
         self.closer = ConnectionCloser(core, limits, self.table)
         self.limiter = ConnectionLimiter(core, limits, self.table, self.closer)
-        self._handlers = {
+        self._handlers: dict[type[DispatcherMessage], Callable[..., None]] = {
             SubmitCall: self._on_submit,
             RevokeNotice: self._on_revoke,
             HeartbeatCall: self._on_heartbeat,
@@ -50,7 +51,7 @@
     # ---- Connections: see ConnectionOwner and Frontend
 
     def connection_opened(self, number: int) -> None:
-        """A dispatcher connected: others may have to make room for it."""
+        """Add a connection that a dispatcher made; others may be closed for it."""
         connection = self.table.add(number)
         self.limiter.connection_added()
         if connection.ended:
@@ -62,7 +63,7 @@
             self.closer.watch_unused(connection)
 
     def message_received(self, number: int, message: DispatcherMessage) -> None:
-        """One message; those after one that can't be read are passed over."""
+        """Handle one message by its type; ignore those after one that cannot be read."""
         connection = self.table.usable(number)
         if connection is None:
             return
@@ -77,28 +78,28 @@
             self.closer.check_idle(connection)
 
     def batch_completed(self, number: int) -> None:
-        """Requests the next reads."""
+        """Request the next reads."""
         connection = self.table.usable(number)
         if connection:
             self.table.request_more_reads(connection)
 
     def write_blocked(self, number: int) -> None:
-        """The dispatcher does not read what is sent."""
+        """Stop reading from a dispatcher that does not read what it is sent."""
         self.table.write_blocked(number)
 
     def write_resumed(self, number: int) -> None:
-        """All is written."""
+        """Read again from a dispatcher that has read all it was sent."""
         self.table.write_resumed(number)
 
     def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
         """End the connection; `fault` is None where the dispatcher closed it."""
         connection = self.table.usable(number)
         if connection is None:
-            return  # one that sent what can't be read may end after that, and is owed its answers still
+            return  # one that sent what cannot be read may end after that: its responses are pending still
         if fault is not None:
-            # Not readable: what was read before is answered, then this connection alone is closed.
-            owed = len(connection.open_rpcs)
-            text = f"connection {number}: {fault}; closed once {owed} answers are out"
+            # What was read before is answered, then this connection alone is closed.
+            pending = len(connection.open_rpcs)
+            text = f"connection {number}: {fault}; closed once {pending} answers are out"
             self.turn.log_fault(PARTY, "unreadable", text)
             connection.unreadable = True
             self.core.record_invalid_traffic(number)
@@ -110,34 +111,34 @@
             self.table.end(connection)
 
     def connection_refused(self, number: int, reason: str) -> None:
-        """Nothing: dispatchers connect, so that no connection of this frontend is its own."""
+        """Do nothing: this frontend opens no connections."""
 
     def close_due(self, number: int) -> None:
-        """See `ConnectionCloser`."""
+        """Attempt the close, see `ConnectionCloser`."""
         self.closer.close_due(number)
 
     def close_attempted(self, number: int, closed: bool) -> None:
-        """See `ConnectionCloser`."""
+        """Handle the result of a close, see `ConnectionCloser`."""
         self.closer.close_attempted(number, closed)
 
     def connection_closed(self, number: int) -> None:
-        """The connection is gone, and the callers on it."""
+        """Remove the connection, and abandon the RPCs whose callers went with it."""
         connection = self.table.remove(number)
         if connection:
             self._abandon_all(connection)
 
-    def _abandon_all(self, connection: Connection) -> None:
+    def _abandon_all(self, connection: DispatcherConnection) -> None:
         connection.ended = True
         while connection.open_rpcs:
             self._abandon(connection, next(iter(connection.open_rpcs)))
 
-    def _abandon(self, connection: Connection, sequence: int) -> None:
+    def _abandon(self, connection: DispatcherConnection, sequence: int) -> None:
         rpc = connection.open_rpcs.pop(sequence)
         self._rpc_closed(connection)
         self.core.abandon(rpc)
 
-    def _rpc_closed(self, connection: Connection) -> None:
-        """An RPC of the connection is open no more."""
+    def _rpc_closed(self, connection: DispatcherConnection) -> None:
+        """Update the connection after one of its RPCs was closed."""
         if not connection.open_rpcs:
             connection.idle_since = self.turn.now
             self.closer.check_idle(connection)
@@ -145,26 +146,26 @@
 
     # ---- Messages
 
-    def _on_unserved(self, connection: Connection, sequence: int | None, name: str) -> None:
+    def _on_unserved(self, connection: DispatcherConnection, sequence: int | None, name: str) -> None:
         if sequence is not None:
             text = f"method {name!r}: not served here"
             self.table.send(
                 connection, codec.application_exception(sequence, name, codec.UNKNOWN_METHOD, text)
             )
 
-    def _on_heartbeat(self, connection: Connection, sequence: int) -> None:
+    def _on_heartbeat(self, connection: DispatcherConnection, sequence: int) -> None:
         if not connection.health_checked:
             connection.health_checked = True
             self.closer.check_health_checker(connection)
         self.table.send(connection, codec.health_reply(sequence, self.healthy, self._feedback_fields()))
 
-    def _on_revoke(self, connection: Connection, sequence: int) -> None:
+    def _on_revoke(self, connection: DispatcherConnection, sequence: int) -> None:
         if sequence in connection.open_rpcs:
             self._abandon(connection, sequence)
 
     def _on_submit(
         self,
-        connection: Connection,
+        connection: DispatcherConnection,
         sequence: int,
         fields: Mapping[str, str] | None,
         body: bytes | None,
@@ -186,7 +187,7 @@
 
     def _accept(
         self,
-        connection: Connection,
+        connection: DispatcherConnection,
         sequence: int,
         fields: Mapping[str, str] | None,
         body: bytes | None,
@@ -194,10 +195,10 @@
         core = self.core
         read = read_rpc(fields, body, core, self.limits, core.methods, connection.number)
         if len(connection.open_rpcs) >= self.limits.open_rpcs or not core.ready:
-            # Past what the protocol allows, or before the worker pool is there: it never ran.
+            # Beyond what the protocol allows, or before the worker pool is up: it never ran.
             self.table.send(connection, codec.rejected_reply(sequence, self._feedback_fields()))
             return
-        rpc = NodeRpc(self, (connection, sequence), read.name, read.method, body)
+        rpc = NodeRpc(self, (connection, sequence), read.name, read.method, read.body)
         connection.open_rpcs[sequence] = rpc
         connection.idle_since = None
         core.accept(rpc, read.attributes)
@@ -207,8 +208,8 @@
     def send_final_answer(
         self, rpc: NodeRpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
     ) -> None:
-        """The one final answer of an RPC, see `Frontend`."""
-        connection, sequence = rpc.reference
+        """Send the one final answer of an RPC, see `Frontend`."""
+        connection, sequence = cast("tuple[DispatcherConnection, int]", rpc.reference)  # see `_accept`
         fields = self._feedback_fields()
         if outcome is FinalOutcome.OK:
             data = codec.ok_reply(sequence, result, fields)
@@ -225,32 +226,32 @@
         self._rpc_closed(connection)
 
     def _feedback_fields(self) -> dict[str, str]:
-        """The fields that ride on all answers."""
+        """Return the fields that all answers carry."""
         level = self.core.shed_level
         return {} if level is None else {"v": f"{level:.4f}"}
 
-    # ---- What the core tells: see Frontend
+    # ---- Notifications of the core: see Frontend
 
     def set_idle_timeout(self, timeout_us: int) -> None:
-        """Connections that are idle for so long are closed."""
+        """Close connections that have been idle for this time, from now on."""
         self.closer.set_idle_timeout(timeout_us)
 
     def set_health(self, healthy: bool) -> None:
-        """How health checks are answered from now on."""
+        """Set how health checks are answered from now on."""
         self.healthy = healthy
 
     def drain(self, kill_at: int) -> None:
-        """Connections close as they idle: the decision module sets that limit to its least."""
+        """Begin the graceful shutdown; the decision module sets the idle timeout to its minimum then."""
         self.closer.kill_at = kill_at
 
     def announce_close(self) -> None:
-        """Every connection is announced to close; see `ConnectionCloser`."""
+        """Announce the close of every connection, see `ConnectionCloser`."""
         self.closer.announce_all()
 
     def close_now(self) -> None:
-        """Every connection is closed as soon as nothing is open on it; see `ConnectionCloser`."""
+        """Close each connection as soon as nothing is open on it, see `ConnectionCloser`."""
         self.closer.close_all()
 
     def is_idle(self) -> bool:
-        """Whether no dispatcher is connected."""
+        """Return whether no dispatcher is connected."""
         return not self.table.connections
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -538,5 +538,5 @@
 def read_answer(data):
     """Kind, name, sequence number and arguments of an answer to a dispatcher."""
     reader = thrift.Reader(data[4:])
-    head = reader.number(thrift.I32) & 0xFF
-    return head, reader.value(STRING), reader.number(thrift.I32), reader.value(STRUCT)
+    head = reader.integer(thrift.I32) & 0xFF
+    return head, reader.value(STRING), reader.integer(thrift.I32), reader.value(STRUCT)
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -205,7 +205,7 @@
 def read_thrift_answer(data):
     """Of the protocol's own reader, whatever the message is."""
     reader = thrift.Reader(data[4:])
-    values = [reader.number(thrift.I32), reader.value(thrift.STRING), reader.number(thrift.I32)]
+    values = [reader.integer(thrift.I32), reader.value(thrift.STRING), reader.integer(thrift.I32)]
     return plain([*values, reader.value(thrift.STRUCT)])
 
 
