--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -34,7 +34,7 @@
 )
 from finchcart.simulated_peers.client import Client
 from finchcart.simulated_peers.server import start_thread
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 SHARE = 2.0  # calls in hand that each node is told as its part (`callsOut`)
 WINDOW_S = 1.0  # the time that the settings name (`callsOver`)
@@ -138,7 +138,7 @@
             }
             path = Path(folder) / f"n{number}.json"
             write_configuration(path, f"n{number}", f"{number:x}", STOP_MS, addresses, settings)
-            WorkerPool(addresses["pool"], {"read": True, "write": True}, work=RUN_S, cores=CORES)
+            SimulatedWorkerPool(addresses["pool"], {"read": True, "write": True}, work=RUN_S, cores=CORES)
             self.addresses.append(addresses["listen"])
             self.processes.append(start_node(path))
 
--- a/benchmarks/lean_peers.py
+++ b/benchmarks/lean_peers.py
@@ -19,7 +19,7 @@
 from multiprocessing.connection import Connection
 from typing import NoReturn
 
-from finchcart.simulated_peers.client import Client, Outcome
+from finchcart.simulated_peers.client import Client, ClientOutcome
 from finchcart.thrift import codec
 
 Address = tuple[str, int]
@@ -28,7 +28,11 @@
 FIELD_NUMBER = struct.Struct(">h")
 CLOSING_KIND = 4  # of a message that closes the connection to new RPCs
 REPLY_KIND = 2
-OUTCOMES = {0: Outcome.OK, 1: Outcome.REJECTED, 2: Outcome.FAILED}  # by the field of a reply
+OUTCOMES = {
+    0: ClientOutcome.OK,
+    1: ClientOutcome.REJECTED,
+    2: ClientOutcome.FAILED,
+}  # by the field of a reply
 OTHER = "other"
 CORES = 512
 POOL_AGE_MS = 3_600_000
@@ -237,7 +241,7 @@
 
     def _done(self, outcome: str, latency: float) -> None:
         self.outcomes[outcome] += 1
-        if outcome == Outcome.OK:
+        if outcome == ClientOutcome.OK:
             self.latencies.append(latency)
 
     def run(self, seconds: float) -> None:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -28,11 +28,11 @@
 
 from benchmarks.lean_peers import read_until_closed
 from benchmarks.node_process import Address, free_address, start_node, write_configuration
-from finchcart.simulated_peers.client import Client, Outcome
-from finchcart.simulated_peers.registry import Registry
+from finchcart.simulated_peers.client import Client, ClientOutcome
+from finchcart.simulated_peers.registry import SimulatedRegistry
 from finchcart.simulated_peers.server import start_thread
-from finchcart.simulated_peers.store import Store
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.store import SimulatedStore
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 METHODS = {"read": True, "write": False}  # and whether its runs call the store
 RUN_S = 0.01
@@ -79,7 +79,7 @@
             "store": store,
             "roster": registry,
         }
-        self.pool = WorkerPool(self.addresses["pool"], METHODS, work=RUN_S, cores=CORES)
+        self.pool = SimulatedWorkerPool(self.addresses["pool"], METHODS, work=RUN_S, cores=CORES)
         self.start()
 
     def write_configuration(self, **addresses: Address) -> None:
@@ -117,7 +117,7 @@
                 with closing(client.sock):
                     send(client)
                     outcome = client.answer().outcome
-                if outcome == Outcome.OK:
+                if outcome == ClientOutcome.OK:
                     return self.seconds_since_start()
             time.sleep(PROBE_INTERVAL_S)
         return math.inf
@@ -181,8 +181,8 @@
     """Restart loaded nodes, `each` times of each kind and then all at once; return a row for each restart."""
     rows: list[dict] = []
     with tempfile.TemporaryDirectory() as folder:
-        store = Store(free_address(), work=CALL_S)
-        registry = Registry(free_address(socket.SOCK_DGRAM), on_change=lambda text: None)
+        store = SimulatedStore(free_address(), work=CALL_S)
+        registry = SimulatedRegistry(free_address(socket.SOCK_DGRAM), on_change=lambda text: None)
         addresses = store.listener.getsockname(), registry.sock.getsockname()
         fleet = [RestartedNode(number, folder, *addresses) for number in range(nodes)]
         try:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -21,7 +21,7 @@
 from finchcart.fault_injection.consensus.simulation import POLL_US, ConsensusSimulation
 from finchcart.fault_injection.consensus.view import is_down
 from finchcart.membership.config import SECOND
-from finchcart.simulated_peers.client import Outcome
+from finchcart.simulated_peers.client import ClientOutcome
 from finchcart.simulated_peers.store import StoreState
 
 MOST_PRINTED = 10
@@ -129,7 +129,7 @@
     more, less = (
         {
             str(outcome): load.get(f"{method} {outcome}", 0)
-            for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.FAILED)
+            for outcome in (ClientOutcome.OK, ClientOutcome.REJECTED, ClientOutcome.FAILED)
         }
         for method in (MORE_CRITICAL, LESS_CRITICAL)
     )
--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -25,10 +25,10 @@
     ProcessShim,
     build_library,
 )
-from finchcart.simulated_peers.client import Client, Outcome
-from finchcart.simulated_peers.registry import Registry
-from finchcart.simulated_peers.store import Store
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.client import Client, ClientOutcome
+from finchcart.simulated_peers.registry import SimulatedRegistry
+from finchcart.simulated_peers.store import SimulatedStore
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 METHODS = {"look-up": True, "book": False}  # whether their runs make a call
 READY_S = 10.0
@@ -111,7 +111,7 @@
         node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
         outcomes = [node.outcome_of_rpc() for _ in range(RPCS)]
         node.shim.stop_failing(fault.call)
-        wrong = [outcome for outcome in outcomes if outcome != Outcome.OK]
+        wrong = [outcome for outcome in outcomes if outcome != ClientOutcome.OK]
         if fault.breaks_connections or fault.call is Call.CONNECT:
             wrong = []  # the client's connection, or its run's only call, is the one that broke
         after = node.wait_until_serving()
@@ -136,9 +136,9 @@
         self._listen = addresses["listen"]
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
         self._config_path.write_text(json.dumps({**EXAMPLE, "name": name, **texts}))
-        WorkerPool(addresses["pool"], METHODS, WORK_S).started -= LONG_AGO_S
-        Store(addresses["store"])
-        Registry(addresses["roster"], on_change=lambda text: None)
+        SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= LONG_AGO_S
+        SimulatedStore(addresses["store"])
+        SimulatedRegistry(addresses["roster"], on_change=lambda text: None)
 
     def start(self) -> None:
         """Start the process as the deploy file does."""
@@ -157,7 +157,7 @@
             if status is not None:
                 return f"ended with status {status}: {self._last_log_line()}"
             outcome = self.outcome_of_rpc()
-            if outcome == Outcome.OK:
+            if outcome == ClientOutcome.OK:
                 return "" if "Traceback" not in self._log_path.read_text() else "a traceback in its log"
             time.sleep(0.02)
         return f"does not serve: {outcome}"
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -23,8 +23,8 @@
 from finchcart.fault_injection.soak.recording_client import RecordingClient, RpcRecord
 from finchcart.fault_injection.soak.stream_relay import StreamRelay
 from finchcart.simulated_peers.client import Client
-from finchcart.simulated_peers.registry import Registry
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.registry import SimulatedRegistry
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 READY_S = 10.0
 US_PER_S = 1_000_000
@@ -49,7 +49,7 @@
         self._watched_pid = 0
         pool_address = own_address()
         with_call = {method.name: method.name == "look-up" for method in plan.methods}
-        self.pool = WorkerPool(pool_address, with_call, plan.work_s, plan.cores)
+        self.pool = SimulatedWorkerPool(pool_address, with_call, plan.work_s, plan.cores)
         self.pool.started -= LONG_AGO_S
         self.pool_relay = StreamRelay(own_address(), lambda: pool_address, plan.seed)
         self.store_relay = StreamRelay(own_address(), lambda: store, plan.seed + 1)
@@ -95,7 +95,7 @@
             for number, method in enumerate(plan.methods)
         ]
         registry = own_address()
-        Registry(registry, on_change=lambda text: None)
+        SimulatedRegistry(registry, on_change=lambda text: None)
         addresses = {
             "listen": self.listen,
             "pool": self.pool_relay.address,
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from finchcart.fault_injection.soak.recording_client import RpcRecord
-from finchcart.simulated_peers.client import Outcome
-from finchcart.simulated_peers.worker_pool import LoadSample, RunRecord, highest_mean
+from finchcart.simulated_peers.client import ClientOutcome
+from finchcart.simulated_peers.worker_pool import LoadSample, RunTiming, highest_mean
 
 SLACK_S = 0.05  # that each time limit of the protocol is longer on sockets
 CROSSING_S = 0.05  # a request that crosses an announced close by this is sent once more
@@ -50,7 +50,7 @@
 
 
 def breaches(
-    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunRecord]
+    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     """Return a line for each broken rule of one node."""
     found = []
@@ -96,7 +96,7 @@
 
 
 def _second_effects(
-    lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Sequence[RunRecord]
+    lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     """What is not idempotent takes effect once in a window and in the life of a process."""
     found = []
@@ -115,7 +115,7 @@
     return found
 
 
-def _wrong_answers(records: Sequence[RpcRecord], runs: Sequence[RunRecord]) -> list[str]:
+def _wrong_answers(records: Sequence[RpcRecord], runs: Sequence[RunTiming]) -> list[str]:
     """A rejection says that nothing ran; a result is what a run of that request made."""
     found = []
     started = {run.handle for run in runs}
@@ -126,17 +126,17 @@
             found.append(f"changed: {run.handle} ran as {run.method} {run.body!r}")
     for record in records:
         for answer in record.answers:
-            if answer.outcome is Outcome.REJECTED and record.name in started:
+            if answer.outcome is ClientOutcome.REJECTED and record.name in started:
                 found.append(f"duplicate: {record.name} was rejected and ran")
-            if answer.outcome is Outcome.EXCEPTION:
+            if answer.outcome is ClientOutcome.EXCEPTION:
                 found.append(f"refused: {record.name}, which is valid, got {answer.body!r}")
-            if answer.outcome is Outcome.OK and not answer.body.startswith(record.body.upper()):
+            if answer.outcome is ClientOutcome.OK and not answer.body.startswith(record.body.upper()):
                 found.append(f"changed: {record.name} was served {answer.body!r}")
     return found
 
 
 def _runs_past_the_grace(
-    rules: Rules, lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Iterable[RunRecord]
+    rules: Rules, lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Iterable[RunTiming]
 ) -> list[str]:
     began = {run.handle: run.began for run in runs}
     found = []
@@ -151,7 +151,7 @@
 
 
 def _overload(
-    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunRecord]
+    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     found = []
     on_cores = highest_mean(
@@ -181,7 +181,7 @@
 
 
 def highest_memory(
-    rules: Rules, records: Iterable[RpcRecord], runs: Sequence[RunRecord], pauses: Sequence[Pause] = ()
+    rules: Rules, records: Iterable[RpcRecord], runs: Sequence[RunTiming], pauses: Sequence[Pause] = ()
 ) -> float:
     """Return the most memory that requests took at any moment, in kilobytes.
 
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from finchcart.simulated_peers.client import Client, Outcome
+from finchcart.simulated_peers.client import Client, ClientOutcome
 from finchcart.simulated_peers.server import Address
 
 RECONNECT_S = 0.02
@@ -33,7 +33,7 @@
     """An answer, and when it was read."""
 
     at: float
-    outcome: Outcome
+    outcome: ClientOutcome
     body: bytes
 
 
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -20,7 +20,7 @@
 from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
 from finchcart.fault_injection.soak.node import SoakNode
 from finchcart.fault_injection.soak.plan import LEAVE_AT_S, NodeEvent, SoakPlan, draw_plan
-from finchcart.simulated_peers.store import Store
+from finchcart.simulated_peers.store import SimulatedStore
 
 WATCH_INTERVAL_S = 0.02
 RESTART_AFTER_S = 0.2
@@ -64,7 +64,7 @@
         self.plan = plan
         self._plant = plant
         self._shim = ProcessShim(library, folder, f"shim{plan.seed}")
-        self._store = Store(own_address(), self.plan.store_work_s)
+        self._store = SimulatedStore(own_address(), self.plan.store_work_s)
         self._store_load: list[tuple[float, float]] = []  # (time, call-seconds used so far)
         self._nodes: list[SoakNode] = []
         self._folder = folder
--- a/finchcart/simulated_peers/__main__.py
+++ b/finchcart/simulated_peers/__main__.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 
 from finchcart.net.clock import boot_clock
-from finchcart.simulated_peers.registry import Registry
+from finchcart.simulated_peers.registry import SimulatedRegistry
 from finchcart.simulated_peers.server import parse_address
-from finchcart.simulated_peers.store import Capacity, FaultStates, Store, StoreState, write_truth
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.store import Capacity, FaultStates, SimulatedStore, StoreState, write_truth
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 TRUTH_INTERVAL_S = 0.2
 
@@ -60,7 +60,7 @@
         self.arguments = arguments
         self.faults = FaultStates(arguments.faults)
         self.on_effect = effect_writer(arguments.effects) if arguments.effects else None
-        self.store: Store | None = None
+        self.store: SimulatedStore | None = None
         self.store_addresses: set[str] = set()
         self.registry_addresses: set[str] = set()
         for path in arguments.config:
@@ -78,7 +78,7 @@
         family = settings["familyInfo"]
         names = [service["name"] for service in settings["services"]]
         address = parse_address(config["pool"])
-        WorkerPool(
+        SimulatedWorkerPool(
             address,
             dict(zip(names, family["classCalls"], strict=False)),
             self.arguments.work_ms / 1000,
@@ -102,12 +102,12 @@
         arguments = self.arguments
         capacity = Capacity(arguments.limit, arguments.rate, arguments.burst)
         work = arguments.store_work_ms / 1000
-        self.store = Store(parse_address(address), work, capacity, self.faults)
+        self.store = SimulatedStore(parse_address(address), work, capacity, self.faults)
 
     def _serve_registry(self, address: str) -> None:
         if address not in self.registry_addresses:
             self.registry_addresses.add(address)
-            Registry(parse_address(address))
+            SimulatedRegistry(parse_address(address))
 
 
 def main() -> None:
@@ -116,7 +116,7 @@
     peers = SimulatedPeers(arguments)
     print("worker pools, store and registry are up; Ctrl-C ends them", flush=True)
     with suppress(KeyboardInterrupt):
-        if arguments.truth and not arguments.pools_only:
+        if arguments.truth and peers.store:
             write_truth(peers.store, arguments.truth, TRUTH_INTERVAL_S)
         threading.Event().wait()
 
--- a/finchcart/simulated_peers/client.py
+++ b/finchcart/simulated_peers/client.py
@@ -25,7 +25,7 @@
 TIMEOUT_S = 10
 
 
-class Outcome(StrEnum):
+class ClientOutcome(StrEnum):
     """What became of an RPC; the values stand in result files."""
 
     OK = "ok"
@@ -43,7 +43,7 @@
 
     name: str  # of the method, or "closing"
     sequence: int
-    outcome: Outcome
+    outcome: ClientOutcome
     body: bytes  # or the text of an exception
     fields: dict[str, str]
 
@@ -91,17 +91,17 @@
         sequence = reader.integer(I32)
         arguments = reader.struct()
         if kind == thrift.EXCEPTION:
-            return Answer(name, sequence, Outcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
+            return Answer(name, sequence, ClientOutcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
         if kind == thrift.ONEWAY:
-            return Answer(name, sequence, Outcome.ONEWAY, b"", {})
+            return Answer(name, sequence, ClientOutcome.ONEWAY, b"", {})
         (field_number, _), inner = next(iter(arguments.items()))
         if not isinstance(inner, dict):
             raise ProtocolError(f"a reply to {name}: expected a struct, got {inner!r:.60}")
         fields = thrift.read_texts(inner[(2 if field_number == 0 else 1), MAP]) or {}
         if field_number == 0:
-            outcome = Outcome.OK if inner[3, BOOL] else Outcome.NOT_GOOD
+            outcome = ClientOutcome.OK if inner[3, BOOL] else ClientOutcome.NOT_GOOD
             return Answer(name, sequence, outcome, _bytes_of(inner[1, STRING]), fields)
-        outcome = (Outcome.REJECTED, Outcome.FAILED)[field_number - 1]
+        outcome = (ClientOutcome.REJECTED, ClientOutcome.FAILED)[field_number - 1]
         return Answer(name, sequence, outcome, b"", fields)
 
     def _receive(self, count: int) -> bytes:
--- a/finchcart/simulated_peers/load_generator.py
+++ b/finchcart/simulated_peers/load_generator.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from finchcart.simulated_peers.client import Client, Outcome
+from finchcart.simulated_peers.client import Client, ClientOutcome
 from finchcart.simulated_peers.server import Address, parse_address, start_thread
 
 RECONNECT_INTERVAL_S = 0.2
@@ -39,7 +39,7 @@
 class Caller:
     """A connection to one node, opened again when it ends."""
 
-    def __init__(self, address: Address, load: "Load") -> None:
+    def __init__(self, address: Address, load: "LoadGenerator") -> None:
         self.address = address
         self.load = load
         self.lock = threading.Lock()
@@ -59,7 +59,7 @@
                 lost = list(self.sent.values())
                 self.sent = {}
             for rpc in lost:
-                self.load.done(Outcome.NO_ANSWER, 0.0, key=rpc.key)
+                self.load.done(ClientOutcome.NO_ANSWER, 0.0, key=rpc.key)
             time.sleep(RECONNECT_INTERVAL_S)
 
     def _receive_answers(self, client: Client) -> None:
@@ -78,14 +78,14 @@
         """Send one RPC, or count it as one without a connection."""
         client = self.client
         if client is None:
-            self.load.done(Outcome.NO_CONNECTION, 0.0, key=key)
+            self.load.done(ClientOutcome.NO_CONNECTION, 0.0, key=key)
             return
         with self.lock, suppress(OSError):  # a lost connection is counted by the thread that reads
             self.sent[client, client.sequence + 1] = SentRpc(time.monotonic(), method, key)
             client.submit(method, body, key, **more)
 
 
-class Load:
+class LoadGenerator:
     """RPCs of two methods to all nodes.
 
     `connections` is the number to each node; `focus` names a JSON file with the numbers of the nodes that all
@@ -111,7 +111,7 @@
             self.outcomes[outcome] += 1
             if method:
                 self.outcomes[f"{method} {outcome}"] += 1
-            if outcome == Outcome.OK:
+            if outcome == ClientOutcome.OK:
                 self.latencies.append(latency)
 
     def callers_in_focus(self) -> list[Caller]:
@@ -166,7 +166,7 @@
         self.last_caller: Caller | None = None
 
 
-class KeyedLoad(Load):
+class KeyedLoadGenerator(LoadGenerator):
     """RPCs with idempotency keys alone, which their bodies tell.
 
     What was not ok is sent again to another node, `most_attempts` times at most; some go to two nodes at
@@ -183,7 +183,7 @@
     ) -> None:
         self.most_attempts = most_attempts
         self.retries: list[tuple[float, str]] = []  # (when, key)
-        self.answered: dict[str | None, list[str]] = {}  # key -> outcomes
+        self.answered: dict[str, list[str]] = {}  # key -> outcomes
         self.attempts: dict[str, KeyAttempts] = {}
         super().__init__(addresses, connections, seed, focus)
 
@@ -209,21 +209,23 @@
         attempts.last_caller.send("book", key.encode(), key, **more)
 
     def done(self, outcome: str, latency: float, method: str = "", key: str | None = None) -> None:
-        """Count an RPC that ended, and plan its retry where it was not ok."""
+        """Count an RPC that ended, and schedule its retry where it was not ok."""
         super().done(outcome, latency, method)
+        if key is None:
+            return
         with self.lock:
             self.answered.setdefault(key, []).append(outcome)
-            if outcome != Outcome.OK and self.attempts[key].count < self.most_attempts:
+            if outcome != ClientOutcome.OK and self.attempts[key].count < self.most_attempts:
                 self.retries.append((time.monotonic() + RETRY_DELAY_S, key))
 
     def statistics(self) -> dict:
-        """Return the counts of `Load`, those by key, and the keys that were answered ok."""
+        """Return the counts of `LoadGenerator`, those by key, and the keys that were answered ok."""
         with self.lock:
-            first = [outcomes for outcomes in self.answered.values() if outcomes[0] == Outcome.OK]
+            first = [outcomes for outcomes in self.answered.values() if outcomes[0] == ClientOutcome.OK]
             later = [
                 outcomes
                 for outcomes in self.answered.values()
-                if outcomes[0] != Outcome.OK and Outcome.OK in outcomes
+                if outcomes[0] != ClientOutcome.OK and ClientOutcome.OK in outcomes
             ]
         return {
             **super().statistics(),
@@ -231,7 +233,9 @@
             "ok at first": len(first),
             "ok by a repeat": len(later),
             "never ok": len(self.answered) - len(first) - len(later),
-            "answered": {key: outcomes for key, outcomes in self.answered.items() if Outcome.OK in outcomes},
+            "answered": {
+                key: outcomes for key, outcomes in self.answered.items() if ClientOutcome.OK in outcomes
+            },
         }
 
 
@@ -252,7 +256,7 @@
 def main() -> None:
     """Play the load and write its figures."""
     arguments = parse_arguments()
-    load_type = KeyedLoad if arguments.keyed else Load
+    load_type = KeyedLoadGenerator if arguments.keyed else LoadGenerator
     addresses = [parse_address(text) for text in arguments.where]
     load = load_type(addresses, arguments.links, arguments.seed, arguments.focus)
     load.run(arguments.rate, arguments.seconds)
--- a/finchcart/simulated_peers/registry.py
+++ b/finchcart/simulated_peers/registry.py
@@ -8,7 +8,7 @@
 LONGEST_REPORT = 200  # bytes
 
 
-class Registry:
+class SimulatedRegistry:
     """Keeps the last reported registration of each node, and passes on each change as a line of text."""
 
     def __init__(self, address: Address, on_change: Callable[[str], None] = print) -> None:
--- a/finchcart/simulated_peers/store.py
+++ b/finchcart/simulated_peers/store.py
@@ -22,7 +22,7 @@
 
 
 class StoreState(StrEnum):
-    """StoreState of the store at one of its addresses, as the file of faults names it."""
+    """State of the store at one of its addresses, as the file of faults names it."""
 
     OK = "ok"
     DOWN = "down"  # a call breaks the connection
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """What the store bears: calls in hand, or `rate` calls a second with `burst` at once."""
+    """The capacity of the store: calls in flight, or `rate` calls a second with `burst` at once."""
 
     limit: int | None = None
     rate: float | None = None
@@ -134,7 +134,7 @@
         }
 
 
-class Store(Server):
+class SimulatedStore(Server):
     """The store: it answers each call with the call's body, reversed, after `work` seconds.
 
     It ends a call itself when the call's time is over, and abandons those of a connection that closes.
@@ -233,7 +233,7 @@
         return False, work > limit
 
 
-def write_truth(store: Store, path: str, interval: float) -> None:
+def write_truth(store: SimulatedStore, path: str, interval: float) -> None:
     """Append the store's own count to a file every `interval` seconds, for ever."""
     while True:
         time.sleep(interval)
--- a/finchcart/simulated_peers/worker_pool.py
+++ b/finchcart/simulated_peers/worker_pool.py
@@ -27,8 +27,8 @@
 
 
 @dataclass
-class RunRecord:
-    """When a run went on, on the monotonic clock."""
+class RunTiming:
+    """When a run was active, on the monotonic clock."""
 
     handle: str
     method: str
@@ -42,12 +42,12 @@
         """Return when it wanted a core: from, until; None: until now."""
         if self.wait_began is None:
             return [(self.began, self.ended)]
-        spans = [(self.began, self.wait_began)]
+        spans: list[tuple[float, float | None]] = [(self.began, self.wait_began)]
         return spans if self.wait_ended is None else [*spans, (self.wait_ended, self.ended)]
 
 
 @dataclass(eq=False)
-class Run:
+class SimulatedRun:
     """One run of a method."""
 
     waits: bool = False  # for the answer to its call
@@ -72,7 +72,7 @@
     return highest
 
 
-class WorkerPool(Server):
+class SimulatedWorkerPool(Server):
     """The worker pool of one node.
 
     Notices are numbered from 1; a connection that binds is sent those after its cursor.
@@ -103,10 +103,10 @@
         self.notices: list[dict] = []
         self.highest_cursor = 0  # of the notices that the node said it had read, in its life
         self.fate = "old"  # whether the process is the one that the node knew: "old" or "new"
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, SimulatedRun] = {}
         self.started = time.monotonic()
         self.spawned: list[tuple[str, str, bytes]] = []  # (id, method, body) of every run
-        self.history: list[RunRecord] = []  # the same, with times
+        self.history: list[RunTiming] = []  # the same, with times
         self.load: list[LoadSample] = [LoadSample(self.started, 0)]  # at each change
         self.polls = 0  # how often the node asked for the gauges
         self.corrupt_notices: dict[str, int] = {}  # id -> how many more of its notices can't be read
@@ -194,17 +194,17 @@
         return True
 
     def _spawn(self, connection: socket.socket, message: dict) -> bool:
-        handle = message.get("handle")
+        handle: str = message.get("handle", "")
         method = message["entry"]
         if method not in self.methods:
             return False
         if handle not in self.runs:  # one that ended is not known any more: it runs again
-            run = self.runs[handle] = Run()
+            run = self.runs[handle] = SimulatedRun()
             start_thread(self._execute, handle, run, method, b64decode(message["arg"]))
         return True
 
     def _resume(self, connection: socket.socket, message: dict) -> bool:
-        run = self.runs.get(message.get("handle"))
+        run = self.runs.get(message.get("handle", ""))
         if run is None:
             return False
         run.reply = b64decode(message.get("arg", ""))
@@ -228,10 +228,10 @@
 
     # ---- runs
 
-    def _execute(self, handle: str, run: Run, method: str, body: bytes) -> None:
+    def _execute(self, handle: str, run: SimulatedRun, method: str, body: bytes) -> None:
         began = time.monotonic()
         self.spawned.append((handle, method, body))
-        record = RunRecord(handle, method, body, began)
+        record = RunTiming(handle, method, body, began)
         self.history.append(record)
         self._load_changed()
         failing = self.is_failing()
@@ -250,7 +250,7 @@
             arg=b64encode(result if fate == "good" else b"").decode(),
         )
 
-    def _work(self, record: RunRecord, run: Run) -> tuple[str, bytes]:
+    def _work(self, record: RunTiming, run: SimulatedRun) -> tuple[str, bytes]:
         """Do the work of a run; return its fate and its result."""
         fate = "good"
         body = record.body
@@ -262,7 +262,7 @@
             self._load_changed()
             self._notify("blocked", handle=record.handle, arg=b64encode(b"about " + body).decode())
             if run.replied.wait(REPLY_TIMEOUT_S):
-                result += b" " + run.reply
+                result += b" " + (run.reply or b"")
             else:
                 fate = "cut"
             run.waits = False
--- a/tests/node_testbed.py
+++ b/tests/node_testbed.py
@@ -13,9 +13,9 @@
 from benchmarks.node_process import free_address
 from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
 from finchcart.simulated_peers.client import Client
-from finchcart.simulated_peers.registry import Registry
-from finchcart.simulated_peers.store import Store
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.registry import SimulatedRegistry
+from finchcart.simulated_peers.store import SimulatedStore
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 METHODS = {"look-up": True, "book": False}  # whether their runs make a call
 EXAMPLE_CONFIG = Path("example/config.json")
@@ -59,11 +59,11 @@
         self.path.write_text(json.dumps(self.config))
 
     def start_registry(self):
-        self.registry = Registry(self.addresses["roster"], on_change=lambda text: None)
+        self.registry = SimulatedRegistry(self.addresses["roster"], on_change=lambda text: None)
 
     def start_peers(self):
-        self.pool = WorkerPool(self.addresses["pool"], METHODS)
-        self.store = Store(self.addresses["store"])
+        self.pool = SimulatedWorkerPool(self.addresses["pool"], METHODS)
+        self.store = SimulatedStore(self.addresses["store"])
 
     def registration(self):
         """What the registry knows of the node: "on", "off" or None."""
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from finchcart.simulated_peers.client import Outcome
+from finchcart.simulated_peers.client import ClientOutcome
 from tests.node_testbed import read_answers
 
 HOUR_S = 3600
@@ -49,7 +49,7 @@
         after = [submit(client, shim, 10 * step + number, follows) for number in (1, 2)]
         answers = read_answers(client, 3)
         outcomes += [answers[sequence][0] for sequence in (before, *after)]
-    assert outcomes == [Outcome.OK] * 6 * len(STEPS_S)
+    assert outcomes == [ClientOutcome.OK] * 6 * len(STEPS_S)
 
 
 @pytest.mark.parametrize("offset_s", [HOUR_S, 2])
@@ -67,7 +67,7 @@
     testbed.send_signals(signal.SIGTERM)
     shim.set_clock_offset(offset_s)
     sequence = submit(client, shim, 1)
-    assert read_answers(client, 1)[sequence][0] in (Outcome.OK, Outcome.REJECTED)
+    assert read_answers(client, 1)[sequence][0] in (ClientOutcome.OK, ClientOutcome.REJECTED)
     client.sock.close()
     assert testbed.process.wait(STOP_MS / 1000 + END_SLACK_S) == 0
     assert time.monotonic() - began < STOP_MS / 1000
@@ -82,10 +82,10 @@
     time.sleep(deadline_s + 0.3)  # that much older it is: nothing is decided by how much
     shim.set_clock_offset(-deadline_s)
     testbed.send_signals(signal.SIGCONT)
-    assert read_answers(client, 1)[waited][0] != Outcome.OK
+    assert read_answers(client, 1)[waited][0] != ClientOutcome.OK
     fresh = submit(client, shim, 2)
-    assert read_answers(client, 1)[fresh][0] == Outcome.OK
+    assert read_answers(client, 1)[fresh][0] == ClientOutcome.OK
     shim.set_clock_offset(-deadline_s - 2)
     looks_old = [submit(client, shim, number) for number in (3, 4)]
-    assert {answer[0] for answer in read_answers(client, 2).values()} == {Outcome.OK}, looks_old
+    assert {answer[0] for answer in read_answers(client, 2).values()} == {ClientOutcome.OK}, looks_old
     assert testbed.started_runs().count(b"seat") == 3
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.node_process import free_address
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 from tests.node_testbed import METHODS, NodeTestbed, read_answers, wait_until
 
 
@@ -60,7 +60,7 @@
 def test_a_node_of_the_last_tier_starts_and_serves_with_no_store_named(testbed):
     del testbed.addresses["store"], testbed.config["store"]
     testbed.write_config()
-    testbed.pool = WorkerPool(testbed.addresses["pool"], METHODS)
+    testbed.pool = SimulatedWorkerPool(testbed.addresses["pool"], METHODS)
     testbed.start()
     wait_until(testbed.serves)  # its run stands at a call, which is left out: there is nobody to call
     client = testbed.client()
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -18,7 +18,7 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.inputs import TimersDue
 from finchcart.protocol.messages import CommandRejected
-from finchcart.simulated_peers.worker_pool import WorkerPool
+from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.node_testbed import METHODS, read_answers, wait_until
@@ -120,7 +120,7 @@
     assert how(harness, name) == "failed" and harness.core.control.runs_in_progress == 0
 
 
-class BreakingPool(WorkerPool):
+class BreakingPool(SimulatedWorkerPool):
     """Breaks the connection right after every third start: it was read, and nothing told the node so."""
 
     starts = 0
