--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -1,6 +1,6 @@
-"""One planner process: shares the fleet's limits out, and keeps key leases where it is named for that.
+"""One planner process: allocates the fleet's limits, and votes on key leases where the settings name it.
 
-Owns the life of the process, and how a settings file that is read again is taken: whole or not at all.
+Owns the life of the process, and which changes of the settings file need a restart.
 """
 
 import queue
@@ -12,6 +12,7 @@
 from loguru import logger
 
 from finchcart.cli.log_output import LOG_FORMATS
+from finchcart.cli.settings_reload import reread_settings
 from finchcart.errors import SettingsError
 from finchcart.fleet_settings.configs import key_lease_config, quota_config
 from finchcart.fleet_settings.file import load_settings
@@ -28,8 +29,8 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def plan(path: str | None, address: str, listen: str | None, log_format: str) -> int:
-    """Serve as a planner until told to end; return the status of the process.
+def plan(path: str, address: str, listen: str | None, log_format: str) -> int:
+    """Serve as a planner until a signal to end; return the status of the process.
 
     Arguments:
         path: of the settings file.
@@ -68,17 +69,17 @@
 
 
 class PlannerProcess:
-    """What a planner does by its settings. Raises SettingsError where they don't name it."""
+    """The state machines of a planner. Raises SettingsError where the settings do not name it."""
 
-    def __init__(self, path: str | None, address: str) -> None:
+    def __init__(self, path: str, address: str) -> None:
         self._path = path
         self._address = address
         self._settings = settings = load_settings(path)
         self.fleet_name = settings.fleet.name if settings.fleet else ""
         quota = quota_config(settings)
         key_leases = key_lease_config(settings)
-        self._quota = quota if quota and address in settings.quota.planners else None
-        self._key_leases = key_leases if key_leases and address in settings.claims.keepers else None
+        self._quota = quota if quota and address in quota.planners else None
+        self._key_leases = key_leases if key_leases and address in key_leases.keepers else None
         if not self._quota and not self._key_leases:
             raise SettingsError([f"{path}: quota.planners, claims.keepers: {address} is not among them"])
         self._random = random.Random(random.SystemRandom().getrandbits(64))
@@ -95,23 +96,17 @@
         return machines
 
     def reload(self) -> list[tuple[bytes, MachineInput]]:
-        """Read the settings file once more; return inputs by channel, none where it can't be used."""
-        try:
-            settings = load_settings(self._path)
-            self._check_unchanged(settings)
-        except SettingsError as error:
-            for mistake in error.mistakes:
-                logger.error("settings not taken: {}", mistake)
-            return []
-        logger.info("settings taken from {}", self._path)
-        if not self._quota:
+        """Read the settings file again; return inputs by channel, none where it is rejected."""
+        settings = reread_settings(self._path, self._changed_fixed_fields)
+        if settings is None or not self._quota:
             return []
         return [(quota_messages.CHANNEL, (QuotaInput.CONFIG, quota_config(settings)))]
 
-    def _check_unchanged(self, settings: Settings) -> None:
-        """Raise SettingsError where something is new that only a start can take."""
+    def _changed_fixed_fields(self, settings: Settings) -> list[str]:
+        """Return the path of the first field that differs and needs a restart, or none."""
         quota = quota_config(settings)
         if self._quota and (not quota or quota.planners != self._quota.planners):
-            raise SettingsError([f"{self._path}: quota.planners: waits for the next start"])
+            return ["quota.planners"]
         if key_lease_config(settings) != key_lease_config(self._settings):
-            raise SettingsError([f"{self._path}: claims: waits for the next start"])
+            return ["claims"]
+        return []
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -83,7 +83,7 @@
         config = read_config(path)
     except ConfigError as error:
         # Guards against a file that is wrong or half written: the node goes on with what it has.
-        logger.error("configuration not taken: {}", error)
+        logger.error("configuration rejected: {}", error)
         return None
     fixed = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(used, name)]
     if fixed:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -93,7 +93,7 @@
     assert read_answers(client, 1) == {during: ("ok", b"SEAT")}
     wait_until(lambda: testbed.serves() and testbed.store.accepted > before)
     status, log = testbed.terminate()
-    assert status == 0 and "not taken" in log and "pool, store, registry readdressed" in log
+    assert status == 0 and "configuration rejected" in log and "pool, store, registry readdressed" in log
 
 
 @pytest.mark.parametrize(
--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -83,7 +83,7 @@
     for each in (client, half, late):
         each.sock.close()
     log += testbed.wait_for_clean_end()
-    assert "not taken" in log and log.count("drain: ") == 2  # the notice, and the grace's end
+    assert "configuration rejected" in log and log.count("drain: ") == 2  # the notice, and the grace's end
 
 
 def test_answers_to_one_that_does_not_read_are_whole_at_the_end(testbed):
@@ -404,9 +404,8 @@
         testbed.send_signals(signal.SIGHUP)
         assert testbed.serves()
     log = testbed.terminate()[1]
-    assert (
-        log.count("not taken") + log.count("wait for the next start") == len(odd) and "Traceback" not in log
-    )
+    assert log.count("configuration rejected") + log.count("wait for the next start") == len(odd)
+    assert "Traceback" not in log
 
 
 def test_a_thousand_that_connect_and_stay_silent_are_each_closed_in_time(testbed):
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -127,7 +127,7 @@
     for text, line in [
         (good.replace("200", "2"), "fleet.period_ms: 2: Expected `int` >= 100"),
         (good.replace(":7400", ":7401"), "fleet.listen: waits for the next start"),
-        (good.replace("200", "300"), "settings taken"),
+        (good.replace("200", "300"), "settings applied from"),
     ]:
         path.write_text(text)
         fleet.reload_settings("n0")
