--- a/finchcart/cli/commands.py
+++ b/finchcart/cli/commands.py
@@ -61,7 +61,7 @@
     from finchcart.cli.planner_process import plan as run_planner
 
     if not settings:
-        raise click.UsageError(MISSING_SETTINGS)
+        raise click.ClickException(MISSING_SETTINGS)
     sys.exit(run_planner(settings, place, listen, log))
 
 
