--- a/finchcart/errors.py
+++ b/finchcart/errors.py
@@ -1,7 +1,8 @@
-"""The errors of the program, of one base.
+"""The errors of the program, in one tree.
 
-Each message says what was expected, what was found and where. An error that a peer or a configuration causes
-has a type of its own here; anything else is a fault of the program and is not caught.
+Each message says what was expected, what was found and where. An error that a peer, a caller or a
+configuration causes is of a type here, or of a subtype beside its codec; anything else is a defect of the
+program and is not caught, but where a comment names what is guarded.
 """
 
 
@@ -10,7 +11,7 @@
 
 
 class ProtocolError(FinchcartError):
-    """Bytes that are no message of a protocol. The peer is to blame, and its connection is closed."""
+    """Bytes that are no message of a protocol: a fault of the peer, whose connection is closed."""
 
 
 class ConfigError(FinchcartError):
--- a/finchcart/net/buffers.py
+++ b/finchcart/net/buffers.py
@@ -1,7 +1,7 @@
-"""Buffers of one size, taken from a pool and given back.
+"""A pool of buffers of one size.
 
-Owns the memory that connections read into. A buffer is held only while it holds bytes; it must never be used
-after it was given back, nor handed to the reducer: codecs copy out what they keep.
+Owns the memory that connections read into. A buffer is in use only while it has bytes; it must never be used
+after its release, nor handed to the core: codecs copy what they keep.
 """
 
 from collections import deque
@@ -24,7 +24,7 @@
         self.in_use: set[int] = set()  # by id
 
     def acquire(self) -> bytearray:
-        """Take a buffer of `size` bytes; what it holds is not defined."""
+        """Return a buffer of `size` bytes, whose content is undefined."""
         try:
             buffer = self.spare.pop()
         except IndexError:
@@ -33,15 +33,15 @@
         return buffer
 
     def release(self, buffer: bytearray) -> None:
-        """Give a buffer back. Raise ValueError where it is not in use."""
+        """Return a buffer to the pool. Raise ValueError where it is not in use."""
         if id(buffer) not in self.in_use:
-            raise ValueError("a buffer was given back twice")
+            raise ValueError("expected a buffer in use, got one that is released already")
         self.in_use.discard(id(buffer))
         self.spare.append(buffer)
 
     @contextmanager
     def borrow(self) -> Iterator[bytearray]:
-        """Hold a buffer for the length of a block."""
+        """Acquire a buffer for the length of a block."""
         buffer = self.acquire()
         try:
             yield buffer
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket, and how many connections of others may be open.
+"""The listening socket, and the limit on accepted connections.
 
 Owns the listening socket and the numbers of accepted connections. It must never read from one.
 """
@@ -13,21 +13,22 @@
 
 from finchcart.limits import Limits
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, shut_down
-from finchcart.net.transient_errors import OF_ONE_CONNECTION
+from finchcart.net.transient_errors import CONNECTION_ERRORS
 
-FIRST_PAUSE_US = 1_000  # after a failure of accept
-MOST_DOUBLINGS = 10
-MOST_FAILURES_IN_A_ROW = 32  # of accept, that are tried again at once
+FIRST_PAUSE_US = 1_000  # after a failure of accept; it doubles
+MAX_DOUBLINGS = 10
+MAX_CONSECUTIVE_FAILURES = 32  # of accept, that are retried immediately
 
-# A number, its socket, the host that it comes from, and what is to be called once its descriptor is free.
+# Called with a number, the socket, the peer's host, and what to call once its descriptor is free. May raise
+# OSError where the connection cannot be served yet: then it is called again after a pause.
 OnAccepted = Callable[[int, socket.socket, str | None, Callable[[], None]], None]
 
 
 class Listener:
     """Accepts dispatchers' connections and numbers them from 1 up.
 
-    Bounded by `limits.max_accepted`: what is over that waits in the system's backlog until one closes, so
-    that descriptors for the node's own connections and files are always left.
+    Bounded by `limits.max_accepted`: others wait in the system's backlog until one closes, so that
+    descriptors remain for the node's own connections and files.
     """
 
     def __init__(self, address: tuple[str, int], limits: Limits) -> None:
@@ -65,17 +66,17 @@
                 if error.errno != warned_of:
                     logger.warning("accept: {}", error.strerror)
                 warned_of = error.errno
-                # Guards against a spin where descriptors or memory run out: what waits is accepted later.
-                # What concerns one connection alone holds the others up only where there is no end of it.
-                if error.errno not in OF_ONE_CONNECTION or failures > MOST_FAILURES_IN_A_ROW:
+                # Guards against a busy loop where descriptors or memory run out: the backlog is accepted
+                # later. An error of one connection delays the others only where it goes on.
+                if error.errno not in CONNECTION_ERRORS or failures > MAX_CONSECUTIVE_FAILURES:
                     self._pause(failures)
                 continue
             warned_of = None
             failures = 0
 
     def _pause(self, failures: int) -> None:
-        """Longer with each failure in a row: a shortage of a moment holds nobody up for long."""
-        pause_us = FIRST_PAUSE_US << min(failures - 1, MOST_DOUBLINGS)
+        """Back off: the pause doubles with each consecutive failure, up to `limits.accept_retry_delay`."""
+        pause_us = FIRST_PAUSE_US << min(failures - 1, MAX_DOUBLINGS)
         sleep(min(pause_us, self._limits.accept_retry_delay) / MICROSECONDS_PER_SECOND)
 
     def _accept_one(self) -> None:
@@ -88,8 +89,7 @@
                 self.on_accepted(number, sock, host, self.capacity.release)
                 return
             except OSError as error:
-                # Guards against a request that is lost with its connection: it waits until there is a thread
-                # for its reader.
+                # Guards against a request that is lost with its connection: it waits until it can be served.
                 if self._is_stopped:
                     sock.close()
                     raise
@@ -98,17 +98,17 @@
                 self._pause(failures)
 
     def stop(self) -> None:
-        """Accept no more. Those that the system has accepted are taken first: a reset would lose requests."""
+        """Stop listening, after the backlog is accepted: a reset would lose requests."""
         self._is_stopped = True
         self.sock.setblocking(False)
         failures = 0
-        while failures <= MOST_FAILURES_IN_A_ROW and self.capacity.acquire(blocking=False):
+        while failures <= MAX_CONSECUTIVE_FAILURES and self.capacity.acquire(blocking=False):
             try:
                 self._accept_one()
                 failures = 0
             except BlockingIOError:
                 self.capacity.release()
-                break  # all are taken
+                break  # the backlog is empty
             except OSError as error:
                 self.capacity.release()
                 failures += 1
--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -15,7 +15,7 @@
 from finchcart.errors import ProtocolError
 from finchcart.net.buffers import Buffers
 from finchcart.net.clock import boot_clock
-from finchcart.net.transient_errors import MOST_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
+from finchcart.net.transient_errors import MAX_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 
 MIN_WAIT_US = 2_000  # of a read that found nothing there at first
 
@@ -142,7 +142,7 @@
 
     def _read(self, sock: socket.socket, target: memoryview | bytearray, flags: int) -> int:
         """Read, and retry where the system has no memory for a moment: nothing of the connection is lost."""
-        for _ in range(MOST_SHORTAGES):
+        for _ in range(MAX_SHORTAGES):
             try:
                 return sock.recv_into(target, 0, flags)
             except OSError as error:
--- a/finchcart/net/registry_reports.py
+++ b/finchcart/net/registry_reports.py
@@ -1,7 +1,7 @@
-"""The datagrams in which a node tells the registry of its registration.
+"""The datagrams in which a node reports to the registry.
 
-Owns one UDP socket and the thread that writes on it. It must never wait for the registry or tell anybody of a
-datagram that was lost: the next report is due soon.
+Owns one UDP socket and the thread that writes on it. It must never wait for the registry, nor report the loss
+of a datagram: the next report is due soon.
 """
 
 import socket
--- a/finchcart/net/writer.py
+++ b/finchcart/net/writer.py
@@ -11,7 +11,7 @@
 
 from finchcart.net.deferred_threads import DeferredThread, DeferredThreadStarter
 from finchcart.net.sockets import shut_down, start_thread
-from finchcart.net.transient_errors import MOST_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
+from finchcart.net.transient_errors import MAX_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 from finchcart.protocol.connection_events import EventSink, WriteResumed
 
 
@@ -92,6 +92,6 @@
                 raise  # the time for a write is over
             except OSError as error:
                 failures += 1
-                if not is_transient(error) or failures > MOST_SHORTAGES:
+                if not is_transient(error) or failures > MAX_SHORTAGES:
                     raise
                 sleep(SHORTAGE_PAUSE_S)
--- a/finchcart/protocol/worker_pool_codec.py
+++ b/finchcart/protocol/worker_pool_codec.py
@@ -47,9 +47,11 @@
     """Read one line of the worker pool; raise `ProtocolError` where it is no message."""
     # Guards against the stack: the library's parser goes down with each bracket.
     if data.count(b"[") + data.count(b"{") > MAX_BRACKETS:
-        raise ProtocolError("too many brackets in a line")
+        raise ProtocolError(f"a line from the pool: expected {MAX_BRACKETS} brackets at most")
     try:
         return _read_notice(json.loads(data))
+    except ProtocolError as error:
+        raise ProtocolError(f"a line from the pool: {error}"[:MAX_ERROR_LENGTH]) from None
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError) as error:
         text = f"a line from the pool: {type(error).__name__}: {error}"
         raise ProtocolError(text[:MAX_ERROR_LENGTH]) from None
@@ -64,13 +66,13 @@
 def _read_run_ended(fields: Mapping[str, Any]) -> RunEnded:
     outcome = RUN_OUTCOMES[fields["fate"]]
     service_time_us = _microseconds(fields["lasted"])
-    cursor = _whole_number(fields["cursor"])
-    return RunEnded(cursor, _text(fields["handle"]), outcome, service_time_us, _decode_body(fields))
+    cursor = _whole_number(fields, "cursor")
+    return RunEnded(cursor, _text(fields, "handle"), outcome, service_time_us, _decode_body(fields))
 
 
 def _read_awaiting_call(fields: Mapping[str, Any]) -> RunAwaitingCall:
-    cursor = _whole_number(fields["cursor"])
-    return RunAwaitingCall(cursor, _text(fields["handle"]), _decode_body(fields))
+    cursor = _whole_number(fields, "cursor")
+    return RunAwaitingCall(cursor, _text(fields, "handle"), _decode_body(fields))
 
 
 def _read_gauges(fields: Mapping[str, Any]) -> GaugesRead:
@@ -84,11 +86,12 @@
 
 def _read_command_rejected(fields: Mapping[str, Any]) -> CommandRejected:
     was_start = fields.get("fate") == "spawn"
-    return CommandRejected(was_start, _text(fields.get("handle") or ""))
+    rpc_name = _text(fields, "handle") if fields.get("handle") else ""  # there is none for some commands
+    return CommandRejected(was_start, rpc_name)
 
 
 def _read_informational(fields: Mapping[str, Any]) -> InformationalNotice:
-    return InformationalNotice(_whole_number(fields["cursor"]))
+    return InformationalNotice(_whole_number(fields, "cursor"))
 
 
 NOTICE_READERS: dict[str, Callable[[Mapping[str, Any]], WorkerPoolMessage]] = {
@@ -105,21 +108,23 @@
     return a2b_base64(fields.get("arg") or "", strict_mode=True)
 
 
-def _whole_number(value: object) -> int:
+def _whole_number(fields: Mapping[str, Any], name: str) -> int:
+    value = fields[name]
     if not isinstance(value, int):
-        raise ValueError(f"{value!r}: expected a whole number")
+        raise ProtocolError(f"{name}: expected a whole number, got {value!r}")
     return value
 
 
-def _text(value: object) -> str:
+def _text(fields: Mapping[str, Any], name: str) -> str:
+    value = fields[name]
     if not isinstance(value, str):
-        raise ValueError(f"{value!r}: expected text")
+        raise ProtocolError(f"{name}: expected text, got {value!r}")
     return value
 
 
 def _finite_number(value: float) -> float:
     if not isfinite(value):
-        raise ValueError(f"{value!r}: expected a number")
+        raise ProtocolError(f"figures: expected finite numbers, got {value!r}")
     return float(value)
 
 
