--- a/finchcart/cli/fleet_commands.py
+++ b/finchcart/cli/fleet_commands.py
@@ -29,7 +29,7 @@
 
 def _query(query: Callable[[tuple[str, int]], dict[str, Any]], where: str, as_json: bool) -> dict[str, Any]:
     """Return the response of the process at HOST:PORT; with `as_json`, print it and exit."""
-    from finchcart.membership.codec import DatagramError, parse_address
+    from finchcart.fleet.codec import DatagramError, parse_address
 
     try:
         view = query(parse_address(where))
@@ -102,9 +102,9 @@
     """Send an operator's override to one node, which gossips it; without a value it is revoked."""
     from finchcart.consensus import subjects
     from finchcart.errors import SettingsError
+    from finchcart.fleet.codec import DatagramError, parse_address
     from finchcart.fleet_queries import send_override
     from finchcart.fleet_settings.file import load_settings
-    from finchcart.membership.codec import DatagramError, parse_address
 
     try:
         subject = subjects.parse_subject(kind, name)
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -16,6 +16,10 @@
 from finchcart.cli.log_output import LOG_FORMATS
 from finchcart.cli.settings_reload import reread_settings
 from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
+from finchcart.consensus.observations import Evidence
+from finchcart.fleet.codec import parse_address
+from finchcart.fleet.inputs import Leave
 from finchcart.fleet_participant import FleetParticipant, Reduce
 from finchcart.fleet_settings.configs import (
     consensus_config,
@@ -27,8 +31,7 @@
 from finchcart.fleet_settings.schema import FleetSettings, Settings
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.membership import messages as membership_messages
-from finchcart.membership.codec import parse_address
-from finchcart.membership.effects import InputKind
+from finchcart.membership.inputs import MembershipConfigChanged, PiggybackInput
 from finchcart.net.clock import boot_clock
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
 from finchcart.node.core import Core
@@ -41,7 +44,7 @@
 from finchcart.node.observer import NodeObserver
 from finchcart.node_process import run_node
 from finchcart.quota import messages as quota_messages
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 
 FIXED_FIELDS = ("name", "listen", "advertise", "seeds")  # for as long as the process lives
 NANOSECONDS_PER_MILLISECOND = 1_000_000
@@ -140,20 +143,20 @@
 
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Post what this node uses and demands of a limit: to the lease holder, or by gossip."""
-        usage = (QuotaInput.USAGE, limit, in_use, demand, priority_demand)
+        usage = UsageReported(limit, in_use, demand, priority_demand)
         strict_limits = self._quota.strict if self._quota else ()
         if any(strict.name == limit for strict in strict_limits):
-            self._datagrams.post(quota_messages.CHANNEL, *usage)
+            self._datagrams.post(quota_messages.CHANNEL, usage)
         else:
-            self._datagrams.post(membership_messages.CHANNEL, InputKind.PIGGYBACK, *usage)
+            self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
-    def publish_evidence(self, evidence: object) -> None:
+    def publish_evidence(self, evidence: Evidence) -> None:
         """Post what the core observed to the consensus store."""
-        self._datagrams.post(consensus_messages.CHANNEL, InputKind.EVIDENCE, evidence)
+        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
         """Post a command to the key lease client, to be handled immediately."""
-        self._datagrams.post_now(key_lease_messages.CHANNEL, *key_lease_client_input(command))
+        self._datagrams.post_now(key_lease_messages.CHANNEL, key_lease_client_input(command))
 
     # ---- The process
 
@@ -171,7 +174,7 @@
     def on_signal(self, notice: Drain | ReloadConfig) -> None:
         """Pass a signal's notice on; called in its handler, which may not log."""
         if isinstance(notice, Drain):
-            self._datagrams.post(None, InputKind.LEAVE)
+            self._datagrams.post(None, Leave())
         elif isinstance(notice, ReloadConfig):
             self._datagrams.post_reload()
 
@@ -206,14 +209,15 @@
         settings = self._settings
         member_config = membership_config(self._fleet)
         inputs: list[tuple[bytes, MachineInput]] = [
-            (membership_messages.CHANNEL, (InputKind.CONFIG, member_config))
+            (membership_messages.CHANNEL, MembershipConfigChanged(member_config))
         ]
         consensus = consensus_config(settings)
         if consensus:
-            inputs.append((consensus_messages.CHANNEL, (InputKind.CONFIG, consensus)))
-        if self._quota:
-            self._quota = limits_with_probes(settings)
-            config = (QuotaInput.CONFIG, self._quota)
+            inputs.append((consensus_messages.CHANNEL, ConsensusConfigChanged(consensus)))
+        quota = limits_with_probes(settings)
+        if self._quota and quota:
+            self._quota = quota
+            config = QuotaConfigChanged(quota)
             inputs.append((quota_messages.CHANNEL, config))
-            inputs.append((membership_messages.CHANNEL, (InputKind.PIGGYBACK, *config)))
+            inputs.append((membership_messages.CHANNEL, PiggybackInput(config)))
         return inputs
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -14,16 +14,16 @@
 from finchcart.cli.log_output import LOG_FORMATS
 from finchcart.cli.settings_reload import reread_settings
 from finchcart.errors import SettingsError
+from finchcart.fleet.codec import parse_address
 from finchcart.fleet_settings.configs import key_lease_config, quota_config
 from finchcart.fleet_settings.file import load_settings
 from finchcart.fleet_settings.schema import Settings
 from finchcart.key_leases import messages as key_lease_messages
 from finchcart.key_leases.replica import KeyLeaseReplica
-from finchcart.membership.codec import parse_address
 from finchcart.net.datagrams import DatagramEndpoint, MachineInput, StateMachine
 from finchcart.node_process import EXIT_NOT_STARTED
 from finchcart.quota import messages as quota_messages
-from finchcart.quota.effects import QuotaInput
+from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.planner import Planner
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -98,9 +98,10 @@
     def reload(self) -> list[tuple[bytes, MachineInput]]:
         """Read the settings file again; return inputs by channel, none where it is rejected."""
         settings = reread_settings(self._path, self._changed_fixed_fields)
-        if settings is None or not self._quota:
+        quota = quota_config(settings) if settings else None
+        if not self._quota or not quota:
             return []
-        return [(quota_messages.CHANNEL, (QuotaInput.CONFIG, quota_config(settings)))]
+        return [(quota_messages.CHANNEL, QuotaConfigChanged(quota))]
 
     def _changed_fixed_fields(self, settings: Settings) -> list[str]:
         """Return the path of the first field that differs and needs a restart, or none."""
--- a/finchcart/decisions/histogram.py
+++ b/finchcart/decisions/histogram.py
@@ -18,7 +18,7 @@
     WEIGHTS = tuple(2 ** (position / BINS_PER_OCTAVE) for position in range(BIN_COUNT))
 
     def __init__(self, low: float, prior: float, max_count: float) -> None:
-        """A histogram whose only sample is `prior`."""
+        """Begin with one sample, `prior`."""
         self.low = low
         self.max_count = max_count
         self.bins = [0.0] * BIN_COUNT
@@ -39,7 +39,7 @@
         self.mean = BIN_MIDDLE * self.low * self.weighted_sum / self.count
 
     def quantile(self, part: float) -> float:
-        """The upper end of the bin in which `part` (0 to 1) of the samples is reached."""
+        """Return the upper end of the bin in which `part` (0 to 1) of the samples is reached."""
         left = part * self.count
         position = 0
         for count in self.bins:
--- a/finchcart/fleet_settings/rules.py
+++ b/finchcart/fleet_settings/rules.py
@@ -10,6 +10,7 @@
 from msgspec import UNSET
 
 from finchcart.consensus import config as consensus
+from finchcart.fleet.codec import DatagramError, parse_address
 from finchcart.fleet_settings.configs import (
     consensus_config,
     key_lease_config,
@@ -18,7 +19,6 @@
 )
 from finchcart.fleet_settings.schema import FleetSettings, Settings
 from finchcart.key_leases import config as key_leases
-from finchcart.membership.codec import DatagramError, parse_address
 from finchcart.membership.config import SECOND
 from finchcart.quota import limits as quota
 
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -9,26 +9,34 @@
 """
 
 from collections.abc import Iterable
-from enum import StrEnum
 from random import Random
-from typing import Literal, NamedTuple
+from typing import NamedTuple
 
+from finchcart.fleet.codec import MAX_DATAGRAM_BYTES, HostPort, parse_address, take_fitting
+from finchcart.fleet.inputs import CommonInput
+from finchcart.fleet.message_endpoint import MessageEndpoint, MessageRejectedError
 from finchcart.key_leases.config import KeyLeaseConfig
+from finchcart.key_leases.effects import LeaseAnswer
+from finchcart.key_leases.inputs import (
+    AbandonKeyLease,
+    AcquireKeyLeases,
+    ClientInput,
+    KeyLeaseRunCancelled,
+    KeyLeaseRunEnded,
+    KeyToLease,
+)
 from finchcart.key_leases.messages import (
     CODEC,
     RUN_ENDED,
     AcquireLeases,
+    LeaseProposal,
     LeaseReport,
-    LeaseRequest,
     LeaseStatus,
     Message,
     OutcomesAcknowledged,
     ReportOutcomes,
     Votes,
 )
-from finchcart.membership.codec import MAX_DATAGRAM_BYTES, parse_address, take_fitting
-from finchcart.membership.effects import HostPort
-from finchcart.message_endpoint import MessageEndpoint, MessageRejectedError
 
 MAX_TRANSMISSIONS = 40  # of one outcome to replicas that do not acknowledge it
 MAX_BACKOFF = 8  # retransmission intervals between two transmissions of one outcome
@@ -44,30 +52,6 @@
 }
 
 
-class ClientInput(StrEnum):
-    """The first field of an input that is this client's own."""
-
-    ACQUIRE = "claim"  # a list of (key, payload digest, lease duration in microseconds)
-    ENDED = "ended"  # key, `COMPLETED` or `FAILED`, result: of a run that was commanded
-    NEVER_RAN = "never"  # key: its run will not be commanded
-    ABANDON = "leave_it"  # key: nobody waits for the answer any more
-
-
-class LeaseAnswer(NamedTuple):
-    """The effect that answers an attempt.
-
-    `GRANTED`: command the run before `run_before` on the boot clock, or not at all. `COMPLETED`: `result` is
-    of a run elsewhere. `HELD`: it runs elsewhere and did not end in time. `UNAVAILABLE`: no quorum, or no
-    room: it never ran here. `FAILED` and `PAYLOAD_MISMATCH` as in `LeaseStatus`.
-    """
-
-    kind: Literal["claimed"]
-    key: bytes
-    status: LeaseStatus
-    result: bytes
-    run_before: int | None
-
-
 class Attempt:
     """One attempt to acquire the lease of a key. Times are microseconds on the boot clock."""
 
@@ -81,9 +65,9 @@
         self.transmit_at = now
         self.votes: dict[int, LeaseStatus] = {}  # by index of the replica
 
-    def request(self) -> LeaseRequest:
-        """What is asked of the replicas."""
-        return LeaseRequest(self.key, self.payload_digest, self.number, self.duration_us)
+    def proposal(self) -> LeaseProposal:
+        """Return what is proposed to the replicas."""
+        return LeaseProposal(self.key, self.payload_digest, self.number, self.duration_us)
 
     def granted_votes(self) -> int:
         """Replicas that voted for it."""
@@ -108,9 +92,8 @@
         self.transmissions = 0
 
 
-class KeyLeaseClient(MessageEndpoint):
-    """A holder's state machine; see `MessageEndpoint` and `ClientInput` for its inputs, `LeaseAnswer` for its
-    own effect.
+class KeyLeaseClient(MessageEndpoint[Message, ClientInput]):
+    """A holder's state machine; see `MessageEndpoint` and `ClientInput` for its inputs.
 
     Arguments:
         name: of this node.
@@ -134,16 +117,16 @@
         self.last_attempt = 0
         self.deliveries: dict[tuple[bytes, int], OutcomeDelivery] = {}  # by key and attempt
 
-    def on_input(self, event: tuple) -> None:
+    def on_input(self, event: CommonInput | ClientInput) -> None:
         """Take an input of the core's."""
         match event:
-            case (ClientInput.ACQUIRE, requests):
-                self.on_acquire(requests)
-            case (ClientInput.ENDED, key, status, result):
+            case AcquireKeyLeases(keys):
+                self.on_acquire(keys)
+            case KeyLeaseRunEnded(key, status, result):
                 self.on_ended(key, status, result)
-            case (ClientInput.NEVER_RAN, key):
+            case KeyLeaseRunCancelled(key):
                 self.on_never_ran(key)
-            case (ClientInput.ABANDON, key):
+            case AbandonKeyLease(key):
                 attempt = self.attempts.pop(key, None)
                 if attempt is not None:
                     self.release(key, attempt.number)
@@ -151,19 +134,19 @@
     def after_input(self) -> None:
         """Send all that is due, many to a message."""
         self._drop_expired()
-        requests = self._due_requests()
+        proposals = self._due_proposals()
         outcomes = self._due_outcomes()
-        if not requests and not outcomes:
+        if not proposals and not outcomes:
             return
         for replica, address in enumerate(self.replicas):
-            self._send_requests(address, requests.get(replica, []))
+            self._send_proposals(address, proposals.get(replica, []))
             self._send_outcomes(address, outcomes.get(replica, []))
 
     # ---- attempts
 
-    def on_acquire(self, requests: Iterable[tuple[bytes, int, int]]) -> None:
-        """Begin to acquire leases; each is (key, payload digest, duration in microseconds)."""
-        for key, payload_digest, duration_us in requests:
+    def on_acquire(self, keys: Iterable[KeyToLease]) -> None:
+        """Begin to acquire leases."""
+        for key, payload_digest, duration_us in keys:
             if key in self.attempts or key in self.held:
                 self.count("claimed already")
             elif len(self.attempts) + len(self.held) >= self.config.entries:
@@ -192,7 +175,7 @@
     ) -> None:
         """Answer an attempt, see `LeaseAnswer`."""
         self.count(ANSWER_COUNTERS[status])
-        self.effects.append(LeaseAnswer("claimed", key, status, result, run_before))
+        self.effects.append(LeaseAnswer(key, status, result, run_before))
 
     def release(self, key: bytes, attempt: int) -> None:
         """Give an attempt back: it never ran and never will."""
@@ -292,9 +275,9 @@
             del self.held[key]
             self.count("never told how it ended")
 
-    def _due_requests(self) -> dict[int, list[LeaseRequest]]:
+    def _due_proposals(self) -> dict[int, list[LeaseProposal]]:
         """By index of the replica."""
-        requests: dict[int, list[LeaseRequest]] = {}
+        proposals: dict[int, list[LeaseProposal]] = {}
         for attempt in list(self.attempts.values()):
             if self.now < attempt.transmit_at:
                 continue
@@ -304,8 +287,8 @@
             attempt.transmit_at = self.now + self.config.again
             for replica in range(len(self.replicas)):
                 if replica not in attempt.votes:
-                    requests.setdefault(replica, []).append(attempt.request())
-        return requests
+                    proposals.setdefault(replica, []).append(attempt.proposal())
+        return proposals
 
     def _due_outcomes(self) -> dict[int, list[LeaseReport]]:
         """By index of the replica."""
@@ -322,10 +305,10 @@
                 del self.deliveries[which]
         return outcomes
 
-    def _send_requests(self, address: HostPort, requests: list[LeaseRequest]) -> None:
+    def _send_proposals(self, address: HostPort, proposals: list[LeaseProposal]) -> None:
         batch = self.config.batch
-        for first in range(0, len(requests), batch):
-            self.send(address, AcquireLeases(self.name, self.session, requests[first : first + batch]))
+        for first in range(0, len(proposals), batch):
+            self.send(address, AcquireLeases(self.name, self.session, proposals[first : first + batch]))
 
     def _send_outcomes(self, address: HostPort, outcomes: list[LeaseReport]) -> None:
         while outcomes:
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -6,20 +6,19 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
 
 import msgspec
 
-from finchcart.membership.codec import DatagramError, name_hash, parse_address
+from finchcart.fleet.codec import DatagramError, name_hash, parse_address
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.effects import MemberChanged
 from finchcart.membership.messages import DeclaredStatus, MemberRecord, Version
 from finchcart.membership.outbox import Outbox
-from finchcart.membership.plain_enums import PlainStrEnum
 from finchcart.membership.update_queue import UpdateQueue
 
 
-class MemberState(PlainStrEnum):
+class MemberState(StrEnum):
     """What a process holds a member to be."""
 
     ALIVE = "alive"
@@ -60,7 +59,7 @@
         return self.state not in GONE
 
 
-class WallClock:
+class ExtrapolatedWallClock:
     """The wall clock as it was at start, carried on by the boot clock.
 
     Arguments:
@@ -85,7 +84,12 @@
     """
 
     def __init__(
-        self, own_record: MemberRecord, clock: WallClock, config: MembershipConfig, outbox: Outbox, now: int
+        self,
+        own_record: MemberRecord,
+        clock: ExtrapolatedWallClock,
+        config: MembershipConfig,
+        outbox: Outbox,
+        now: int,
     ) -> None:
         self.own_id = name_hash(own_record.name)
         self.clock = clock
@@ -141,7 +145,7 @@
         known = self.members[member_id]
         if previous_session != record.session:
             self.outbox.count("successors")
-            self.outbox.emit(MemberChanged.of(record.name, known.state, record.incarnation))
+            self.outbox.emit(MemberChanged(record.name, known.state, record.incarnation))
         self._follow_declared_status(now, known)
         return Reception.NEWER
 
@@ -188,7 +192,7 @@
         known = KnownMember(record, now)
         self.members[member_id] = known
         self.digest ^= known.digest
-        self.outbox.emit(MemberChanged.of(record.name, MemberState.ALIVE, record.incarnation))
+        self.outbox.emit(MemberChanged(record.name, MemberState.ALIVE, record.incarnation))
         self.is_graph_outdated = True
         self._gossip(member_id)
 
@@ -220,7 +224,7 @@
         if state == MemberState.FAILED:
             known.failed_precedence = known.record.precedence
         self.is_changed = True
-        self.outbox.emit(MemberChanged.of(known.record.name, state, known.record.incarnation))
+        self.outbox.emit(MemberChanged(known.record.name, state, known.record.incarnation))
 
     def forget(self, member_id: int) -> None:
         """Takes a member out of the table and leaves its tombstone."""
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from finchcart.decisions.rpc import RpcRecord
+    from finchcart.decisions.rpc import RpcHandle
     from finchcart.node.frontend import Frontend
     from finchcart.node.idempotency import KeyEntry
     from finchcart.node.limiters import RpcConcurrencyLimiter
@@ -28,7 +28,7 @@
     caller: str | int  # who is admitted and limited by it: a dispatcher's number
     idempotency_key: str | None = None
     is_retry: bool = False
-    cost_hint_us: int = 0  # how long its run may take; 0: no hint
+    service_time_hint_us: int = 0  # how long its run may take; 0: no hint
     memory_kb: float = 1.0
     shed_rank: float | None = None  # 0 to 1, where its user stands among those that may be shed
     expires_at: int = 0  # 0: by its method's deadline
@@ -80,7 +80,7 @@
         self.body = body
         self.index: int | None = None  # set once it is accepted
         self.key_entry: KeyEntry | None = None  # of its idempotency key
-        self.handle: RpcRecord | None = None  # of the decision module; None until it is admitted there
+        self.handle: RpcHandle | None = None  # of the decision module; None until it is admitted there
         self.answer_owed = True
         self.arrival_uncertainty_us = 0
         self.started = False  # the decision module had it run
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -22,7 +22,7 @@
 from finchcart.decisions.node_settings import NodeSettings
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.port import Port
-from finchcart.decisions.rpc import RpcRecord, RpcState
+from finchcart.decisions.rpc import RpcHandle, RpcState
 from finchcart.node.supported_settings import ShadowSettings
 
 # What is counted, in the words of the log line.
@@ -73,7 +73,8 @@
 
     def _record(self, verb: str, arguments: tuple) -> None:
         if verb == "reject":
-            self.rejections[arguments[0]] = arguments[1:]
+            index, _reason, *advice = arguments
+            self.rejections[index] = tuple(advice)
         elif verb in ("fail", "stop"):
             self.failed_or_paused.add(arguments[0])
         elif verb in ("set_shed_level", "set_credit"):
@@ -99,10 +100,10 @@
 
     __slots__ = ("active", "owner", "shadow")
 
-    def __init__(self, owner: "ShadowController", active: RpcRecord) -> None:
+    def __init__(self, owner: "ShadowController", active: RpcHandle) -> None:
         self.owner = owner
         self.active = active
-        self.shadow: RpcRecord | None = None
+        self.shadow: RpcHandle | None = None
 
     def run_ended(self, now: int, outcome: Outcome, spent_us: int) -> None:
         """Its run, or its wait as a duplicate, is over."""
@@ -163,8 +164,8 @@
 
     def tell_both(
         self,
-        active: NodeController | RpcRecord,
-        shadow: NodeController | RpcRecord | None,
+        active: NodeController | RpcHandle,
+        shadow: NodeController | RpcHandle | None,
         method: str,
         now: int,
         *arguments: object,
@@ -178,9 +179,9 @@
     # ---- As NodeController has it
 
     @property
-    def own_level(self) -> float:
+    def own_shed_level(self) -> float:
         """Of the active instance."""
-        return self.active.own_level
+        return self.active.own_shed_level
 
     def start(self, now: int) -> None:
         """See `NodeController`."""
@@ -241,7 +242,7 @@
         self.counts[ADVICE] += rejected and would_reject and active.rejection != shadow.rejection
         self.counts[FAILED_OR_PAUSED] += active.failed_or_paused != shadow.failed_or_paused
 
-    def _end_in_shadow(self, handle: RpcRecord, now: int) -> None:
+    def _end_in_shadow(self, handle: RpcHandle, now: int) -> None:
         if self.shadow and handle.state is not RpcState.COMPLETED:
             self._guarded(handle.caller_gone, now)
         if self.shadow and handle.state is not RpcState.COMPLETED:
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -94,13 +94,13 @@
     arrival = _read_arrival(fields, arrivals, info.late_read_us)
     caller = _read_caller(fields)
     shed_rank = read_number(fields, "p", 0, 1, NO_SHED_RANK)
-    cost_hint_ms = read_number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
+    service_time_hint_ms = read_number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
     attributes = RpcAttributes(
         arrival.earliest,
         caller,
         key,
         is_retry="r" in fields,
-        cost_hint_us=int(cost_hint_ms * US_PER_MS),
+        service_time_hint_us=int(service_time_hint_ms * US_PER_MS),
         memory_kb=read_number(fields, "m", MIN_MEMORY_KB, MAX_MEMORY_KB),
         shed_rank=None if shed_rank == NO_SHED_RANK else shed_rank,
         connection=connection,
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -7,7 +7,7 @@
 from finchcart.decisions.controller import NodeController
 from finchcart.decisions.gauges import Gauges
 from finchcart.settings import from_pairs
-from finchcart.wire import OUTCOMES
+from finchcart.simulator.codec import OUTCOMES
 from tests.pins.adapter import as_text
 
 # Verb of the port -> pinned action, and the names of its values; "call" is the index of an RPC.
@@ -62,6 +62,9 @@
         name, *value_names = VERBS[verb]
 
         def record(*values):
+            if verb == "reject":
+                index, _reason, *advice = values  # the wire carries no reason
+                values = index, *advice
             fields = {key: as_text(value) for key, value in zip(value_names, values, strict=True)}
             if name == "NOTIFY_ME":
                 fields["name"] = TIMER_NAME
