--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -8,6 +8,7 @@
 import time
 from collections.abc import Callable
 from queue import SimpleQueue
+from typing import Any, cast
 
 from loguru import logger
 from msgspec import UNSET
@@ -150,9 +151,9 @@
         else:
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
-    def publish_evidence(self, evidence: Evidence) -> None:
+    def publish_evidence(self, evidence: dict[str, Any]) -> None:
         """Post what the core observed to the consensus store."""
-        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
+        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(cast("Evidence", evidence)))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
         """Post a command to the key lease client, to be handled immediately."""
