--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -83,7 +83,7 @@
     for each in (client, half, late):
         each.sock.close()
     log += testbed.wait_for_clean_end()
-    assert "not taken" in log
+    assert "configuration rejected" in log
     assert log.count("drain: ") == 2  # the notice, and the grace's end
 
 
@@ -413,7 +413,7 @@
         testbed.send_signals(signal.SIGHUP)
         assert testbed.serves()
     log = testbed.terminate()[1]
-    assert log.count("not taken") + log.count("wait for the next start") == len(odd)
+    assert log.count("configuration rejected") + log.count("wait for the next start") == len(odd)
     assert "Traceback" not in log
 
 
