--- a/finchcart/decisions/arrival_statistics.py
+++ b/finchcart/decisions/arrival_statistics.py
@@ -1,4 +1,4 @@
-"""Averages over the latest arrivals: how long they waited unread, and how many are retries.
+"""Averages over the latest arrivals: how long they waited to be read, and how many are retries.
 
 Owns the averages alone; what follows from them is decided by their users. Times are microseconds.
 """
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -33,7 +33,7 @@
 
     def turn(self, now: int) -> None:
         """Adjust and publish once."""
-        # The end of a run, and what comes of its call, wait as long again as the oldest input not taken yet.
+        # Added twice: the ends of runs and calls wait in the same inputs as the RPC itself.
         input_age = self._gauges.input_age
         ingress_delay = max(self._arrivals.ingress_queueing_delay, input_age) + input_age
         self._admission.update(now, ingress_delay)
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -14,7 +14,7 @@
 
 DRAINING_IDLE_TIMEOUT = 10 * MS  # of connections, once the grace period is over
 RUN_FACTOR_AFTER_GRACE = 2  # a run may last so many times its method's usual run duration after the grace
-USUAL_RUN_QUANTILE = 0.9  # of its method's run durations, that a run usually keeps to
+USUAL_RUN_QUANTILE = 0.9  # of its method's run durations: the usual one
 
 
 class GracefulShutdown:
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -29,8 +29,8 @@
     def update(self, delay_part: float) -> None:
         """Report a change; `delay_part`: ingress queueing delay, as part of the shortest objective.
 
-        Unhealthy while the fleet ejects the node, or while reads take its cores and RPCs lose their time
-        unread; not where retries show a full fleet, as all nodes would leave at once.
+        Unhealthy while the fleet ejects the node, or while reads take its cores and RPCs wait too long to be
+        read; not where retries show a full fleet, as all nodes would leave at once.
         """
         reads = self._gauges.on_cores - self._runs.on_cores
         is_busy_reading = reads > self._runs.cores * READS_PART or self._gauges.input_busy > BUSY_THRESHOLD
--- a/finchcart/decisions/hysteresis.py
+++ b/finchcart/decisions/hysteresis.py
@@ -3,14 +3,16 @@
 Owns the comparison alone; the state belongs to its user.
 """
 
-from typing import NamedTuple
 
-
-class Hysteresis(NamedTuple):
+class Hysteresis:
     """A state begins at the `enter` threshold, and ends only at the `exit` threshold."""
 
-    enter: float
-    exit: float
+    __slots__ = ("enter", "exit")
+
+    def __init__(self, *, enter: float, exit: float) -> None:
+        """Set both thresholds."""
+        self.enter = enter
+        self.exit = exit
 
     def is_exceeded(self, value: float, is_active: bool) -> bool:
         """Return whether `value` is above the threshold of a state that `is_active` or not."""
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -39,10 +39,11 @@
         self._port.set_idle_timeout(MIN_IDLE_TIMEOUT)
 
     def update(self, delay_part: float) -> None:
-        """Set the timeout anew where it changed; `delay_part`: see `Health.update`.
+        """Set the timeout where it changed; `delay_part`: see `Health.update`.
 
-        Idle connections are kept where callers soon come again: else they cost more than new ones. Also where
-        RPCs lose their time unread or no level keeps callers off: a full table rejects at the least cost.
+        Idle connections are kept where callers soon reuse them: else they cost more than new ones. Also where
+        RPCs wait too long to be read, or no shed level is published: a full connection table rejects new
+        callers at the least cost.
         """
         keep = self._should_keep(delay_part)
         if self._shutdown.is_past_grace or keep == self.keeps_connections:
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -4,8 +4,6 @@
 admission_control.py alone, the estimates by rpc_events.py. Times are microseconds.
 """
 
-from __future__ import annotations
-
 from finchcart.decisions.node_settings import (
     DEFAULT_CRITICALITY,
     DEFAULT_DEADLINE_US,
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -15,7 +15,7 @@
 
 
 class Pausing:
-    """The pausing of runs. Invariant: only runs whose response is pending are told to pause."""
+    """The pausing of runs. Invariant: only runs whose response is pending are paused."""
 
     def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
         """Nothing is paused."""
--- a/finchcart/decisions/port.py
+++ b/finchcart/decisions/port.py
@@ -18,7 +18,7 @@
     def stop(self, index: int) -> None:
         """Stop work on a core; this is not an answer.
 
-        What was done is lost, or kept where `can_pause` is set and an answer is owed. `run_ended` with
+        What was done is lost, or kept where `can_pause` is set and a response is pending. `run_ended` with
         `Outcome.STOPPED` reports that it took effect; it may not, during a stall or a call.
         """
 
--- a/finchcart/decisions/rejection.py
+++ b/finchcart/decisions/rejection.py
@@ -29,7 +29,7 @@
     def do_not_retry(self, now: int, rpc: RpcHandle) -> bool:
         """Return whether to ask the caller not to try another node either.
 
-        Only of what fits on no node, lest a full fleet read the same RPCs for ever.
+        True only of an RPC that fits on no node, lest a full fleet read the same RPCs for ever.
         """
         if rpc.expected_service_time * INFEASIBLE_PART > rpc.objective_at - now:
             return True
@@ -38,7 +38,7 @@
     def retry_after(self, expected_wait: float) -> int:
         """Return when to come back, in microseconds from now (0: no advice).
 
-        Advice keeps a caller away from this node; where none comes again soon it only delays the client.
+        Advice keeps a caller away from this node; where callers seldom return it only delays the client.
         """
         is_heeded = self._callers.ratio > MIN_REUSE_FOR_ADVICE
         if expected_wait > MIN_ADVISED_WAIT and is_heeded:
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -4,8 +4,6 @@
 and durations are microseconds, memory is in units of 1024 bytes.
 """
 
-from __future__ import annotations
-
 from enum import Enum
 from typing import Protocol
 
@@ -33,16 +31,16 @@
 class RpcEvents(Protocol):
     """What the handle of an RPC calls: see the handle's methods of the same names."""
 
-    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def run_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
         """Act on the end of a run, or of the wait of a duplicate."""
 
-    def caller_gone(self, now: int, rpc: RpcHandle) -> None:
+    def caller_gone(self, now: int, rpc: "RpcHandle") -> None:
         """Act on the loss of the caller."""
 
-    def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
+    def awaiting_call(self, now: int, rpc: "RpcHandle") -> None:
         """Act on a run that needs its call to the dependency."""
 
-    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def call_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
         """Act on the end of a call."""
 
 
--- a/tests/decision_runs.py
+++ b/tests/decision_runs.py
@@ -58,7 +58,7 @@
     run_ends(node, rng)
     call_ends(node, rng)
     for index in node.in_state(RpcState.AWAITING_CALL, RpcState.CALLING):
-        if not node.rpcs[index].is_owed:
+        if not node.rpcs[index].response_pending:
             node.end(index, Outcome.STOPPED)
     for index in node.in_state(RpcState.SHARING):
         first = node.rpcs[node.rpcs[index].first]
@@ -93,7 +93,7 @@
             continue  # completed or paused meanwhile, by what an earlier one set off
         if rpc.stop_requested and chance < 0.9:
             node.take_stop(index)
-        elif chance < 0.03 and not rpc.is_owed:
+        elif chance < 0.03 and not rpc.response_pending:
             node.end(index, Outcome.OK)
         elif chance < 0.05:
             node.end(index, rng.choice((Outcome.OK, Outcome.OK, Outcome.ERROR)))
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -97,7 +97,7 @@
     rejection_reason: RejectionReason | None = None
 
     @property
-    def is_owed(self) -> bool:
+    def response_pending(self) -> bool:
         """Whether its caller still waits for an answer."""
         return not (self.answered or self.caller_is_gone)
 
@@ -167,12 +167,14 @@
 
     def stop(self, index):
         rpc = self.rpc(index)
-        assert self.settings["can_stop"] and rpc.state is RpcState.RUNNING
-        if rpc.is_owed:
+        assert self.settings["can_stop"]
+        assert rpc.state is RpcState.RUNNING
+        if rpc.response_pending:
             queued = (other for other in self.open.values() if other.state is RpcState.QUEUED)
             most_critical = max(map(self.criticality, queued), default=0)
             yields = self.criticality(rpc) < most_critical / 2
-            assert self.settings.get("can_pause") and yields, "paused for what is worth no more"
+            assert self.settings.get("can_pause"), "paused where nothing can be"
+            assert yields, "paused for what is worth no more"
             self.pauses += 1
         else:
             assert rpc.kind == "idempotent", "what may have an effect was ended half done"
@@ -186,7 +188,8 @@
         rpc = self.rpc(index)
         assert isinstance(reason, RejectionReason)
         rpc.rejection_reason = reason
-        assert not rpc.has_run and rpc.state is RpcState.QUEUED, "rejected after it ran"
+        assert not rpc.has_run, "rejected after it ran"
+        assert rpc.state is RpcState.QUEUED, "rejected what was not queued"
         assert 0 <= retry_after <= self.settings["retry_after_max"]
         self.answer(rpc)
         rpc.state = RpcState.COMPLETED
@@ -199,7 +202,9 @@
 
     def call(self, index, timeout):
         rpc = self.rpc(index)
-        assert rpc.state is RpcState.AWAITING_CALL and timeout > 0 and rpc.is_owed
+        assert rpc.state is RpcState.AWAITING_CALL
+        assert timeout > 0
+        assert rpc.response_pending
         if rpc.calls:
             assert rpc.kind == "idempotent" or rpc.call_never_ran, "call repeated without proof"
         rpc.state = RpcState.CALLING
@@ -209,17 +214,20 @@
 
     def degrade(self, index):
         rpc = self.rpc(index)
-        assert rpc.state is RpcState.AWAITING_CALL and self.settings["degraded_value"][rpc.method] > 0
+        assert rpc.state is RpcState.AWAITING_CALL
+        assert self.settings["degraded_value"][rpc.method] > 0
         rpc.state = RpcState.RUNNING
 
     def answer_duplicate(self, index):
         rpc = self.rpc(index)
-        assert rpc.state is RpcState.QUEUED and rpc.is_duplicate
+        assert rpc.state is RpcState.QUEUED
+        assert rpc.is_duplicate
         rpc.state = RpcState.SHARING
 
     def store_key(self, index, ttl):
         rpc = self.rpc(index)
-        assert rpc.kind == "keyed" and ttl > 0
+        assert rpc.kind == "keyed"
+        assert ttl > 0
         self.keys[rpc.first] = (self.now + ttl, index)
 
     def evict_key(self, index):
@@ -228,14 +236,17 @@
         self.keys.pop(rpc.first, None)
 
     def set_health(self, healthy, cached):
-        assert cached and not (healthy and self.drained_at is not None), "healthy while draining"
+        assert cached, "a health check does work"
+        assert not (healthy and self.drained_at is not None), "healthy while draining"
         self.healthy = healthy
 
     def set_shed_level(self, level):
-        assert self.settings["feedback"] == "level" and 0 <= level <= 1
+        assert self.settings["feedback"] == "level"
+        assert 0 <= level <= 1
 
     def set_credit(self, credit):
-        assert self.settings["feedback"] == "credit" and credit > 0
+        assert self.settings["feedback"] == "credit"
+        assert credit > 0
         self.published_credit = credit
 
     def set_idle_timeout(self, timeout):
@@ -318,12 +329,12 @@
             rpc.answered = True
         rpc.handle.run_ended(self.now, outcome, self.now - rpc.since)
         assert state in (*IN_PROGRESS, RpcState.SHARING)
-        assert not rpc.is_owed, "lost: ended without an answer"
+        assert not rpc.response_pending, "lost: ended without an answer"
 
     def take_stop(self, index):
         """A stop takes effect: a run that owes its answer is paused where the deployment pauses."""
         rpc = self.rpcs[index]
-        if not (self.settings.get("can_pause") and rpc.is_owed):
+        if not (self.settings.get("can_pause") and rpc.response_pending):
             self.end(index, Outcome.STOPPED)
             return
         rpc.state = RpcState.PAUSED
@@ -365,13 +376,14 @@
         completed = RpcState.COMPLETED
         self.open = {index: rpc for index, rpc in self.open.items() if rpc.state is not completed}
         for index, rpc in self.open.items():
-            if rpc.is_owed:
+            if rpc.response_pending:
                 assert self.now <= max(rpc.due_at, rpc.stalled_until + 60 * MS), f"lost: {index} {rpc}"
         self.check_memory()
         self.check_counts()
         self.check_overload()
         if self.kill_at is not None and self.now >= self.kill_at:
-            assert not any(rpc.is_owed for rpc in self.open.values()), "drain: unanswered at the kill"
+            pending = [rpc for rpc in self.open.values() if rpc.response_pending]
+            assert not pending, "drain: unanswered at the kill"
 
     def check_memory(self):
         entry_kb = self.settings["key_entry_kb"]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,7 +20,8 @@
     node.step(50 * MS)
     node.end(first, Outcome.ERROR)
     third = node.arrive(1, first)
-    assert node.rpcs[third].answered and not node.rpcs[third].has_run
+    assert node.rpcs[third].answered
+    assert not node.rpcs[third].has_run
 
 
 def test_one_long_run_does_not_make_a_node_slow():
@@ -45,7 +46,9 @@
             node.arrive(method, waited=800 * MS)
         node.end_older(150 * MS)
     low, high = (method.admission_probability for method in node.control.state.methods.all)
-    assert low < 0.2 and low < high and (high == 1) is pauses
+    assert low < 0.2
+    assert low < high
+    assert (high == 1) is pauses
 
 
 def test_a_node_slower_than_its_worker_pool_cuts_intake_by_the_same_loop_and_recovers():
@@ -55,7 +58,8 @@
     ring_timers(node, 0.4, 400 * MS)
     assert shares_of(node) == [1.0, 1.0]  # one stall of a node with time to spare
     ring_timers(node, 0.97, 400 * MS)
-    assert min(shares_of(node)) < 0.7 and max(shares_of(node)) <= 1.0
+    assert min(shares_of(node)) < 0.7
+    assert max(shares_of(node)) <= 1.0
     ring_timers(node, 0.3, 0, times=200)
     assert shares_of(node) == [1.0, 1.0]
 
@@ -76,7 +80,8 @@
     first, retry = node.arrive(0), node.arrive(0, is_retry=True)
     late = node.arrive(0, is_retry=True, waited=450 * MS, service_time_hint=400 * MS)
     times_left = [node.rpcs[index].handle.objective_at - node.now for index in (first, retry)]
-    assert times_left == [1000 * MS, 500 * MS] and node.rpcs[late].state is RpcState.COMPLETED
+    assert times_left == [1000 * MS, 500 * MS]
+    assert node.rpcs[late].state is RpcState.COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -93,7 +98,8 @@
         node.step(10 * MS)
         node.arrive(0, is_retry=is_retry, waited=500 * MS)
         node.end_older(300 * MS)
-    assert rejections and rejections[-1][1] is do_not_retry
+    assert rejections
+    assert rejections[-1][1] is do_not_retry
 
 
 def test_advice_goes_only_to_callers_that_soon_come_again():
@@ -114,7 +120,8 @@
         node.arrive(method)
     assert len(node.control.state.runs.pausing) == 1
     node.step(50 * MS)
-    assert not node.control.state.runs.pausing and node.control.state.runs.on_cores == 3
+    assert not node.control.state.runs.pausing
+    assert node.control.state.runs.on_cores == 3
 
 
 def test_a_node_counts_its_rejections_by_reason():
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -27,7 +27,8 @@
             node.kill_at = node.kill_at or node.now + rng.randint(300, 5000) * MS
             node.drained_at = node.drained_at or node.now
             node.control.drain(node.now, node.kill_at)
-    assert node.count > 100 and (not pauses or node.resumed)
+    assert node.count > 100
+    assert not pauses or node.resumed
 
 
 @pytest.mark.parametrize(
@@ -61,4 +62,5 @@
     for _ in range(1500):
         node.step(2 * MS)
         node.check()
-    assert node.rpcs[index].answered and node.rpcs[index].state is RpcState.RUNNING
+    assert node.rpcs[index].answered
+    assert node.rpcs[index].state is RpcState.RUNNING
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -32,7 +32,9 @@
     index = node.arrive(0)
     rpc = node.rpcs[index]
     node.await_call(index)
-    assert rpc.state is RpcState.CALLING and rpc.call_timeout < 900 * MS
+    assert rpc.state is RpcState.CALLING
+    assert rpc.call_timeout < 900 * MS
     node.step(rpc.call_timeout)
     node.return_call(index, Outcome.TIMEOUT, spent=rpc.call_timeout)
-    assert rpc.state is RpcState.RUNNING and not rpc.answered
+    assert rpc.state is RpcState.RUNNING
+    assert not rpc.answered
--- a/tests/test_feedback.py
+++ b/tests/test_feedback.py
@@ -54,7 +54,8 @@
             for arrival in range(3):
                 node.arrive(0, caller=step * 3 + arrival)
             node.end_older(300 * MS)
-        assert min(shares_of(node)) < 0.6 and node.idle_timeout == idle_timeout
+        assert min(shares_of(node)) < 0.6
+        assert node.idle_timeout == idle_timeout
 
 
 def test_idle_connections_are_kept_only_where_callers_soon_come_again():
@@ -66,7 +67,8 @@
             if step % 10 == 0:
                 node.arrive(0, caller=step // 10 % callers)
             node.end_older(100 * MS)
-        assert node.idle_timeout == idle_timeout and len(node.lines) <= 1
+        assert node.idle_timeout == idle_timeout
+        assert len(node.lines) <= 1
 
 
 def test_idle_connections_are_kept_where_rpcs_lose_their_time_unread():
@@ -87,4 +89,5 @@
         node.step(20 * MS)
         for index in node.in_state(RpcState.RUNNING):
             node.end(index)
-    assert len(node.control.state.callers.last_seen) < 1100 and not node.control.state.table.active
+    assert len(node.control.state.callers.last_seen) < 1100
+    assert not node.control.state.table.active
