--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -1,6 +1,6 @@
 """What becomes of an RPC that arrives: it is queued, rejected, or shares the result of another.
 
-Owns the forecast of a new RPC: its objective, expected service time and priority. See "Intake" in
+Owns the forecast of a new RPC: its objective, expected service time and priority. See "Intake: the loop" in
 docs/design.md. Times are microseconds.
 """
 
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -1,7 +1,8 @@
 """By when an RPC must be responded to, and whether it can still meet its latency objective.
 
 Owns the response margin: responses are sent a few ticks before they are due, and earlier by twice what stalls
-lately cost. Expired RPCs are found by expiry.py. Times are microseconds.
+lately cost. Expired RPCs are found by expiry.py. See "Departures, and when they act" and "Guards for the
+rules" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.graceful_shutdown import GracefulShutdown
--- a/finchcart/decisions/expiry.py
+++ b/finchcart/decisions/expiry.py
@@ -1,6 +1,7 @@
 """What is overdue at a timer: RPCs whose response must be sent, or that are no longer useful.
 
-Owns no state: it looks at all active RPCs. Times are microseconds.
+Owns no state: it looks at all active RPCs. See "Departures, and when they act" in docs/design.md. Times are
+microseconds.
 """
 
 from finchcart.decisions.completion import Completion
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 Owns these times. Until the grace period ends the node serves as ever, but reports itself unhealthy; what
 arrives later is rejected (admission.py), and what still runs is failed before the termination deadline
-(expiry.py). See "Goodbye to connections" in docs/design.md.
+(expiry.py). See "Goodbye to connections: kept and changed" in docs/design.md.
 """
 
 from finchcart.decisions.node_settings import NodeSettings
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -1,7 +1,7 @@
 """After how long idle connections are closed.
 
 Owns whether idle connections are kept; once the grace period is over, graceful_shutdown.py has set the
-timeout for good. See "Goodbye to connections" in docs/design.md. Times are microseconds.
+timeout for good. See "Goodbye to connections: kept and changed" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.caller_reuse import REUSE_WINDOW
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -1,6 +1,6 @@
 """Runs that yield their core to RPCs that are more than twice as critical.
 
-Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake" in
+Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake: the loop" in
 docs/design.md. It acts only where the settings say that runs can be paused.
 """
 
--- a/finchcart/decisions/service_time.py
+++ b/finchcart/decisions/service_time.py
@@ -1,7 +1,8 @@
 """Estimates of how long the runs of one method take on a core.
 
-Owns what is learned from runs that ended well, fading as new runs end. It must never know a single RPC.
-Times are microseconds; a service time leaves out the time at calls to the dependency.
+Owns what is learned from runs that ended well, fading as new runs end. It must never know a single RPC. See
+"Departures, and when they act" in docs/design.md. Times are microseconds; a service time leaves out the time
+at calls to the dependency.
 """
 
 from math import log2
--- a/finchcart/decisions/slowdown.py
+++ b/finchcart/decisions/slowdown.py
@@ -1,6 +1,7 @@
 """How much longer runs take than expected, whatever slows the machine.
 
-Owns the sums of the last second or two that it is worked out from. It must never look at single RPCs.
+Owns the sums of the last second or two that it is worked out from. It must never look at single RPCs. See
+"Departures, and when they act" in docs/design.md.
 """
 
 from collections.abc import Sequence
