--- a/finchcart/decisions/duplicates.py
+++ b/finchcart/decisions/duplicates.py
@@ -24,10 +24,11 @@
     def answer(self, now: int, rpc: RpcHandle, first_index: int) -> bool:
         """Have a duplicate share the first RPC's result, or fail it; false where that one never ran."""
         first = self._table.find(first_index)
-        first_is_over = first is not None and first.state is COMPLETED
-        if first is not None and first_is_over and not first.has_run:
-            return False
-        has_failed = first is not None and first_is_over and first.failed
+        has_failed = False
+        if first is not None and first.state is COMPLETED:
+            if not first.has_run:
+                return False
+            has_failed = first.failed
         if not self._memory.can_share() or has_failed or self._deadlines.must_respond(now, rpc):
             self._completion.fail(now, rpc)
         else:
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -80,10 +80,10 @@
         "time_at_calls",
     )
 
-    # Set by admission.py as it admits the RPC.
-    expected_service_time: float  # that is left, as far as is learned; less after a pause (runs.py)
-    objective_at: int  # when its response still meets the latency objective
-    priority: tuple[float, float]  # order of the queue, the smallest first
+    # Set as it is admitted.
+    expected_service_time: float  # that is left, as far as is learned: admission.py; after a pause runs.py
+    objective_at: int  # until then its response meets the latency objective: admission.py
+    priority: tuple[float, float]  # order of the queue, the smallest first: admission.py
     # Set as its run comes to a call.
     awaiting_since: int  # when it last began to await a call: runs.py
     called_at: int  # when its last call was made: dependency_calls.py
@@ -104,7 +104,7 @@
         self.is_retry = arrival.is_retry
         self.duplicate_of = arrival.duplicate_of
         self.quota = arrival.quota
-        self.state = QUEUED  # runs.py, dependency_calls.py, completion.py; SHARING: admission.py
+        self.state = QUEUED  # runs.py, dependency_calls.py, completion.py, duplicates.py
         self.response_sent = False  # completion.py
         self.caller_is_gone = False  # rpc_events.py
         self.has_run = False  # it began, an effect may have come of it: runs.py; at its end rpc_events.py
--- a/tests/test_decision_docs.py
+++ b/tests/test_decision_docs.py
@@ -7,6 +7,7 @@
 import pytest
 
 from finchcart import decisions
+from finchcart.decisions.rpc import RpcHandle
 
 PACKAGE = Path("finchcart/decisions")
 DESIGN = Path("docs/design.md").read_text(encoding="utf-8")
@@ -48,6 +49,39 @@
     assert set(MODULES) - set(named) == {"__init__.py", "units.py"}
 
 
+def stated_owners():
+    """Field of an RPC -> the modules that its line in rpc.py names."""
+    lines = (PACKAGE / "rpc.py").read_text(encoding="utf-8").split("\n")
+    owners = {}
+    for line in lines:
+        field = re.match(r"    (?:    self\.)?(\w+)(?:: [^=#]+)?(?: = [^#]+)?  # ", line)
+        if field:
+            owners[field[1]] = set(re.findall(r"\w+\.py", line.partition("#")[2]))
+    return owners
+
+
+def writing_modules(field):
+    """The modules that assign this field of an RPC, but for rpc.py."""
+    assignment = re.compile(rf"\brpc\.{field} (?:\+|-)?= ")
+    sources = {name: (PACKAGE / name).read_text(encoding="utf-8") for name in MODULES if name != "rpc.py"}
+    return {name for name, source in sources.items() if assignment.search(source)}
+
+
+@pytest.mark.parametrize("field", sorted(set(RpcHandle.__slots__) - {"_events"}))
+def test_a_field_of_an_rpc_is_written_by_the_modules_that_it_names(field):
+    assert writing_modules(field) == stated_owners().get(field, set())
+
+
 def test_every_module_is_deployed_as_policy():
     deploy = tomllib.loads(Path("deploy/balancer.toml").read_text(encoding="utf-8"))
     assert deploy["policy"] == [f"finchcart/decisions/{name}" for name in MODULES]
+
+
+@pytest.mark.parametrize("name", MODULES)
+def test_no_module_assigns_a_field_of_a_part_that_it_does_not_own(name):
+    source = (PACKAGE / name).read_text(encoding="utf-8")
+    assert re.findall(r"\b(?:self\._?|state\.)\w+\.\w+ (?:[-+*]|)= ", source) == []
+    of_methods = set(re.findall(r"\bmethod\.(\w+) (?:[-+*]|)= ", source))
+    owned = {"admission_control.py": {"relative_latency", "admission_probability"}}
+    owned["method.py"] = {"criticality_rank", "more_critical", "less_critical"}
+    assert of_methods == owned.get(name, set())
