--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -15,6 +15,7 @@
 
 from finchcart.cli.log_output import LOG_FORMATS
 from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.evidence import Evidence
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.errors import SettingsError
@@ -141,7 +142,7 @@
         """Return the limiters of all limits that this node is held to; new ones wait for the next start."""
         if not self._quota:
             return None
-        limiters = LimiterSet(self._quota.limits, self._quota.slack, self._quota.most)
+        limiters = LimiterSet(self._quota.limits, self._quota.write_slack, self._quota.max_processes)
         consensus = consensus_config(self._settings)
         if consensus:
             limiters.recovery_step_us = consensus.recovery_step
@@ -156,7 +157,7 @@
     def key_lease_factory(self) -> Callable[[EffectBuffer], KeyLeaseGate] | None:
         """Return what makes the core's part that gets key leases, where there are any."""
         key_leases = key_lease_config(self._settings)
-        return (lambda turn: KeyLeaseGate(turn, key_leases.life)) if key_leases else None
+        return (lambda turn: KeyLeaseGate(turn, key_leases.lease_duration)) if key_leases else None
 
     def reducer(self, core: Core) -> Reduce:
         """Return the core's `reduce`, with the boot clock set before each input."""
@@ -180,12 +181,12 @@
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Tell the holder of strict limits, or the members, what this node uses and wants of a limit."""
         usage = UsageReported(limit, in_use, demand, priority_demand)
-        if any(strict.name == limit for strict in self._quota.strict):
+        if any(strict.name == limit for strict in self._quota.strict_limits):
             self._datagrams.post(quota_messages.CHANNEL, usage)
         else:
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
-    def publish_evidence(self, evidence: object) -> None:
+    def publish_evidence(self, evidence: Evidence) -> None:
         """Hand on what the core observed."""
         self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -61,7 +61,7 @@
     def __init__(self, config: ConsensusConfig, count: Callable[[str], None]) -> None:
         self.config = config
         self.oldest_age = 0  # microseconds, of the reports that counted last
-        self.heard_count = 0  # members whose reports counted last
+        self.reporting_count = 0  # members whose reports counted last
         self.member_count = 1  # members in the fleet, this one included
         self._count = count
         self._read: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
@@ -92,7 +92,7 @@
     def collect(self, now: int, member: Member, is_alone: bool) -> dict[int, list[ObservationReport]]:
         """Return id -> reports that count, of all other members in the fleet; none where it is alone."""
         self.oldest_age = 0
-        self.heard_count = 0
+        self.reporting_count = 0
         self.member_count = 1
         self._forget_missing(member)
         collected: dict[int, list[ObservationReport]] = {}
@@ -111,7 +111,7 @@
             reports = self._reports_that_count(now, member_id, held, known.record.name)
             if reports is not None:
                 collected[member_id] = reports
-                self.heard_count += 1
+                self.reporting_count += 1
                 self.oldest_age = max(self.oldest_age, now - held.written_at)
         return collected
 
