--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -29,10 +29,11 @@
     AllocationGranted,
     ConsensusChanged,
     FleetInput,
-    IsolationChanged,
+    FleetIsolationChanged,
+    FleetMemberChanged,
+    FleetMemberState,
     KeyLeaseAnswered,
     KeyLeaseOutcome,
-    MemberChanged,
 )
 from finchcart.quota.effects import LimitAllowance
 
@@ -56,9 +57,9 @@
         case LeaseAnswer(key, status, result, run_before):
             return KeyLeaseAnswered(key, OUTCOMES[status], result, run_before)
         case membership_effects.IsolationChanged(is_isolated):
-            return IsolationChanged(is_isolated)
-        case membership_effects.MemberChanged():
-            return MemberChanged(*change)
+            return FleetIsolationChanged(is_isolated)
+        case membership_effects.MemberChanged(name, state, incarnation):
+            return FleetMemberChanged(name, FleetMemberState(state), incarnation)
     raise TypeError(f"change of the fleet: expected an effect of its packages, found {type(change).__name__}")
 
 
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -33,7 +33,7 @@
         self.is_leased = False  # that call is beyond the floor of the fleet's limit
         self.names_used: set[str] = set()  # of all RPCs that it carried calls for
         self.retired = False  # it takes no further call
-        self.idle_since: int | None = None
+        self.idle_since = 0  # of one that carries no call
 
 
 class AbandonedCall(NamedTuple):
@@ -54,13 +54,13 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         limits: Limits,
         address: tuple[str, int] | None,
         call_ended: CallEnded,
         linger_us: int = 0,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.limits = limits
         self.address = address
         self.call_ended = call_ended
@@ -70,8 +70,8 @@
         self._abandoned: list[AbandonedCall] = []
 
     def in_flight(self, leased: bool) -> int:
-        """Calls that the store may be working on: those beyond the floor of the limit, or the others."""
-        now = self.turn.now
+        """Return how many calls the store may be working on: beyond the floor of the limit, or the others."""
+        now = self.effect_buffer.now
         self._abandoned = [call for call in self._abandoned if call.until > now]
         carried = sum(
             connection.rpc is not None and connection.is_leased is leased
@@ -82,7 +82,7 @@
     def call(
         self, rpc: NodeRpc, timeout_us: int, body: bytes, leased: bool = False, write_by: int | None = None
     ) -> None:
-        """Makes the call of an RPC.
+        """Make the call of an RPC.
 
         Arguments:
             rpc: whose call it is.
@@ -91,36 +91,38 @@
             leased: whether it is beyond the floor of the fleet's limit.
             write_by: on the boot clock; it is written until then or not at all. None: at any time.
         """
-        turn = self.turn
+        effect_buffer = self.effect_buffer
         connection = self._connection_for(rpc)
         connection.rpc = rpc
         connection.is_leased = leased
         connection.names_used.add(rpc.name)
         rpc.call_connection = connection.number
-        rpc.call_started_at = turn.now
+        rpc.call_started_at = effect_buffer.now
         rpc.calls_made += 1
         data = store_codec.encode_call(rpc.name, timeout_us, body)
         if write_by is None:
-            turn.emit(Send(connection.number, data))
+            effect_buffer.emit(Send(connection.number, data))
         else:
-            turn.emit(SendBefore(connection.number, data, write_by))
-        turn.schedule(turn.now + timeout_us, self.time_out, rpc, rpc.calls_made)
+            effect_buffer.emit(SendBefore(connection.number, data, write_by))
+        effect_buffer.schedule(effect_buffer.now + timeout_us, self.time_out, rpc, rpc.calls_made)
 
     def drop(self, rpc: NodeRpc) -> None:
-        """Abandons a call, and its connection with it: a late reply may still come there."""
+        """Abandon a call, and its connection with it: a late reply may still come there."""
+        if rpc.call_connection is None:
+            return
         connection = self.connections.get(rpc.call_connection)
         rpc.call_connection = None
         if connection:
             self._close(connection)
 
     def time_out(self, rpc: NodeRpc, call_number: int) -> None:
-        """The time limit of the RPC's call of this number is over."""
+        """End the RPC's call of this number, whose time limit is over."""
         if rpc.call_connection is not None and rpc.calls_made == call_number:
             self.drop(rpc)
-            self.call_ended(rpc, Outcome.TIMEOUT, b"", self.turn.now - rpc.call_started_at)
+            self.call_ended(rpc, Outcome.TIMEOUT, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Calls in flight end at the old address; new ones go to the new."""
+        """Make new calls at another address; those in flight end at the old one."""
         self.address = address
         for connection in list(self.connections.values()):
             self._retire(connection)
@@ -143,31 +145,31 @@
         if connection.retired or len(connection.names_used) >= self.limits.calls_per_store_connection:
             self._close(connection)
         else:
-            connection.idle_since = self.turn.now
+            connection.idle_since = self.effect_buffer.now
             self.idle.append(connection)
-        self.call_ended(rpc, outcome, body, self.turn.now - rpc.call_started_at)
+        self.call_ended(rpc, outcome, body, self.effect_buffer.now - rpc.call_started_at)
 
     def batch_completed(self, number: int) -> None:
-        """Asks for the next read."""
+        """Request the next read."""
         if number in self.connections:
-            self.turn.emit(Read(number))
+            self.effect_buffer.emit(Read(number))
 
     def connection_refused(self, number: int, reason: str) -> None:
-        """Its call never ran."""
+        """End its call, which never ran."""
         self._lose(number, Outcome.UNREACHABLE, reason)
 
     def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
-        """Its call may have run."""
+        """End its call, which may have run."""
         self._lose(number, Outcome.CONNECTION_LOST, str(fault or ""))
 
     def write_blocked(self, number: int) -> None:
-        """Nothing: the call's own time limit bounds it."""
+        """Do nothing: the call's own time limit bounds it."""
 
     def write_resumed(self, number: int) -> None:
-        """Nothing: the call's own time limit bounds it."""
+        """Do nothing: the call's own time limit bounds it."""
 
     def connection_closed(self, number: int) -> None:
-        """Nothing: it was forgotten when it was dropped."""
+        """Do nothing: it was forgotten when it was dropped."""
 
     # ---- Connections
 
@@ -177,11 +179,14 @@
             if rpc.name not in connection.names_used:
                 self.idle.remove(connection)
                 return connection
-        turn = self.turn
-        connection = StoreConnection(turn.connect("store", self.address, self))
+        assert self.address is not None, "a call without an address: see CorePort.call"
+        effect_buffer = self.effect_buffer
+        connection = StoreConnection(effect_buffer.connect("store", self.address, self))
         self.connections[connection.number] = connection
-        turn.emit(Read(connection.number))
-        turn.schedule(turn.now + self.limits.store_idle_timeout, self._close_if_idle, connection)
+        effect_buffer.emit(Read(connection.number))
+        effect_buffer.schedule(
+            effect_buffer.now + self.limits.store_idle_timeout, self._close_if_idle, connection
+        )
         return connection
 
     def _lose(self, number: int, outcome: Outcome, reason: str) -> None:
@@ -191,35 +196,41 @@
         self._close(connection)
         rpc = connection.rpc
         if reason or rpc:
-            call = f"call of {rpc.name} after {self.turn.now - rpc.call_started_at} us" if rpc else "no call"
+            call = (
+                f"call of {rpc.name} after {self.effect_buffer.now - rpc.call_started_at} us"
+                if rpc
+                else "no call"
+            )
             text = f"connection {number}: {outcome.value} ({reason or 'closed'}), {call}"
-            self.turn.log_fault(PARTY, outcome.value, f"{text}, {len(self.connections)} connections left")
+            self.effect_buffer.log_fault(
+                PARTY, outcome.value, f"{text}, {len(self.connections)} connections left"
+            )
         if rpc:
             rpc.call_connection = None
-            self.call_ended(rpc, outcome, b"", self.turn.now - rpc.call_started_at)
+            self.call_ended(rpc, outcome, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def _retire(self, connection: StoreConnection) -> None:
-        """It takes no further call, and is closed once it has none."""
+        """Give the connection no further call, and close it once it has none."""
         connection.retired = True
         if connection.rpc is None:
             self._close(connection)
 
     def _close(self, connection: StoreConnection) -> None:
         if connection.rpc is not None and self.linger_us:
-            until = self.turn.now + self.linger_us
+            until = self.effect_buffer.now + self.linger_us
             self._abandoned.append(AbandonedCall(until, connection.is_leased))
         del self.connections[connection.number]
         if connection in self.idle:
             self.idle.remove(connection)
-        self.turn.emit(Drop(connection.number))
+        self.effect_buffer.emit(Drop(connection.number))
 
     def _close_if_idle(self, connection: StoreConnection) -> None:
-        """Closes what idles long before the store does it, so that no call crosses the store's close."""
+        """Close what idles, long before the store does, so that no call crosses the store's close."""
         if connection.number not in self.connections:
             return
-        since = self.turn.now if connection.rpc else connection.idle_since
+        since = self.effect_buffer.now if connection.rpc else connection.idle_since
         due = since + self.limits.store_idle_timeout
-        if self.turn.now >= due:
+        if self.effect_buffer.now >= due:
             self._close(connection)
         else:
-            self.turn.schedule(due, self._close_if_idle, connection)
+            self.effect_buffer.schedule(due, self._close_if_idle, connection)
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -7,21 +7,28 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
 from finchcart.limits import Limits
+from finchcart.membership.effects import MemberChanged
+from finchcart.membership.records import MemberState
 from finchcart.node.effect_buffer import EffectBuffer, own_connections_first
 from finchcart.node.effects import Defer, End, Send, SendReport, StopListening
-from finchcart.node.idempotency import IdempotencyCache, NoResult, digest_of
+from finchcart.node.fleet_inputs import fleet_input
+from finchcart.node.idempotency import IdempotencyCache, digest_of
 from finchcart.node.inputs import (
     CloseAttempted,
     Drain,
     DuplicateReady,
+    FleetMemberChanged,
+    FleetMemberState,
     MessagesReceived,
     ThreadDied,
     TimersDue,
 )
+from finchcart.node.key_entry import NoResult
 from finchcart.node.registration import Registration
 from finchcart.node.rpc import NodeRpc
+from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.store import StoreClient
-from finchcart.node.worker_pool import WorkerPool
+from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol.connection_events import ConnectionEnded
 from finchcart.protocol.messages import GaugesRead, RunEnded, StoreReply, Subscribed
 from tests.harness import same_input
@@ -38,12 +45,12 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_idempotency_cache_holds_one_entry_a_key_and_bounds_results(seed):
-    rng, turn = random.Random(seed), EffectBuffer(1)
-    cache, live, windows = IdempotencyCache(turn, 500 * MS, 40), [], {}
+    rng, effect_buffer = random.Random(seed), EffectBuffer(1)
+    cache, live, windows = IdempotencyCache(effect_buffer, 500 * MS, 40), [], {}
     for index in range(400):
-        turn.begin(turn.now + rng.randrange(60) * MS)
+        effect_buffer.begin(effect_buffer.now + rng.randrange(60) * MS)
         key = ("m0", rng.randrange(12))
-        reached = turn.now - rng.randrange(200) * MS
+        reached = effect_buffer.now - rng.randrange(200) * MS
         rpc = rpc_of(index)
         rpc.key_entry, repeats = cache.entry_for(key, index, digest_of(rpc.body), reached)
         assert repeats or not any(until > reached and ran for until, ran in windows.get(key, ())), "forgotten"
@@ -62,21 +69,23 @@
                 cache.evict(done.key_entry)
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result) <= 40
     for _ in range(3):
-        turn.begin(turn.now + 4_000 * MS)
-    assert not cache.entries and not cache.with_result and not turn.timers
+        effect_buffer.begin(effect_buffer.now + 4_000 * MS)
+    assert not cache.entries
+    assert not cache.with_result
+    assert not effect_buffer.timers
 
 
 def test_a_late_duplicate_of_what_ran_is_known_though_a_later_attempt_was_evicted():
-    turn = EffectBuffer(1)
-    cache = IdempotencyCache(turn, 500 * MS, 100)
-    turn.begin(1_000 * MS)
+    effect_buffer = EffectBuffer(1)
+    cache = IdempotencyCache(effect_buffer, 500 * MS, 100)
+    effect_buffer.begin(1_000 * MS)
     ran, later = rpc_of(0), rpc_of(1)
-    ran.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), turn.now)
+    ran.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), effect_buffer.now)
     cache.store(ran, 100 * MS)
     ran.key_entry.ran = True
     cache.complete(ran.key_entry, b"result")
-    turn.begin(1_150 * MS)
-    later.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), turn.now)
+    effect_buffer.begin(1_150 * MS)
+    later.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), effect_buffer.now)
     assert not repeats  # the window is over
     cache.store(later, 100 * MS)
     cache.evict(later.key_entry)  # pushed back: it never ran
@@ -85,20 +94,20 @@
 
 
 def test_waiting_duplicates_are_notified_once_the_first_attempt_completes():
-    turn = EffectBuffer(1)
-    cache = IdempotencyCache(turn, 0, 100)
+    effect_buffer = EffectBuffer(1)
+    cache = IdempotencyCache(effect_buffer, 0, 100)
     first, second = rpc_of(0), rpc_of(1)
     first.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), 0)
     cache.store(first, 10)
     first.key_entry.ran = True
     second.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), 0)
     cache.join_in_flight(second)
-    assert repeats and not turn.effects
+    assert repeats
+    assert not effect_buffer.effects
     cache.complete(first.key_entry, b"result")
-    assert same_input(turn.effects[0].input, DuplicateReady(1))
-    assert turn.effects == [Defer(DuplicateReady(1))] and cache.is_payload_mismatch(
-        ("m0", "k"), digest_of(b"x")
-    )
+    assert same_input(effect_buffer.effects[0].input, DuplicateReady(1))
+    assert effect_buffer.effects == [Defer(DuplicateReady(1))]
+    assert cache.is_payload_mismatch(("m0", "k"), digest_of(b"x"))
 
 
 class CallsByChance:
@@ -106,9 +115,9 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.turn = EffectBuffer(1)
+        self.effect_buffer = EffectBuffer(1)
         self.ended = []
-        self.store = StoreClient(self.turn, LIMITS, ("store", 1), self.call_ended)
+        self.store = StoreClient(self.effect_buffer, LIMITS, ("store", 1), self.call_ended)
         self.in_flight = {}  # by number of the call
         self.calls_made = 0
         self.names_used = {}  # by connection
@@ -137,7 +146,8 @@
         elif chance < 0.13:
             # Corrupt: it never passes for the call's.
             store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
-            assert rpc.call_connection == connection and store.connections[connection].retired
+            assert rpc.call_connection == connection
+            assert store.connections[connection].retired
         elif chance < 0.16:
             store.connection_ended(connection, ProtocolError("cut"))
         elif chance < 0.18:
@@ -146,7 +156,7 @@
 
     def step(self, number):
         rng = self.rng
-        self.turn.begin(self.turn.now + rng.randrange(20) * MS)
+        self.effect_buffer.begin(self.effect_buffer.now + rng.randrange(20) * MS)
         if rng.random() < 0.4:
             self.call(rpc_of(rng.randrange(20) if rng.random() < 0.5 else 100 + number))
         for each, rpc in list(self.in_flight.items()):
@@ -165,8 +175,10 @@
     for number in range(600):
         calls.step(number)
     for _ in range(4):
-        calls.turn.begin(calls.turn.now + 2_000 * MS)
-    assert len(calls.ended) == calls.calls_made and not calls.store.connections and not calls.store.idle
+        calls.effect_buffer.begin(calls.effect_buffer.now + 2_000 * MS)
+    assert len(calls.ended) == calls.calls_made
+    assert not calls.store.connections
+    assert not calls.store.idle
 
 
 class Host:
@@ -189,38 +201,42 @@
 
 
 def test_the_pool_settles_what_a_lost_connection_may_have_lost():
-    turn, host = EffectBuffer(1), Host()
-    pool = host.pool = WorkerPool(turn, LIMITS, ("pool", 1), ("core_use",), host, host)
+    effect_buffer, host = EffectBuffer(1), Host()
+    pool = host.pool = WorkerPoolClient(effect_buffer, LIMITS, ("pool", 1), ("core_use",), host, host)
     pool.connect()
-    pool.message_received(pool.connection, Subscribed(False, 5_000))
+    pool.message_received(pool.connection.number, Subscribed(False, 5_000))
     safe, effect = rpc_of(1), rpc_of(2)
     host.rpcs = {safe.name: safe, effect.name: effect}
-    pool.send_command(safe, b"run safe", b"run safe", is_start=True)
-    pool.send_command(effect, b"run effect", None)
-    pool.connection_ended(pool.connection, None)
-    turn.begin(turn.now + 1_000 * MS)
-    pool.message_received(pool.connection, Subscribed(False, 1_005_000))
-    settle = pool.settle_ticket
-    turn.begin(turn.now)
-    pool.message_received(pool.connection, GaugesRead(settle, ()))
-    assert Send(pool.connection, b"run safe") in [e for e in turn.effects if isinstance(e, Send)]
-    assert b"run effect" not in [e[-1] for e in turn.effects]
+    pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
+    pool.commands.send(effect, b"run effect", None)
+    pool.connection_ended(pool.connection.number, None)
+    effect_buffer.begin(effect_buffer.now + 1_000 * MS)
+    pool.message_received(pool.connection.number, Subscribed(False, 1_005_000))
+    settle = pool.commands.settlement_ticket
+    effect_buffer.begin(effect_buffer.now)
+    pool.message_received(pool.connection.number, GaugesRead(settle, ()))
+    assert Send(pool.connection.number, b"run safe") in [
+        e for e in effect_buffer.effects if isinstance(e, Send)
+    ]
+    assert b"run effect" not in [e[-1] for e in effect_buffer.effects]
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
-    assert effect.index in pool.unknown_runs and not any(told[0] == effect.name for told in host.told)
-    assert list(pool.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    assert effect.index in pool.commands.unconfirmed_runs
+    assert not any(told[0] == effect.name for told in host.told)
+    assert list(pool.commands.unconfirmed) == [1]  # written once more, and open again
+    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
-    assert host.told.count((safe.name, Outcome.OK)) == 0 and safe.index in pool.unknown_runs
-    pool.message_received(pool.connection, RunEnded(2, safe.name, Outcome.OK, 5, b""))
+    assert host.told.count((safe.name, Outcome.OK)) == 0
+    assert safe.index in pool.commands.unconfirmed_runs
+    pool.message_received(pool.connection.number, RunEnded(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
-    turn.begin(turn.now + 2_999 * MS)
+    effect_buffer.begin(effect_buffer.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
-    turn.begin(turn.now + MS)
+    effect_buffer.begin(effect_buffer.now + MS)
     assert (effect.name, Outcome.STOPPED) in host.told
 
 
-class DrainHostDouble:
+class ShutdownHostDouble:
     def __init__(self, busy):
         self.busy = busy
         self.told = []
@@ -239,19 +255,21 @@
 
 
 def test_the_end_waits_for_what_is_open_and_listens_no_more_before():
-    turn, busy = EffectBuffer(1), [True]
-    host = DrainHostDouble(busy)
-    registration = Registration(turn, LIMITS, "n1", ("registry", 1), 100 * MS, host)
+    effect_buffer, busy = EffectBuffer(1), [True]
+    host = ShutdownHostDouble(busy)
+    registration = Registration(effect_buffer, LIMITS, "n1", ("registry", 1))
+    schedule = ShutdownSchedule(effect_buffer, LIMITS, 100 * MS, host)
     registration.report()
-    assert registration.drain(turn.now) and not registration.drain(turn.now)
+    assert schedule.drain(effect_buffer.now)
+    assert not schedule.drain(effect_buffer.now)
     registration.set_health(False)
-    assert turn.effects[-1].data == b"HERE n1 off"
+    assert effect_buffer.effects[-1].data == b"HERE n1 off"
     told = []
     for _ in range(60):
-        told += map(type, turn.begin(turn.now + 40 * MS))
-        registration.end_if_idle()
-        told += [type(effect) for effect in turn.effects if isinstance(effect, StopListening | End)]
-        busy[0] = turn.now < 600 * MS
+        told += map(type, effect_buffer.begin(effect_buffer.now + 40 * MS))
+        schedule.end_if_idle()
+        told += [type(effect) for effect in effect_buffer.effects if isinstance(effect, StopListening | End)]
+        busy[0] = effect_buffer.now < 600 * MS
     assert [kind for kind in told if kind is not SendReport][:2] == [StopListening, End]
     assert host.told[:2] == ["announce close", "before end"]
 
@@ -281,3 +299,10 @@
         assert of_connection(taken, connection) == of_connection(words, connection)
     signs = [what.connection < 0 for what in taken if hasattr(what, "connection")]
     assert signs == sorted(signs, reverse=True)
+
+
+def test_each_state_of_a_member_has_its_state_in_the_node():
+    expected = {state: FleetMemberState(state.value) for state in MemberState}
+    assert list(expected.values()) == list(FleetMemberState)
+    for state, seen in expected.items():
+        assert fleet_input(MemberChanged("n2", state, 1)) == FleetMemberChanged("n2", seen, 1)
