--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 Owns these times. Until the grace period ends the node serves as ever, but reports itself unhealthy; what
 arrives later is rejected (admission.py), and what still runs is failed before the termination deadline
-(expiry.py). See "Goodbye to connections" in docs/design.md.
+(expiry.py). See "Goodbye to connections: kept and changed" in docs/design.md.
 """
 
 from finchcart.decisions.node_settings import NodeSettings
@@ -14,7 +14,7 @@
 
 DRAINING_IDLE_TIMEOUT = 10 * MS  # of connections, once the grace period is over
 RUN_FACTOR_AFTER_GRACE = 2  # a run may last so many times its method's usual run duration after the grace
-USUAL_RUN_QUANTILE = 0.9  # of its method's run durations, that a run usually keeps to
+USUAL_RUN_QUANTILE = 0.9  # of its method's run durations: the usual one
 
 
 class GracefulShutdown:
