--- a/finchcart/fault_injection/consensus/rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -323,7 +323,7 @@
     def _override(self, name: str, number: int, subject: int, value: int, span: int) -> dict:
         """Issue an operator's override at a node; withdraw it where the value is 0."""
         request = messages.OverrideRequest(number, subject, value, span, "trial")
-        return self.processes[name].machine.board.issue_override(self.now, request)
+        return self.processes[name].machine.consensus_store.issue_override(self.now, request)
 
     @staticmethod
     def _is_unset(subject: int, view: NodeView) -> bool:
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -93,8 +93,8 @@
         member = self.make_member(name, fleet, address, seeds, config, random, wall_clock_ms, now)
         zone = int(name[1:]) % ZONES
         store_config = ConsensusConfig(**{**self.consensus_config.__dict__, "zone": f"z{zone}"})
-        member.board = self.make_store(name, fleet, store_config, now)
-        member.piggyback_clients += [LocalLimits(self.quota, now), member.board]
+        member.consensus_store = self.make_store(name, fleet, store_config, now)
+        member.piggyback_clients += [LocalLimits(self.quota, now), member.consensus_store]
         self.node_views[name] = NodeView()
         return member
 
@@ -195,9 +195,9 @@
             if held.written_at is not None and truth is not None and held.written_at > truth:
                 younger_ms = (held.written_at - truth) // 1000
                 self.fail(f"{name} takes a note for {younger_ms} ms younger than it is")
-        board = member.board
+        store = member.consensus_store
         config = self.consensus_config
-        if len(board.observer.sources) > config.max_sources or len(board.overrides) > config.max_overrides:
+        if len(store.observer.sources) > config.max_sources or len(store.overrides) > config.max_overrides:
             self.fail(f"{name} holds more than its bounds")
         if any(len(held.entry.payload) > LONGEST_ENTRY for held in member.gossip.own.values()):
             self.fail(f"{name} writes a note that is too long")
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -11,10 +11,10 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.planner import Planner
 
-PLACES = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
-TWO, THREE, NODE = (parse_address(PLACES[1]), parse_address(PLACES[2]), ("10.0.0.9", 7400))
+PLANNERS = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
+TWO, THREE, NODE = (parse_address(PLANNERS[1]), parse_address(PLANNERS[2]), ("10.0.0.9", 7400))
 SHARED = QuotaConfig(
-    limits=(Limit("store", 40),), planners=PLACES, max_processes=4, max_step=1.0, reserve=0.0
+    limits=(Limit("store", 40),), planners=PLANNERS, max_processes=4, max_step=1.0, reserve=0.0
 )
 
 
@@ -30,7 +30,7 @@
 
 def started(make):
     """A planner that has just started."""
-    return make.get("planner", Planner)(PLACES[0], "f", SHARED, random.Random(1), 0)
+    return make.get("planner", Planner)(PLANNERS[0], "f", SHARED, random.Random(1), 0)
 
 
 def elected(make, accept_late=0):
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -25,7 +25,7 @@
 from tests.test_core import GAUGES, plain_harness, play
 
 
-def witnessed(**settings):
+def harness_with_consensus(**settings):
     """A harness with verdicts: the trial limit gives this node one call, for ever."""
     limiters = LimiterSet((Limit("trial", 4, counts="trial", mode="loose"),), 20 * MS, 10)
     limiters.recovery_step_us, limiters.probe_timeout_us = CONFIG.recovery_step, CONFIG.probe_timeout
@@ -40,7 +40,7 @@
 
 
 def test_a_store_that_is_down_gets_this_nodes_probe_calls_alone_and_more_by_steps_once_it_is_back():
-    harness = witnessed(cores=64, overload_factor=64, calls_limit=100.0)
+    harness = harness_with_consensus(cores=64, overload_factor=64, calls_limit=100.0)
 
     def capacity():
         return harness.limiters.call_capacity(harness.core.store)
@@ -65,7 +65,7 @@
 
 
 def test_unreadable_and_silent_connections_count_against_the_address_and_never_a_number():
-    harness = witnessed()
+    harness = harness_with_consensus()
     harness.submit(harness.open("10.0.0.7"), 1, c="unheard")
     silent, check, ours = harness.open("10.0.0.7"), harness.open("10.0.0.8"), harness.open("10.0.0.9")
     harness.deliver(check, HeartbeatCall(1))
@@ -82,7 +82,7 @@
 
 
 def test_a_blocked_source_is_rejected_at_once_and_a_throttled_one_beyond_its_rate():
-    harness = witnessed(retry_after_max=1000 * MS, cores=64, overload_factor=64)
+    harness = harness_with_consensus(retry_after_max=1000 * MS, cores=64, overload_factor=64)
     holds(
         harness,
         sources={
--- a/tests/test_consensus_observations.py
+++ b/tests/test_consensus_observations.py
@@ -50,8 +50,8 @@
 
 
 def test_a_call_cut_short_by_a_grant_is_no_evidence_of_the_store():
-    witness = NodeObserver(CONFIG)
-    witness.call_ended(Outcome.TIMEOUT, 5, True)
-    witness.call_ended(Outcome.REJECTED, 5, False)
-    witness.call_ended(Outcome.CONNECTION_LOST, 5, True)
-    assert witness.collect_evidence(0, 0.0).calls == (0, 1, 0)
+    observer = NodeObserver(CONFIG)
+    observer.call_ended(Outcome.TIMEOUT, 5, True)
+    observer.call_ended(Outcome.REJECTED, 5, False)
+    observer.call_ended(Outcome.CONNECTION_LOST, 5, True)
+    assert observer.collect_evidence(0, 0.0).calls == (0, 1, 0)
--- a/tests/test_consensus_settings.py
+++ b/tests/test_consensus_settings.py
@@ -60,7 +60,7 @@
     fleet = ConsensusSimulation(3, 1)
     fleet.start_all()
     fleet.run(6 * SECOND)
-    consensus = fleet.processes["n000"].machine.board
+    consensus = fleet.processes["n000"].machine.consensus_store
     for n in range(14):
         consensus.issue_override(
             fleet.now,
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -128,11 +128,11 @@
 
 def test_a_run_elsewhere_gives_its_result():
     harness = plain_harness(key_leases=lambda turn: KeyLeaseGate(turn, 20 * SECOND))
-    told = []
-    harness.on_reply = lambda link, data: told.append(read_answer(data))
+    replies = []
+    harness.on_reply = lambda link, data: replies.append(read_answer(data))
     harness.submit(harness.open(), 1)
     harness.step(MS)
     key = harness.key_lease_inputs[0].keys[0].key
     harness.feed(fleet_input(LeaseAnswer(key, LeaseStatus.COMPLETED, b"there", 0)))
-    assert b"there" in str(told).encode()
+    assert b"there" in str(replies).encode()
     assert not harness.runs
--- a/tests/test_local_limits.py
+++ b/tests/test_local_limits.py
@@ -80,7 +80,7 @@
         loose_run(per="rate", seed=seed, cut=(0, 1, 2))
 
 
-def wants_count_at_once(self):
+def demand_counts_at_once(self):
     return self.demand
 
 
@@ -88,7 +88,7 @@
     return limit.amount
 
 
-def unconfirmed_want_nothing(self, now, member):
+def unconfirmed_demand_nothing(self, now, member):
     LocalLimits.observe(self, now, member)
     self.unconfirmed = []
 
@@ -108,11 +108,11 @@
     self.recent_views.clear()
 
 
-def wants_at_once(make, **more):
+def unsettled_demand(make, **more):
     """The own want counts before others heard of it."""
 
     class Allocation(local_limits.LocalAllocation):
-        settled_demand = wants_count_at_once
+        settled_demand = demand_counts_at_once
 
     before = local_limits.LocalAllocation
     local_limits.LocalAllocation = Allocation
@@ -139,7 +139,7 @@
 
 
 LOOSE = {
-    "the own want counts at once": (wants_at_once, {}, {}, 50),
+    "the own demand counts at once": (unsettled_demand, {}, {}, 50),
     "each side takes the whole": (takes_the_whole, {}, {"cut": (0, 1, 2), "over": 0.0}, 53),
     "each side takes the whole of a rate": (
         takes_the_whole,
@@ -149,7 +149,7 @@
     ),
     "who is not heard is reckoned to want nothing": (
         loose_run,
-        {"observe": unconfirmed_want_nothing},
+        {"observe": unconfirmed_demand_nothing},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
--- a/tests/test_membership_defects.py
+++ b/tests/test_membership_defects.py
@@ -143,16 +143,16 @@
 
 
 def forged_incarnation():
-    """A forged row with an absurd incarnation does not put its name out of reach."""
+    """A forged record with an absurd incarnation does not put its name out of reach."""
     fleet = MembershipSimulation([f"n{n}" for n in range(6)], 1)
     for name in fleet.processes:
         fleet.start(name)
     fleet.run(4 * SECOND)
-    row = msgspec.structs.replace(
+    record = msgspec.structs.replace(
         fleet.processes["n2"].machine.record, incarnation=2**53 - 1, status=DeclaredStatus.LEFT
     )
     for name in ("n0", "n1", "n3"):
-        fleet.feed(name, DatagramReceived(("10.0.0.9", 1), CODEC.encode("virtual", MemberRecords([row]))))
+        fleet.feed(name, DatagramReceived(("10.0.0.9", 1), CODEC.encode("virtual", MemberRecords([record]))))
     fleet.run(fleet.now + 4 * SECOND)
     return [name for name, seen in fleet.views().items() if seen["n2"] != "alive"]
 
--- a/tests/test_quota_limiters.py
+++ b/tests/test_quota_limiters.py
@@ -16,31 +16,31 @@
 from finchcart.quota.limits import SECOND, Limit
 
 
-def test_a_meter_never_gives_more_than_was_granted_nor_for_longer():
+def test_a_limiter_never_gives_more_than_was_granted_nor_for_longer():
     class Store:
         hands = {False: 0, True: 0}
 
         def in_flight(self, leased):
             return self.hands[leased]
 
-    meter, store = CallConcurrencyLimiter(Limit("store", 9, 1), 20_000), Store()
-    meter.now_us = 1_000_000
-    assert meter.capacity(store) == 1
-    assert meter.try_acquire(store) == (False, None)
+    limiter, store = CallConcurrencyLimiter(Limit("store", 9, 1), 20_000), Store()
+    limiter.now_us = 1_000_000
+    assert limiter.capacity(store) == 1
+    assert limiter.try_acquire(store) == (False, None)
     store.hands[False] = 1
-    assert meter.try_acquire(store) is None
-    assert meter.refusals == 1
-    meter.set_allowance(1, 2, 2_000_000)
-    assert meter.capacity(store) == 3
-    assert meter.try_acquire(store) == (True, 978_000)
+    assert limiter.try_acquire(store) is None
+    assert limiter.refusals == 1
+    limiter.set_allowance(1, 2, 2_000_000)
+    assert limiter.capacity(store) == 3
+    assert limiter.try_acquire(store) == (True, 978_000)
     store.hands[True] = 2
-    assert meter.try_acquire(store) is None
-    store.hands[True], meter.now_us = 1, 1_970_000
-    assert meter.try_acquire(store) is None, "less is left than a call may be late by"
-    assert meter.capacity(store) == 1, "less is left than a call may be late by"
-    meter.set_allowance(None, 0, 0)
-    assert meter.capacity(store) is None
-    assert meter.try_acquire(store) == (False, None)
+    assert limiter.try_acquire(store) is None
+    store.hands[True], limiter.now_us = 1, 1_970_000
+    assert limiter.try_acquire(store) is None, "less is left than a call may be late by"
+    assert limiter.capacity(store) == 1, "less is left than a call may be late by"
+    limiter.set_allowance(None, 0, 0)
+    assert limiter.capacity(store) is None
+    assert limiter.try_acquire(store) == (False, None)
 
 
 def fullest_bucket(make=RateLimiter, seed=1):
@@ -54,9 +54,9 @@
     nodes = [make(limit, 20_000, 8) for _ in range(8)]
     now, level, fullest = 10**6, 0.0, 0.0
     granted = [(0, 0)] * len(nodes)  # amount and end of each one's lease, as the planner counts them
-    for meter in nodes:
-        meter.now_us = now
-        meter.set_allowance(2, 0, 0)
+    for limiter in nodes:
+        limiter.now_us = now
+        limiter.set_allowance(2, 0, 0)
     while now < 60 * SECOND:
         now += 5_000
         level = max(0.0, level - 5_000 * limit.amount / SECOND)
@@ -66,9 +66,9 @@
             granted[n] = (chance.randint(0, free), now + chance.randrange(200_000, 3 * SECOND))
             nodes[n].now_us = now
             nodes[n].set_allowance(2, *granted[n])
-        for meter in nodes if now // 700_000 % 2 else ():  # all wait, and then take all there is
-            meter.now_us = now
-            while meter.try_acquire():
+        for limiter in nodes if now // 700_000 % 2 else ():  # all wait, and then take all there is
+            limiter.now_us = now
+            while limiter.try_acquire():
                 level += 1
         fullest = max(fullest, level)
     return fullest
