--- a/finchcart/__main__.py
+++ b/finchcart/__main__.py
@@ -1,6 +1,6 @@
 """The program: `python -m finchcart` and the command `finchcart`.
 
-Owns nothing: with arguments the command line has the word, without there is one node and nothing else, which
+Owns nothing: with arguments it runs the command line, without them one node and nothing else, which
 imports no part of the command line or of a fleet.
 """
 
@@ -8,8 +8,8 @@
 import signal
 import sys
 
-# Before the other imports, which take a while. A notice to leave that comes meanwhile is followed at once:
-# nothing is held yet. One to read the configuration again changes nothing: it is not read yet.
+# Before the other imports, which take a while. A notice to leave that comes meanwhile ends the process
+# immediately: nothing is open yet. One to read the configuration again is ignored: it is not read yet.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 for number in (signal.SIGTERM, signal.SIGINT):
     signal.signal(number, lambda *_: os._exit(0))
--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -42,7 +42,7 @@
 
 
 class EventLoop:
-    """Turn after turn, until the core asks for the end.
+    """Turn after turn, until the core ends.
 
     A turn takes all inputs that wait, up to a bound; what it sends on one connection is one write. Where
     inputs take much of the time, the thread pauses between turns: then no reader has to wake it for each
@@ -100,7 +100,7 @@
         return handlers
 
     def run(self) -> None:
-        """Listen, and take turns until the core asks for the end."""
+        """Listen, and take turns until the core ends."""
         self._connections.listen()
         self._load_measured_at = self._last_turn_at = self._awake_since = boot_clock()
         has_ended = False
@@ -154,7 +154,7 @@
         self._idle = 0
 
     def _process_waiting(self) -> bool:
-        """Process the turn's inputs; return whether the core asked for the end."""
+        """Process the turn's inputs; return whether the core ended."""
         waiting = self._waiting
         handlers = self._handlers
         while waiting:
--- a/finchcart/fleet_participant.py
+++ b/finchcart/fleet_participant.py
@@ -1,4 +1,4 @@
-"""What a node asks of its part in a fleet. Where no fleet is configured, there is none.
+"""What a node calls of its part in a fleet. Where no fleet is configured, there is none.
 
 Owns no state. A participant is made in finchcart/cli/fleet_node.py; a node without one imports nothing of it.
 """
--- a/finchcart/log_sink.py
+++ b/finchcart/log_sink.py
@@ -10,7 +10,7 @@
 
 
 class LogSink:
-    """Writes whole lines to a file descriptor; lines that were lost are told once writing works again."""
+    """Writes whole lines to a file descriptor, and the count of lost ones once writing works again."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
         self.lost = 0
--- a/finchcart/node/arrivals.py
+++ b/finchcart/node/arrivals.py
@@ -37,7 +37,7 @@
         return self._wall_clock.to_unix(self._effect_buffer.now)
 
     def on_wall_clock_read(self, unix_us: int) -> None:
-        """Handle what the wall clock says now."""
-        step_us = self._wall_clock.look(self._effect_buffer.now, unix_us)
+        """Handle a reading of the wall clock."""
+        step_us = self._wall_clock.record(self._effect_buffer.now, unix_us)
         if step_us:
             self._effect_buffer.log_fault("wall clock", "step", f"stepped by {step_us} us")
--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -11,6 +11,7 @@
 
 if TYPE_CHECKING:  # not imported where no fleet is configured
     from finchcart.consensus.evidence import Evidence
+    from finchcart.key_leases.inputs import KeyToLease
 
 
 class Read(NamedTuple):
@@ -47,7 +48,7 @@
 
 
 class Drop(NamedTuple):
-    """Close a connection at once, whatever is under way."""
+    """Close a connection immediately, whatever is under way."""
 
     connection: int
 
@@ -102,18 +103,10 @@
     evidence: "Evidence"
 
 
-class KeyLeaseRequest(NamedTuple):
-    """One key to be leased; see `RequestKeyLeases`."""
-
-    key: bytes
-    payload_digest: int  # requests of one key with two digests are a payload mismatch
-    lifetime_us: int
-
-
 class RequestKeyLeases(NamedTuple):
-    """Ask a majority of the fleet's acceptors for these keys."""
+    """Request these key leases of a majority of the fleet's replicas."""
 
-    requests: Sequence[KeyLeaseRequest]
+    keys: "Sequence[KeyToLease]"
 
 
 class ReportRunEnded(NamedTuple):
--- a/finchcart/node/fault_log.py
+++ b/finchcart/node/fault_log.py
@@ -1,4 +1,4 @@
-"""Log lines on faults that may come by the thousand: a few for each party, and a count of the rest.
+"""Log lines on faults that may come by the thousand: a few for each party, and a count of the others.
 
 Owns how many lines each party had in the interval under way, and what was left out of it by cause. It must
 never leave a fault out without counting it, nor keep a count longer than the interval.
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -16,7 +16,7 @@
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 
-if TYPE_CHECKING:  # neither is imported where no fleet is asked for
+if TYPE_CHECKING:  # neither is imported where no fleet is configured
     from finchcart.node.limiter_set import LimiterSet, RpcLimiter
     from finchcart.node.limiters import CallsInFlight
     from finchcart.node.observer import NodeObserver
@@ -152,7 +152,7 @@
         return gauges
 
     def publish_usage(self, rpcs: Iterable[NodeRpc], calls: "CallsInFlight") -> None:
-        """Publish what is used and wanted of the limits of which something changed."""
+        """Publish use and demand of the limits of which something changed."""
         if not self.limiters:
             return
         waiting = [self.methods[rpc.method].has_priority for rpc in rpcs if rpc.awaited_call is not None]
--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -1,8 +1,8 @@
 """The one boundary between the core and the fleet's state machines.
 
 Owns the conversion of what membership, quota, consensus and key leases emit into inputs of the core, and of
-the core's commands into inputs of the key lease client. It must never be imported where no fleet is asked
-for, nor keep anything.
+the core's commands into inputs of the key lease client. It must never be imported where no fleet is
+configured, nor keep anything.
 """
 
 from finchcart.consensus.effects import DecisionsChanged
@@ -14,7 +14,6 @@
     ClientInput,
     KeyLeaseRunCancelled,
     KeyLeaseRunEnded,
-    KeyToLease,
 )
 from finchcart.key_leases.messages import LeaseStatus
 from finchcart.membership import effects as membership_effects
@@ -66,8 +65,8 @@
 def key_lease_client_input(command: KeyLeaseAction) -> ClientInput:
     """Return the input of the key lease client for a command of the core."""
     match command:
-        case RequestKeyLeases(requests):
-            return AcquireKeyLeases([KeyToLease(*request) for request in requests])
+        case RequestKeyLeases(keys):
+            return AcquireKeyLeases(keys)
         case ReportRunEnded(key, succeeded, result):
             return KeyLeaseRunEnded(key, LeaseStatus.COMPLETED if succeeded else LeaseStatus.FAILED, result)
         case ReleaseKeyLease(key):
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -6,16 +6,16 @@
 1. It makes an `NodeRpc` with whatever `reference` finds its caller again, and hands it over by
    `core.accept(rpc, attributes)` once it has read it to the end. From then on the core sends exactly one
    `frontend.send_final_answer(rpc, ...)`, which may come inside `accept`, so `reference` has to be in the
-   frontend's tables before. An `InvalidRpcError` of `accept` says what is wrong with the RPC: the core kept
-   nothing, and the frontend answers in its own words.
+   frontend's tables before. An `InvalidRpcError` of `accept` names what is wrong with the RPC: the core kept
+   nothing, and the frontend answers by its own protocol.
 2. Where the caller is known to be gone it calls `core.abandon(rpc)`, once, instead of waiting for the final
    answer: none comes after that.
 3. It requests reads on its connections (`effect_buffer.emit(Read(connection))`), each of which brings one
    batch. A frontend that connects out has `effect_buffer.connect(kind, address, self)`.
-4. `core.ready` tells whether RPCs can be accepted yet: before the worker pool is there, `accept` is not
+4. `core.ready` is whether RPCs can be accepted yet: before the worker pool is there, `accept` is not
 called.
 
-What the frontend does with a final answer is its own: the core never asks whether it arrived.
+What the frontend does with a final answer is its own: the core never checks whether it arrived.
 """
 
 from collections.abc import Mapping
@@ -62,7 +62,7 @@
 
 
 class Frontend(AnyOwner, AnswerReceiver, Protocol):
-    """What the core calls, besides what it tells any owner of connections."""
+    """What the core calls, besides the methods of any owner of connections."""
 
     def connection_opened(self, connection: int) -> None:
         """Handle a connection that a peer made."""
@@ -92,7 +92,7 @@
     def close_now(self) -> None:
         """Close every connection between two RPCs, as soon as nothing is open: the node ends shortly.
 
-        Those that are still made are announced to close at once.
+        New ones are announced to close immediately.
         """
 
     def is_idle(self) -> bool:
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -115,12 +115,12 @@
 
 
 class KeyLeaseOutcome(Enum):
-    """What the request for a key lease came to."""
+    """How a request for a key lease ended."""
 
     GRANTED = "granted"  # this node may run the RPC
     HELD_ELSEWHERE = "held elsewhere"  # it runs elsewhere, and did not end in time
     ENDED = "ended"  # it ran elsewhere, with this result
-    FAILED = "failed"  # it may have run elsewhere, and came to nothing
+    FAILED = "failed"  # it may have run elsewhere, and failed
     NO_MAJORITY = "no majority"  # it never ran here
     PAYLOAD_MISMATCH = "payload mismatch"  # the key is in use for another body
 
@@ -135,7 +135,7 @@
 
 
 class WallClockRead(NamedTuple):
-    """What the wall clock says now, where its distance to the node's clock has changed."""
+    """A reading of the wall clock, where its offset to the node's clock has changed."""
 
     unix_us: int
 
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -2,8 +2,7 @@
 
 Owns the RPCs that wait for the answer of a key lease, and the key leases that are this node's. It must never
 let a run be commanded without its key lease, nor past the time until which that allows it; nor decide: an RPC
-that holds its key lease goes to the decision module as any RPC, the rest is answered by what the outcome
-means.
+that holds its key lease goes to the decision module as any RPC, the rest is answered by its outcome.
 
 `now_us` is the boot clock in whole microseconds, set by the host before each turn.
 """
@@ -12,13 +11,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from finchcart.key_leases.inputs import KeyToLease
 from finchcart.key_leases.messages import key_digest, payload_digest
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import (
     AbandonKeyLeaseRequest,
     Defer,
     KeyLeaseCommand,
-    KeyLeaseRequest,
     ReleaseKeyLease,
     ReportRunEnded,
     RequestKeyLeases,
@@ -55,7 +54,7 @@
 
 
 class KeyLeaseGate:
-    """The RPCs that wait and the key leases held. `lifetime_us`: how long a key lease is asked for.
+    """The RPCs that wait and the key leases held. `lifetime_us`: the duration of a requested lease.
 
     Bounds: `MAX_WAITING` that wait, each until its due time; a key lease for each open RPC that was granted
     one.
@@ -68,7 +67,7 @@
         self.waiting: dict[bytes, WaitingRpc] = {}
         self.held: dict[int, HeldKeyLease] = {}  # by index of the RPC
         self.counts: Counter[str] = Counter()
-        self._unsent: list[KeyLeaseRequest] = []  # of this turn
+        self._unsent: list[KeyToLease] = []  # of this turn
         self._end: int | None = None  # all is answered by then: the process is killed
 
     def request(
@@ -91,7 +90,7 @@
         self.waiting[digest] = WaitingRpc(rpc, attributes, on_resolved)
         if not self._unsent:
             self.effect_buffer.emit(Defer(KeyLeasesRequested()))  # those of one batch go in one message
-        self._unsent.append(KeyLeaseRequest(digest, payload_digest(rpc.body), self.lifetime_us))
+        self._unsent.append(KeyToLease(digest, payload_digest(rpc.body), self.lifetime_us))
         self.effect_buffer.schedule(
             due if self._end is None else min(due, self._end), self._time_out, digest, rpc
         )
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -1,4 +1,4 @@
-"""All limiters of a node, and the recovery of a store that was held to be down.
+"""All limiters of a node, and the recovery ramp of a store that was down by the fleet's consensus.
 
 Owns which limiter counts what. It must never decide which call is made or which RPC gives way: the decision
 module does, by the capacity that it is given.
@@ -85,11 +85,11 @@
         if name in self.by_name:
             self.by_name[name].set_allowance(floor, amount, until)
 
-    # ---- A store that is held to be down, and comes back
+    # ---- A store that is down by the fleet's consensus, and its recovery ramp
 
     @property
     def probing(self) -> bool:
-        """Whether the store is held to be down, and only probe calls are made."""
+        """Whether the store is down by the fleet's consensus, and only probe calls are made."""
         return self.probe is not None and self.probe.probing
 
     def set_dependency_down(self, down: bool) -> None:
@@ -117,7 +117,7 @@
     # ---- Calls
 
     def call_capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls may be in flight until the next look; None: no bound."""
+        """Return how many calls may be in flight until the next timer; None: no bound."""
         capacities = [self._recovery_capacity(calls)]
         if self.calls:
             capacities.append(self.calls.capacity(calls))
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -1,7 +1,7 @@
 """One limiter for each limit of the fleet that this node is held to.
 
 Owns what the node may have in flight or admit a second: its floor, and beyond it what it was allowed until a
-time on the boot clock. Calls in flight are the store client's, asked each time. It must never give out more
+time on the boot clock. Calls in flight are the store client's, queried each time. It must never give out more
 than was allowed, nor decide which call is made or which RPC gives way: the decision module does, by the
 capacity that it is given.
 
@@ -18,9 +18,9 @@
 MS = 1_000
 SECOND = 1_000_000
 PROBE_DEMAND_PERIOD_US = 10 * SECOND  # who called the store within it takes part in probing it
-DEMAND_PERIOD_US = 250 * MS  # between two looks at how much is asked for
+DEMAND_PERIOD_US = 250 * MS  # over which demand is measured
 WRITE_MARGIN_US = 2 * MS  # besides the slack, from the decision on a call to its write
-DEMAND_HEADROOM = 1.1  # demand is published a little over what was asked for, so that an allowance can grow
+DEMAND_HEADROOM = 1.1  # demand is published a little above what was requested, so that an allowance can grow
 
 
 class CallsInFlight(Protocol):
@@ -56,7 +56,7 @@
     """What all kinds have in common.
 
     `limit`: see finchcart/quota/limits.py; `slack_us`: a call is written so long after this turn began, or
-    not at all; `processes`: how many nodes may run at once.
+    not at all; `processes`: how many nodes may run together.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
@@ -145,9 +145,9 @@
 
 
 class ProbeLimiter(CallConcurrencyLimiter):
-    """This node's part of the few probe calls of the whole fleet while the store is held to be down.
+    """This node's part of the fleet's few probe calls, while its consensus is that the store is down.
 
-    Wanted by who called it lately, so that the parts are there when they are needed.
+    Requested by who called it lately, so that the parts are there when they are needed.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
@@ -156,7 +156,7 @@
         self._called_at: int | None = None
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: a probe is wanted by who called lately."""
+        """Return what to publish, where it changed: who called lately requests one."""
         in_flight = calls.in_flight(False) + calls.in_flight(True)
         if waiting or in_flight:
             self._called_at = self.now_us
@@ -165,9 +165,9 @@
 
 
 class RateLimiter(Limiter):
-    """So many a second, and at once no more than this node's part of the burst: a token bucket.
+    """A token bucket: a rate a second, and no more together than this node's part of the burst.
 
-    Each of `processes` has one of the burst, the rest goes with the parts of the rate. A part that grows
+    Each of `processes` has one of the burst; what is left is divided as the rate is. A part that grows
     begins empty. So all nodes together never take more than the burst and what the rate gives, in any time.
     """
 
@@ -176,8 +176,8 @@
         self.tokens = 0.0
         self.demand_per_second = 0.0  # lately
         self._filled_at: int | None = None
-        self._requests = 0  # since the last look
-        self._looked_at: int | None = None
+        self._requests = 0  # in this period
+        self._period_began_at: int | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
         """Set what the node may use from now on; a floor of None: the limit is removed."""
@@ -208,7 +208,7 @@
         return Availability(int(self.tokens), int(self.capacity()))
 
     def record_demand(self) -> None:
-        """Count one that is wanted, whether it is admitted or not."""
+        """Count one that is requested, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc | None = None) -> bool:
@@ -228,17 +228,17 @@
         return int((1 - min(1.0, self.tokens)) / rate * SECOND) if rate else SECOND
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: calls that wait are wanted within a second."""
+        """Return what to publish, where it changed: calls that wait are to be made within a second."""
         backlog = 0
         if self.limit.counts == "calls":
             backlog = max(0, waiting - calls.in_flight(False) - calls.in_flight(True))
-        if self._looked_at is None:
-            self._looked_at = self.now_us
-        elapsed_us = self.now_us - self._looked_at
+        if self._period_began_at is None:
+            self._period_began_at = self.now_us
+        elapsed_us = self.now_us - self._period_began_at
         if elapsed_us >= DEMAND_PERIOD_US:
             self.demand_per_second = (self.demand_per_second + self._requests * SECOND / elapsed_us) / 2
             self._requests = 0
-            self._looked_at = self.now_us
+            self._period_began_at = self.now_us
         demand = 0
         if self.demand_per_second + backlog > 0.5:
             demand = ceil(DEMAND_HEADROOM * self.demand_per_second) + backlog
@@ -255,9 +255,9 @@
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
         super().__init__(limit, slack_us, processes)
         self.count = 0
-        self._requests = 0  # since the last look
-        self._requests_before = 0  # between the two last looks
-        self._looked_at = 0
+        self._requests = 0  # in this period
+        self._requests_before = 0  # in the period before
+        self._period_began_at = 0
 
     def capacity(self) -> int:
         """Return how many RPCs may be in flight now."""
@@ -268,7 +268,7 @@
         return Availability(self.capacity() - self.count, self.capacity())
 
     def record_demand(self) -> None:
-        """Count one that is wanted, whether it is admitted or not."""
+        """Count one that is requested, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc) -> bool:
@@ -282,10 +282,10 @@
         return 0
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: who was rejected in the last period is wanted too."""
-        if self.now_us - self._looked_at >= DEMAND_PERIOD_US:
+        """Return what to publish, where it changed: who was rejected in the last period counts too."""
+        if self.now_us - self._period_began_at >= DEMAND_PERIOD_US:
             self._requests_before = self._requests
             self._requests = 0
-            self._looked_at = self.now_us
+            self._period_began_at = self.now_us
         demand = max(self.count, self._requests_before, self._requests)
         return self._if_changed(Usage(self.count, demand, 0))
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -1,8 +1,8 @@
 """What the core saw of others lately, for the fleet's consensus, and what that consensus is.
 
-Owns counts since the last look, and the consensus in force here. It must never decide what the consensus is,
-nor reject an RPC: the decision module does, by the quota that it is given. Sources differ by where a
-connection comes from; the number that a dispatcher gives of itself counts where a whole RPC carries it, so
+Owns counts since the last evidence, and the consensus in force here. It must never decide what the consensus
+is, nor reject an RPC: the decision module does, by the quota that it is given. Sources differ by where a
+connection comes from; the number that a dispatcher gives of itself counts where a complete RPC carries it, so
 that no random bytes accuse another.
 """
 
@@ -23,8 +23,8 @@
 class NodeObserver:
     """The counts, and the consensus on each subject. Times are whole microseconds.
 
-    Bounds: counts by `config.max_sources` sources a look; the consensus by what the fleet holds of sources at
-    once.
+    Bounds: counts by `config.max_sources` sources in one evidence; the consensus by the number of sources of
+    which the fleet has one.
     """
 
     def __init__(self, config: ConsensusConfig) -> None:
@@ -35,7 +35,7 @@
         self._dependency_state: int = StoreHealth.WORKING
         self._source_states: Mapping[int, int] = {}
         self._throttles: dict[int, tuple[float, int]] = {}  # subject -> (tokens, filled at)
-        self._looked_at: int | None = None
+        self._collected_at: int | None = None
         self._reset_counts()
 
     def _reset_counts(self) -> None:
@@ -47,8 +47,8 @@
     # ---- What was seen
 
     def collect_evidence(self, now: int, shed_level: float) -> Evidence | None:
-        """Return the evidence since the last look, or None where it is too soon."""
-        if self._looked_at is not None and now - self._looked_at < self.config.look_interval:
+        """Return the evidence since the last one, or None where it is too soon."""
+        if self._collected_at is not None and now - self._collected_at < self.config.look_interval:
             return None
         evidence = Evidence(
             CallCounts(*self._calls),
@@ -57,14 +57,14 @@
             {name: SourceCounts(*counts) for name, counts in self._sources.items()},
             shed_level,
         )
-        self._looked_at = now
+        self._collected_at = now
         self._reset_counts()
         return evidence
 
     def call_ended(self, outcome: Outcome, spent_us: int, time_cut: bool) -> None:
         """Count a call.
 
-        `time_cut`: its time was cut short by this node's own allowance, so that a timeout tells nothing of
+        `time_cut`: its time was cut short by this node's own allowance, so that a timeout proves nothing of
         the store.
         """
         if outcome is Outcome.OK:
@@ -118,7 +118,7 @@
 
     @property
     def dependency_down(self) -> bool:
-        """Whether the store is held to be down."""
+        """Whether the fleet's consensus is that the store is down."""
         return self._dependency_state == StoreHealth.DOWN
 
     def quota_for(self, now: int, host: str | None, caller: str | int) -> FleetQuota | None:
--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -1,6 +1,6 @@
 """What the decision module can do in a node: the implementation of `finchcart.decisions.port.Port`.
 
-Owns no state. Each verb is carried out at once, in the order in which it is called; it must never decide.
+Owns no state. Each verb takes effect immediately, in the order in which it is called; it must never decide.
 """
 
 from collections.abc import Mapping
--- a/finchcart/node/recording_port.py
+++ b/finchcart/node/recording_port.py
@@ -9,7 +9,7 @@
 from finchcart.decisions.rejection_reason import RejectionReason
 
 
-class RejectionAdvice(NamedTuple):
+class RecordedRejection(NamedTuple):
     """What a rejection advised the caller."""
 
     retry_after: int  # microseconds
@@ -19,7 +19,7 @@
 class RecordedDecisions(NamedTuple):
     """What was decided of one RPC."""
 
-    rejection: RejectionAdvice | None  # None: it was not rejected
+    rejection: RecordedRejection | None  # None: it was not rejected
     failed_or_paused: bool
 
 
@@ -32,7 +32,7 @@
     def __init__(self, port: Port | None = None) -> None:
         self.port = port
         self.enabled = True
-        self.rejections: dict[int, RejectionAdvice] = {}  # by index
+        self.rejections: dict[int, RecordedRejection] = {}  # by index
         self.failed_or_paused: set[int] = set()  # indices
         self.feedback: float | None = None  # the shed level or credit that was published last
         self.healthy = True
@@ -54,7 +54,7 @@
     def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
         """Record the rejection and its advice."""
         if self.enabled:
-            self.rejections[index] = RejectionAdvice(retry_after, do_not_retry)
+            self.rejections[index] = RecordedRejection(retry_after, do_not_retry)
         if self.port:
             self.port.reject(index, reason, retry_after, do_not_retry)
 
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -17,7 +17,7 @@
 
     OK = "ok"  # with the run's result, unchanged
     REJECTED = "rejected"  # it never ran here
-    FAILED = "failed"  # with no word on whether it ran
+    FAILED = "failed"  # without a statement whether it ran
 
 
 class RpcAttributes(NamedTuple):
--- a/finchcart/node/shadow.py
+++ b/finchcart/node/shadow.py
@@ -8,7 +8,7 @@
 What the counts can't show: the course that was not taken is not played. The shadow is notified how the active
 one's runs end, so the work it would have saved or added, what callers would have done after another answer
 (retries, connections) and the health of others under it are missing; an RPC that it would have run and the
-active one rejected ends for it at once, one that it paused goes on running. Read the counts as a rate of
+active one rejected ends for it immediately, one that it paused goes on running. Read the counts as a rate of
 differing decisions under today's traffic, not as the traffic after the move.
 """
 
@@ -26,7 +26,7 @@
 from finchcart.node.recording_port import RecordedDecisions, RecordingPort
 from finchcart.node.supported_settings import ShadowSettings
 
-# What is counted, in the words of the log line.
+# What is counted, as the log line names it.
 ADMITTED_WOULD_REJECT = "admitted, would be rejected"
 REJECTED_WOULD_ADMIT = "rejected, would be admitted"
 FAILED_OR_PAUSED = "failed or paused"
--- a/finchcart/node/shutdown.py
+++ b/finchcart/node/shutdown.py
@@ -34,7 +34,7 @@
 
 
 class ShutdownHost(Protocol):
-    """What the schedule asks, and what it has done when it is time."""
+    """What the schedule queries, and calls when a moment of the drain has come."""
 
     def is_busy(self) -> bool:
         """Return whether a connection is in use or a response pending."""
@@ -114,7 +114,7 @@
     def _end_unless_busy(self, kill_at: int) -> None:
         """Guards against an end over requests that were not read, for a part of the margin before the kill.
 
-        A node that is short of processor time reads late, and what it reads now is answered at once.
+        A node that is short of processor time reads late, and what it reads now is answered immediately.
         """
         limits = self._limits
         last_moment = kill_at + limits.kill_margin - limits.exit_time
--- a/finchcart/node/wall_clock.py
+++ b/finchcart/node/wall_clock.py
@@ -3,13 +3,13 @@
 Owns what is known of the machine's wall clock: how far it was ahead of the node's clock, and when that
 changed. It must never set a span or order anything: spans are counted on the node's clock alone.
 
-An RPC tells in Unix time when it reached the machine. The wall clock may have stepped since; then the same
+An RPC carries in Unix time when it reached the machine. The wall clock may have stepped since; then the same
 stamp can mean two moments, or none. A moment counts if the clock stood so at that moment, as far as the node
 saw it; if none does, the stamp is of a clock that did not step, and an offset that was seen before is taken.
-A moment before the connection was last read empty is not possible, whatever the stamp says. What is still
+A moment before the connection was last read empty is not possible, whatever its stamp. What is still
 open is left open: `Arrival` has the earliest and the latest moment.
 
-Error of an age: the time between two looks at the clock, where the step fell between them (a turn of the
+Error of an age: the time between two readings of the clock, where the step fell between them (a turn of the
 event loop, or the pause of a process); what the clock slewed in that age; 1 ms, the unit of stamps.
 """
 
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-STEP_US = 10_000  # what the offset changes by between two looks, beyond slewing, is a step
+STEP_US = 10_000  # a change of the offset between two readings, beyond slewing, is a step
 MAX_PERIODS = 16  # that are remembered, the latest; a stamp older than the deadlines is not valid anyhow
 STAMP_UNIT_US = 1_000  # a stamp is cut off to whole milliseconds
 NEVER = -(1 << 62)
@@ -48,14 +48,14 @@
 
     def __init__(self) -> None:
         self._periods: deque[ClockPeriod] = deque([ClockPeriod(NEVER, None, 0)], MAX_PERIODS)
-        self._looked_at: int | None = None
+        self._read_at: int | None = None
 
-    def look(self, now: int, unix: int) -> int:
-        """Take what the wall clock says `now`; return the microseconds by which it stepped, or 0."""
+    def record(self, now: int, unix_us: int) -> int:
+        """Record a reading of the wall clock at `now`; return the microseconds by which it stepped, or 0."""
         current = self._periods[-1]
-        offset = unix - now
+        offset = unix_us - now
         step = offset - current.offset
-        if self._looked_at is None:
+        if self._read_at is None:
             current.offset = offset
             step = 0
         elif abs(step) <= STEP_US:
@@ -63,12 +63,12 @@
             step = 0
         else:
             current.ends = now
-            self._periods.append(ClockPeriod(self._looked_at, None, offset))
-        self._looked_at = now
+            self._periods.append(ClockPeriod(self._read_at, None, offset))
+        self._read_at = now
         return step
 
     def to_unix(self, now: int) -> int:
-        """Return what the wall clock says at a moment of the node's clock, as it stands now."""
+        """Return the Unix time of a moment of the node's clock, by the last reading."""
         return now + self._periods[-1].offset
 
     def arrival(
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -136,7 +136,7 @@
         self._lose_connection(str(fault or ""))
 
     def connection_closed(self, connection: int) -> None:
-        """Do nothing: the connection was given up before."""
+        """Do nothing: it was dropped before."""
 
     def write_blocked(self, connection: int) -> None:
         """Request no gauges until the worker pool reads again."""
--- a/finchcart/node/worker_pool/gauge_polls.py
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -43,7 +43,7 @@
     def on_timer(self) -> None:
         """Handle the due timer of the decision module.
 
-        It is reported with the gauges, or without them where they can't be had in time.
+        It is reported with the gauges, or without them where they do not come in time.
         """
         if self._connection.state is ConnectionState.BOUND and not self._connection.write_blocked:
             ticket = self.poll()
--- a/finchcart/node/worker_pool/notice_cursor.py
+++ b/finchcart/node/worker_pool/notice_cursor.py
@@ -1,6 +1,7 @@
 """The number of the last notice that was handled, by which each notice is handled once.
 
-Owns that number. It must never go back but at a restart of the worker pool, which numbers its notices anew.
+Owns that number. It must never go back but at a restart of the worker pool, whose
+notices begin at 1 again.
 """
 
 
--- a/finchcart/node/worker_pool/restart_detector.py
+++ b/finchcart/node/worker_pool/restart_detector.py
@@ -34,7 +34,7 @@
         if previous_start is None:
             self._started_by = now - uptime_us
             return PoolContact.FIRST
-        # Guards against runs given up while they continue: the message may be delayed on its way or read
+        # Guards against runs answered as lost while they continue: the message may come late or be read
         # late. It was written after its request, so a restart began after the previous start even so.
         if requested_at - uptime_us > previous_start + self._tolerance_us:
             self._started_by = now - uptime_us
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -56,7 +56,7 @@
 
 
 def run_node(configure_log: Callable[[], None] = log_as_text, join_fleet: JoinFleet | None = None) -> int:
-    """Serve as a node until it is told to leave; return the status of the process.
+    """Serve as a node until the notice to leave; return the status of the process.
 
     `join_fleet(inputs, name)` makes the node's part in a fleet, or None; it raises ConfigError where that
     cannot be.
@@ -87,9 +87,9 @@
 
 
 def exit_process(status: int) -> NoReturn:
-    """End the process at once: threads that still wait on a socket are not waited for."""
+    """End the process immediately: threads that still wait on a socket are not waited for."""
     for stream in (sys.stdout, sys.stderr):
-        with suppress(OSError, ValueError):  # a full disk, or nobody reads: the status tells what matters
+        with suppress(OSError, ValueError):  # a full disk, or nobody reads: the exit status is enough
             stream.flush()
     os._exit(status)
 
