--- a/tests/core_cases.py
+++ b/tests/core_cases.py
@@ -19,15 +19,15 @@
 
 def running(harness, n=0):
     """A try that runs."""
-    name = harness.submit(harness.open(), n)
+    name = harness.dispatchers.submit(harness.dispatchers.open(), n)
     harness.step(MS)
     harness.step(MS)
-    assert harness.runs[name].state == "running"
+    assert harness.pool.runs[name].state == "running"
     return name
 
 
 def ends_well(harness, name):
-    harness.end_run(name, Outcome.OK)
+    harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
     assert how(harness, name) == "ok"
 
@@ -35,23 +35,23 @@
 def calling(harness, n=0):
     """A try at a call, and the link that the call is on."""
     name = running(harness, n)
-    harness.block_at_call(name)
+    harness.pool.block_at_call(name)
     for _ in range(3):
         harness.step(MS)
-    ((link, _),) = [(link, calls) for link, calls in harness.calls.items() if calls]
+    ((link, _),) = [(link, calls) for link, calls in harness.store.calls.items() if calls]
     return name, link
 
 
 def repeated(harness, outcome):
     """A try that ends so, and a repeat of it that came while it ran."""
-    first = harness.submit(harness.open(), 1)
+    first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
-    second = harness.submit(harness.open(), 1, first)
+    second = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
     harness.step(MS)
-    harness.end_run(first, outcome)
+    harness.pool.end_run(first, outcome)
     harness.step(MS)
     return first, second
 
 
 def how(harness, name):
-    return harness.attempts[name].outcome
+    return harness.dispatchers.attempts[name].outcome
--- a/tests/random_core_runs.py
+++ b/tests/random_core_runs.py
@@ -9,46 +9,46 @@
     """Dispatchers connect, submit, retry, revoke and go."""
     connections = [each for each, state in harness.connections.items() if state == "open" and each > 0]
     if rng.random() < 0.1 or not connections:
-        connections.append(harness.open())
-    keyed = [name for name, attempt in harness.attempts.items() if attempt.kind == "keyed"]
+        connections.append(harness.dispatchers.open())
+    keyed = [name for name, attempt in harness.dispatchers.attempts.items() if attempt.kind == "keyed"]
     for _ in range(rng.choice((0, 0, 1, load))):
         retry_of = rng.choice(keyed[-20:]) if keyed and rng.random() < 0.3 else None
-        harness.submit(
+        harness.dispatchers.submit(
             rng.choice(connections[-6:]),
             rng.randrange(harness.settings["methods.count"]),
             retry_of,
             waited=rng.choice((0, 0, 30, 300)) * MS,
         )
-    if harness.unanswered and rng.random() < 0.1:
-        harness.revoke(rng.choice(list(harness.unanswered)))
+    if harness.dispatchers.unanswered and rng.random() < 0.1:
+        harness.dispatchers.revoke(rng.choice(list(harness.dispatchers.unanswered)))
     if rng.random() < 0.01:
-        harness.end_connection(rng.choice(connections), rng.choice(("", "cut off")))
+        harness.dispatchers.end_connection(rng.choice(connections), rng.choice(("", "cut off")))
 
 
 def run_by_chance(harness, rng):
     """Runs end, and await calls."""
-    for name, run in list(harness.active_runs.items()):
-        attempt = harness.attempts[name]
+    for name, run in list(harness.pool.active_runs.items()):
+        attempt = harness.dispatchers.attempts[name]
         chance = rng.random()
         if run.state == "running" and chance < 0.12:
-            harness.end_run(name, rng.choice((Outcome.OK, Outcome.OK, Outcome.ERROR)))
+            harness.pool.end_run(name, rng.choice((Outcome.OK, Outcome.OK, Outcome.ERROR)))
         elif run.state == "running" and chance < 0.2:
-            harness.block_at_call(name)
+            harness.pool.block_at_call(name)
         elif run.state == "blocked" and (attempt.answers or not attempt.response_pending):
-            harness.end_run(name, Outcome.STOPPED)
+            harness.pool.end_run(name, Outcome.STOPPED)
 
 
 def reply_by_chance(harness, rng):
     """The store replies, or breaks a connection."""
     outcomes = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT)
-    for connection, calls in list(harness.calls.items()):
-        for name in [name for name in calls if name in harness.active_runs]:
+    for connection, calls in list(harness.store.calls.items()):
+        for name in [name for name in calls if name in harness.pool.active_runs]:
             is_open = harness.connections[connection] == "open"
-            if is_open and harness.runs[name].state == "blocked" and rng.random() < 0.2:
-                harness.store_reply(connection, name, rng.choice(outcomes))
-        is_store = harness.connections[connection] == "open" and connection != harness.pool_connection
+            if is_open and harness.pool.runs[name].state == "blocked" and rng.random() < 0.2:
+                harness.store.reply(connection, name, rng.choice(outcomes))
+        is_store = harness.connections[connection] == "open" and connection != harness.pool.connection
         if is_store and rng.random() < 0.01:
-            harness.lose_store_connection(connection)
+            harness.store.lose_connection(connection)
 
 
 def one_step(harness, rng, load):
@@ -56,11 +56,11 @@
     run_by_chance(harness, rng)
     reply_by_chance(harness, rng)
     if rng.random() < 0.01:
-        harness.store_accepts = not harness.store_accepts
+        harness.store.accepts = not harness.store.accepts
     if rng.random() < 0.01:
-        harness.lose_pool_connection()
+        harness.pool.lose_connection()
     if rng.random() < 0.02:
-        harness.pool_accepts = not harness.pool_accepts
+        harness.pool.accepts = not harness.pool.accepts
 
 
 def play(harness, rng, restart_at=None):
@@ -73,13 +73,13 @@
             break
         one_step(harness, rng, load)
         if step == restart_at:
-            harness.restart_pool()
+            harness.pool.restart()
         if step == drain_at:
             harness.drain_notice_at = harness.now
             harness.feed(Drain())
     assert harness.ended
-    assert len(harness.attempts) > 50
-    return [attempt.outcome for attempt in harness.attempts.values()]
+    assert len(harness.dispatchers.attempts) > 50
+    return [attempt.outcome for attempt in harness.dispatchers.attempts.values()]
 
 
 def may_be_running_at_the_end(harness):
@@ -88,5 +88,5 @@
     commands = harness.core.pool.commands
     for rpc in running:
         is_open = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
-        assert is_open or rpc.name in harness.active_runs, "counted and over"
+        assert is_open or rpc.name in harness.pool.active_runs, "counted and over"
     return running
--- /dev/null
+++ b/tests/simulated_dispatchers.py
@@ -0,0 +1,153 @@
+"""Dispatchers round one simulated core: they submit attempts, and check how each is answered."""
+
+from dataclasses import dataclass
+
+from finchcart.node.rpc import FinalOutcome
+from finchcart.protocol.connection_events import (
+    ConnectionOpened,
+)
+from finchcart.protocol.messages import (
+    RevokeNotice,
+    SubmitCall,
+)
+from finchcart.thrift import codec as thrift
+from finchcart.thrift.codec import STRING, STRUCT
+
+MS = 1000
+LATE_US = 60 * MS  # an answer may be late by this
+
+
+@dataclass
+class Attempt:
+    """One attempt of an RPC, as its dispatcher knows it."""
+
+    method: int
+    key: str
+    kind: str
+    arrived_at: int
+    connection: int
+    sequence: int
+    body: bytes
+    due: int
+    answers: int = 0
+    has_run: bool = False
+    response_pending: bool = True  # its dispatcher waits for it
+    outcome: str | None = None  # the value of a FinalOutcome
+
+
+class SimulatedDispatchers:
+    """The attempts of all dispatchers. `harness`: has the time, the connections and the other peers."""
+
+    def __init__(self, harness):
+        self.harness = harness
+        self.connection_count = 0
+        self.attempts = {}  # by name
+        self.attempts_by_sequence = {}  # by connection and sequence number
+        self.unanswered = {}  # by name
+        self.last_sequences = {}  # by connection
+
+    def open(self, host="127.0.0.1"):
+        """A new connection of a dispatcher."""
+        self.connection_count += 1
+        self.harness.connections[self.connection_count] = "open"
+        self.harness.feed(ConnectionOpened(self.connection_count, "front", host))
+        return self.connection_count
+
+    def submit(self, connection, method=0, retry_of=None, waited=0, **fields):
+        """An attempt; `retry_of`: the name of an earlier one of the same RPC. Returns its name."""
+        name = f"{self.harness.rng.getrandbits(64):016x}"
+        sequence = self.last_sequences.get(connection, 0) + 1
+        self.last_sequences[connection] = sequence
+        first = self.attempts.get(retry_of)
+        key = first.key if first else name * 2
+        method = first.method if first else method
+        kind = self.harness.settings[f"methods.{method}.kind"]
+        arrived_at = (self.harness.now - waited) // 1000 * 1000
+        said = {
+            "c": f"m{method}",
+            "i": name,
+            "s": str(arrived_at // 1000),
+            "f": "3",
+            "h": "100.00",
+            "m": "20.0",
+            "p": "0.5",
+        }
+        said.update({"r": "1"} if first else {})
+        said.update({"k": key} if kind == "keyed" else {}, **fields)
+        attempt = Attempt(
+            method=method,
+            key=key,
+            kind=kind,
+            arrived_at=arrived_at,
+            connection=connection,
+            sequence=sequence,
+            body=first.body if first else self.harness.rng.randbytes(8),
+            due=max(self.harness.now, arrived_at + self.harness.settings[f"methods.{method}.deadline"]),
+        )
+        self.attempts[name] = attempt
+        self.unanswered[name] = attempt
+        self.attempts_by_sequence[connection, sequence] = attempt
+        self.harness.deliver(connection, SubmitCall(sequence, said, attempt.body))
+        return name
+
+    def revoke(self, name):
+        """The caller of an attempt goes."""
+        attempt = self.attempts[name]
+        attempt.response_pending = False
+        self.harness.deliver(attempt.connection, RevokeNotice(attempt.sequence))
+
+    def end_connection(self, connection, reason=""):
+        """The dispatcher closes, or sends what can't be read; nothing in its inbox is read any more."""
+        unread = {m.sequence for m in self.harness.inboxes.get(connection, ()) if isinstance(m, SubmitCall)}
+        for attempt in self.unanswered.values():
+            if attempt.connection == connection and (not reason or attempt.sequence in unread):
+                attempt.response_pending = False
+        self.harness.lose_connection(connection, reason)
+
+    def on_reply(self, connection, data):
+        _, name, sequence, arguments = read_answer(data)
+        if name == b"submit":
+            if (0, STRUCT) in arguments:
+                self.record_answer(connection, sequence, FinalOutcome.OK, arguments[0, STRUCT][1, STRING])
+            elif (thrift.REJECTED_FIELD, STRUCT) in arguments:
+                self.record_answer(connection, sequence, FinalOutcome.REJECTED, b"")
+            else:
+                self.record_answer(connection, sequence, FinalOutcome.FAILED, b"")
+
+    def record_answer(self, connection, sequence, outcome, body):
+        """A final answer has gone out."""
+        attempt = self.attempts_by_sequence.get((connection, sequence))
+        if attempt is None:
+            return
+        attempt.answers += 1
+        assert attempt.answers == 1, "two answers"
+        assert self.harness.now <= attempt.due + LATE_US or not attempt.response_pending, "late"
+        if outcome is FinalOutcome.OK:
+            assert (attempt.key, body) in self.harness.pool.results, "served what no run made"
+        elif outcome is FinalOutcome.REJECTED:
+            assert not attempt.has_run, "rejected after it ran"
+        attempt.outcome = outcome.value
+
+    def responses_pending(self):
+        return [each for each in self.unanswered.values() if each.response_pending and not each.answers]
+
+    def is_unread(self, attempt):
+        inbox = self.harness.inboxes.get(attempt.connection, ())
+        return any(isinstance(each, SubmitCall) and each.sequence == attempt.sequence for each in inbox)
+
+    def check(self):
+        """Nothing is answered later than it may be."""
+        self.unanswered = {
+            name: attempt
+            for name, attempt in self.unanswered.items()
+            if attempt.response_pending and not attempt.answers
+        }
+        for name, attempt in self.unanswered.items():
+            assert self.harness.now <= attempt.due + 2 * LATE_US, f"lost: {name} {attempt}"
+
+
+def read_answer(data):
+    """Kind, name, sequence number and arguments of an answer to a dispatcher."""
+    reader = thrift.Reader(data[4:])
+    head = reader.number(thrift.I32) & 0xFF
+    return head, reader.value(STRING), reader.number(thrift.I32), reader.value(STRUCT)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -121,11 +121,11 @@
     """The same words stand in the code, in the statistics line and in docs/oncall.md."""
     harness = CoreHarness({**PLAIN, "gauges": ("core_use", "on_cores")})
     harness.write_block_probability = 0
-    connection = harness.open()
+    connection = harness.dispatchers.open()
     for _ in range(100):
         harness.step(10 * MS)
         if harness.core.ready:
-            harness.submit(connection, 0)
+            harness.dispatchers.submit(connection, 0)
     counts = harness.core.effect_buffer.statistics.counts
     names = [name for name in counts if name.startswith("rejections: ")]
     assert "rejections: load shed" in names or "rejections: misses objective" in names
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -67,8 +67,12 @@
 
 def test_unreadable_and_silent_connections_count_against_the_address_and_never_a_number():
     harness = witnessed()
-    harness.submit(harness.open("10.0.0.7"), 1, c="unheard")
-    silent, check, ours = harness.open("10.0.0.7"), harness.open("10.0.0.8"), harness.open("10.0.0.9")
+    harness.dispatchers.submit(harness.dispatchers.open("10.0.0.7"), 1, c="unheard")
+    silent, check, ours = (
+        harness.dispatchers.open("10.0.0.7"),
+        harness.dispatchers.open("10.0.0.8"),
+        harness.dispatchers.open("10.0.0.9"),
+    )
     harness.deliver(check, HeartbeatCall(1))
     harness.feed(MessagesReceived(ours, [], harness.now))
     harness.frontend.closer.announce(harness.frontend.table.connections[ours])
@@ -93,17 +97,17 @@
         },
     )
     tries = [
-        harness.submit(harness.open("10.0.0.7")),
-        harness.submit(harness.open("10.0.0.9"), f="5"),
-        harness.submit(harness.open("10.0.0.9")),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.7")),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.9"), f="5"),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.9")),
     ]
-    link = harness.open("10.0.0.8")
-    tries += [harness.submit(link) for _ in range(8)]
+    link = harness.dispatchers.open("10.0.0.8")
+    tries += [harness.dispatchers.submit(link) for _ in range(8)]
     harness.step(MS)
-    how = [harness.attempts[name].outcome for name in tries]
+    how = [harness.dispatchers.attempts[name].outcome for name in tries]
     assert how[:3] == ["rejected", "rejected", None]
     assert how[3:].count("rejected") == 8 - CONFIG.throttled_rate
-    assert not harness.runs.keys() & {tries[0], tries[1]}, "it never ran"
+    assert not harness.pool.runs.keys() & {tries[0], tries[1]}, "it never ran"
 
 
 @pytest.mark.parametrize("seed", range(10))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -25,7 +25,7 @@
     harness.drain_notice_at = harness.now
     harness.feed(Drain())
     assert harness.reports[-1] == (harness.now, b"HERE n1 off")
-    harness.end_run(name, Outcome.OK)
+    harness.pool.end_run(name, Outcome.OK)
     for _ in range(400):
         if not harness.ended:
             harness.step(10 * MS)
@@ -39,13 +39,13 @@
     for _ in range(400):
         harness.step(10 * MS)
         one_step(harness, rng, 2)
-    harness.pool_accepts = harness.store_accepts = True
+    harness.pool.accepts = harness.store.accepts = True
     for _ in range(3000):
         harness.step(10 * MS)
-        for name in list(harness.active_runs):
-            harness.end_run(name, Outcome.OK)
+        for name in list(harness.pool.active_runs):
+            harness.pool.end_run(name, Outcome.OK)
     core = harness.core
-    assert len(harness.attempts) > 100
+    assert len(harness.dispatchers.attempts) > 100
     for piece, kept in (
         (core.lifecycle, ("rpcs", "index_by_name")),
         (core.idempotency, ("entries", "with_result")),
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -12,12 +12,13 @@
 )
 from finchcart.thrift import codec as thrift
 from tests.core_cases import ends_well, how, plain_harness, running
-from tests.core_harness import MS, read_answer
+from tests.core_harness import MS
+from tests.simulated_dispatchers import read_answer
 
 
 def test_a_dispatcher_that_never_reads_is_read_no_further():
     harness = plain_harness()
-    link = harness.open()
+    link = harness.dispatchers.open()
     harness.feed(WriteBlocked(link))
     for _ in range(3):
         harness.deliver(link, HeartbeatCall(1))
@@ -48,24 +49,24 @@
 )
 def test_a_call_that_can_not_be_read_gets_one_answer_that_says_so_and_never_runs(spoil, words):
     harness, told = plain_harness(), []
-    harness.on_reply = lambda link, data: told.append(read_answer(data))
-    harness.submit(harness.open(), 1, **spoil)
+    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
+    harness.dispatchers.submit(harness.dispatchers.open(), 1, **spoil)
     harness.step(MS)
     harness.step(MS)
     ((kind, _, _, args),) = told
     assert kind == thrift.EXCEPTION
     assert words in args[1, thrift.STRING].decode()
-    assert not harness.runs
+    assert not harness.pool.runs
     assert not harness.core.controller.state.arrivals.ingress_queueing_delay
     assert not harness.core.controller.state.callers.last_seen
 
 
 def test_a_body_over_the_limit_an_unknown_method_and_the_33rd_open_rpc_are_answered():
     harness, told = plain_harness(**{"cores": 40, "memory_kb": 200_000}), []
-    link = harness.open()
+    link = harness.dispatchers.open()
     for _ in range(33):
-        harness.submit(link)
-    harness.on_reply = lambda link, data: told.append(read_answer(data))
+        harness.dispatchers.submit(link)
+    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
     harness.deliver(link, SubmitCall(40, {"c": "m0"}, b"x" * 2049))
     harness.deliver(link, UnservedCall(41, "shout"))
     for _ in range(3):
@@ -75,14 +76,14 @@
 
 def test_a_sequence_number_in_use_closes_the_connection_once_its_answers_are_out():
     harness = plain_harness()
-    link = harness.open()
-    name = harness.submit(link)
+    link = harness.dispatchers.open()
+    name = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.deliver(link, SubmitCall(1, {}, b""))
     harness.step(MS)
     assert link in harness.frontend.table.connections
     assert harness.connections[link] == "open"
-    harness.end_run(name, Outcome.OK)
+    harness.pool.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
     assert how(harness, name) == "ok"
@@ -92,8 +93,8 @@
 def test_one_that_sent_what_can_not_be_read_and_ends_is_answered_still():
     harness = plain_harness()
     name = running(harness)
-    link = harness.attempts[name].connection
-    harness.end_connection(link, "rubbish")
+    link = harness.dispatchers.attempts[name].connection
+    harness.dispatchers.end_connection(link, "rubbish")
     harness.feed(ConnectionEnded(link, None))  # the reader sees the end of what it goes on to read
     ends_well(harness, name)
     assert harness.connections[link] == "closed"
@@ -101,20 +102,23 @@
 
 def test_an_idle_connection_is_told_before_it_is_closed_and_what_crosses_is_answered():
     harness = plain_harness()
-    link, told = harness.open(), []
-    name = harness.submit(link)
+    link, told = harness.dispatchers.open(), []
+    name = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.step(MS)
-    answered = harness.on_reply
-    harness.on_reply = lambda link, data: (told.append(read_answer(data)[1]), answered(link, data))
-    harness.end_run(name, Outcome.OK)
+    answered = harness.dispatchers.on_reply
+    harness.dispatchers.on_reply = lambda link, data: (
+        told.append(read_answer(data)[1]),
+        answered(link, data),
+    )
+    harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
     harness.step(12 * MS)
     assert told == [b"submit", b"closing"]
-    crossed = harness.submit(link)
+    crossed = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.step(MS)
-    harness.end_run(crossed, Outcome.OK)
+    harness.pool.end_run(crossed, Outcome.OK)
     harness.step(MS)
     assert how(harness, crossed) == "ok"
     assert harness.connections[link] == "open"
@@ -125,11 +129,11 @@
 
 def at_its_close(harness):
     """A connection told to close, an instant before it is."""
-    link = harness.open()
-    name = harness.submit(link)
+    link = harness.dispatchers.open()
+    name = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.step(MS)
-    harness.end_run(name, Outcome.OK)
+    harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
     while not harness.frontend.table.connections[link].closing_announced:
         harness.step(MS)
@@ -144,7 +148,7 @@
     harness.reads_requested[link] = (
         0  # its reader has not been asked: the request lies in the system's buffer
     )
-    name = harness.submit(link)
+    name = harness.dispatchers.submit(link)
     harness.step(2 * MS)
     assert harness.connections[link] == "open"
     assert how(harness, name) is None
@@ -162,7 +166,7 @@
     harness.write_block_probability, link = 0, at_its_close(harness)
     harness.reads_requested[link] = 0
     harness.try_close = lambda link: True
-    name = harness.submit(link)
+    name = harness.dispatchers.submit(link)
     harness.step(2 * MS)
     assert harness.connections[link] == "closed"
     assert how(harness, name) is None
@@ -173,13 +177,13 @@
 
 def test_timers_do_not_pile_up_on_a_busy_connection():
     harness = plain_harness()
-    harness.write_block_probability, link, most = 0, harness.open(), 0
+    harness.write_block_probability, link, most = 0, harness.dispatchers.open(), 0
     harness.core.port.set_idle_timeout(8_000 * MS)
     for _ in range(300):
-        name = harness.submit(link)
+        name = harness.dispatchers.submit(link)
         harness.step(20 * MS)
         harness.step(MS)
-        harness.end_run(name, Outcome.OK)
+        harness.pool.end_run(name, Outcome.OK)
         harness.step(MS)
         most = max(most, len(harness.core.effect_buffer.timers))
     assert how(harness, name) == "ok"
@@ -188,18 +192,18 @@
 
 def test_connections_past_the_limit_cost_first_what_asked_once_and_stayed():
     harness = plain_harness(cores=9)
-    links = [harness.open() for _ in range(harness.limits.max_connections)]
-    names = [harness.submit(links[0])]
+    links = [harness.dispatchers.open() for _ in range(harness.limits.max_connections)]
+    names = [harness.dispatchers.submit(links[0])]
     for link in links[2:]:
         harness.deliver(link, HeartbeatCall(1))
     harness.step(MS)
-    names.append(harness.submit(harness.open()))
+    names.append(harness.dispatchers.submit(harness.dispatchers.open()))
     harness.step(MS)
     # what checked once, the longest silent first: no RPC is on its way there
     assert [link for link in links if harness.connections[link] == "closed"] == [links[2]]
     harness.deliver(links[3], HeartbeatCall(2))
     harness.step(MS)
-    names.append(harness.submit(harness.open()))
+    names.append(harness.dispatchers.submit(harness.dispatchers.open()))
     harness.step(MS)
     assert harness.connections[links[4]] == "closed"
     assert harness.connections[links[3]] == harness.connections[links[5]] == "open"
@@ -219,7 +223,7 @@
 
 def test_one_that_checked_once_and_stays_is_closed_and_one_that_goes_on_is_not():
     harness = plain_harness()
-    once, on = harness.open(), harness.open()
+    once, on = harness.dispatchers.open(), harness.dispatchers.open()
     harness.deliver(once, HeartbeatCall(1))
     for n in range(140):
         harness.deliver(on, HeartbeatCall(n + 1)) if n % 10 == 0 else None
@@ -230,7 +234,7 @@
 
 def test_a_fresh_connection_is_not_idle_before_its_first_rpc():
     harness = plain_harness()
-    link = harness.open()
+    link = harness.dispatchers.open()
     for _ in range(20):
         harness.step(10 * MS)
     assert not harness.frontend.table.connections[link].closing_announced
--- a/tests/test_duplicates.py
+++ b/tests/test_duplicates.py
@@ -13,57 +13,66 @@
 def test_a_duplicate_shares_the_result_unchanged_and_never_runs():
     harness = plain_harness()
     first, second = repeated(harness, Outcome.OK)
-    third = harness.submit(harness.open(), 1, first)
+    third = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
     harness.step(MS)
     assert [how(harness, name) for name in (first, second, third)] == ["ok"] * 3
-    assert list(harness.runs) == [first]
+    assert list(harness.pool.runs) == [first]
 
 
 def test_a_duplicate_of_what_failed_fails():
     harness = plain_harness()
     first, second = repeated(harness, Outcome.ERROR)
-    assert (how(harness, first), how(harness, second), list(harness.runs)) == ("failed", "failed", [first])
+    assert (how(harness, first), how(harness, second), list(harness.pool.runs)) == (
+        "failed",
+        "failed",
+        [first],
+    )
 
 
 def test_a_retry_that_arrived_in_the_window_is_known_when_it_is_read_after_it():
     harness = plain_harness()
     first = running(harness, 1)
-    harness.end_run(first, Outcome.OK)
+    harness.pool.end_run(first, Outcome.OK)
     harness.step(MS)
     harness.step(5_100 * MS)
     reached = harness.now
     harness.step(300 * MS)
-    late = harness.submit(harness.open(), 1, first, waited=harness.now - reached)
+    late = harness.dispatchers.submit(harness.dispatchers.open(), 1, first, waited=harness.now - reached)
     harness.step(MS)
     assert how(harness, late) == "ok"
-    assert list(harness.runs) == [first]
+    assert list(harness.pool.runs) == [first]
     harness.step(6_000 * MS)
-    anew = harness.submit(harness.open(), 1, first)
+    anew = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
     harness.step(MS)
     harness.step(MS)
-    assert anew in harness.runs
+    assert anew in harness.pool.runs
 
 
 def test_a_key_with_another_body_shares_nothing_and_what_the_pool_does_not_know_keeps_no_key():
     harness = plain_harness()
-    first = harness.submit(harness.open(), 1)
-    other = harness.open()
+    first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
+    other = harness.dispatchers.open()
     harness.step(MS)
-    harness.attempts["x"] = replace(harness.attempts[first], body=b"other")
-    for link in (other, harness.connection_count):
-        harness.submit(link, 1, "x", r="1")
+    harness.dispatchers.attempts["x"] = replace(harness.dispatchers.attempts[first], body=b"other")
+    for link in (other, harness.dispatchers.connection_count):
+        harness.dispatchers.submit(link, 1, "x", r="1")
     harness.step(MS)
-    harness.end_run(first, Outcome.OK)
+    harness.pool.end_run(first, Outcome.OK)
     harness.step(MS)
-    assert [each.outcome for each in harness.attempts.values() if each.body == b"other"][1:] == ["failed"] * 2
-    odd, done = harness.submit(harness.open(), 1), harness.core.controller.state.slowdown.work_completed
+    assert [each.outcome for each in harness.dispatchers.attempts.values() if each.body == b"other"][1:] == [
+        "failed"
+    ] * 2
+    odd, done = (
+        harness.dispatchers.submit(harness.dispatchers.open(), 1),
+        harness.core.controller.state.slowdown.work_completed,
+    )
     harness.step(0)
     harness.commands.clear()
-    harness.deliver(harness.pool_connection, CommandRejected(True, odd))
+    harness.deliver(harness.pool.connection, CommandRejected(True, odd))
     harness.step(0)
     assert how(harness, odd) == "failed"
     assert harness.core.controller.state.slowdown.work_completed == done
-    true = harness.submit(harness.open(), 1, odd)
+    true = harness.dispatchers.submit(harness.dispatchers.open(), 1, odd)
     harness.step(MS)
     harness.step(MS)
     ends_well(harness, true)
@@ -71,7 +80,7 @@
 
 def test_an_attempt_stamped_ahead_of_the_clock_is_admitted_as_new():
     harness = plain_harness()
-    name = harness.submit(harness.open(), waited=-80 * MS)
+    name = harness.dispatchers.submit(harness.dispatchers.open(), waited=-80 * MS)
     harness.step(MS)
     harness.step(MS)
     ends_well(harness, name)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -96,17 +96,17 @@
         (Limit("a second", 50, 0, counts="rpcs", per="rate", burst=10, dispatcher="3"),), 0, 10
     )
     harness = plain_harness(limiters=meters, retry_after_max=1000 * MS)
-    link = harness.open()
+    link = harness.dispatchers.open()
     harness.feed(AllocationGranted("a second", 0, 10, harness.now + 10**9))
     harness.step(MS)
     harness.step(100 * MS)
-    first = harness.submit(link)
+    first = harness.dispatchers.submit(link)
     harness.step(MS)
-    second = harness.submit(link)
+    second = harness.dispatchers.submit(link)
     harness.step(MS)
-    other = harness.submit(link, f="4")
+    other = harness.dispatchers.submit(link, f="4")
     harness.step(MS)
-    how = [harness.attempts[name].outcome for name in (first, second, other)]
+    how = [harness.dispatchers.attempts[name].outcome for name in (first, second, other)]
     assert how[1] == "rejected", "of that dispatcher alone"
     assert "rejected" not in (how[0], how[2]), "of that dispatcher alone"
     for _ in range(20):
@@ -128,14 +128,14 @@
         "cores": 64,
     }
     harness = plain_harness(limiters=meters, **settings)
-    links = [harness.open() for _ in range(3)]
+    links = [harness.dispatchers.open() for _ in range(3)]
     harness.feed(AllocationGranted("in hand", 0, 40, harness.now + 10**9))
-    names = [harness.submit(links[n % 2]) for n in range(45)]
+    names = [harness.dispatchers.submit(links[n % 2]) for n in range(45)]
     harness.step(MS)
-    names += [harness.submit(links[2], 1) for _ in range(5)]
+    names += [harness.dispatchers.submit(links[2], 1) for _ in range(5)]
     harness.step(MS)
     lesser, more = (
-        [harness.attempts[name].outcome for name in part].count("rejected")
+        [harness.dispatchers.attempts[name].outcome for name in part].count("rejected")
         for part in (names[:45], names[45:])
     )
     assert (lesser, more) == (7, 3), "two of forty are kept free of the lesser ones"
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -14,6 +14,7 @@
 from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
 from tests.random_core_runs import play
+from tests.simulated_dispatchers import SimulatedDispatchers
 
 
 class MemoryFrontend:
@@ -99,15 +100,19 @@
         return not self.links
 
 
-class MemoryFrontendHarness(CoreHarness):
-    def __init__(self, settings, seed=1, **limits):
-        super().__init__(settings, seed, frontend=MemoryFrontend, **limits)
-
+class MemoryFrontendDispatchers(SimulatedDispatchers):
     def on_reply(self, connection, data):
         sequence, outcome, body = data
         self.record_answer(connection, sequence, outcome, body)
 
 
+class MemoryFrontendHarness(CoreHarness):
+    dispatchers_type = MemoryFrontendDispatchers
+
+    def __init__(self, settings, seed=1, **limits):
+        super().__init__(settings, seed, frontend=MemoryFrontend, **limits)
+
+
 @pytest.mark.parametrize("seed", range(8))
 def test_rules_hold_through_a_frontend_of_another_kind(seed):
     rng = random.Random(100 + seed)
@@ -123,12 +128,12 @@
     harness.step(MS)
     harness.step(MS)
     name = running(harness, 1)
-    link = harness.open()
-    first = harness.attempts[name]
+    link = harness.dispatchers.open()
+    first = harness.dispatchers.attempts[name]
     harness.deliver(link, SubmitCall(9, {"i": name, "c": "m0", "s": str(harness.now // 1000)}, b""))
-    harness.attempts["x"] = replace(first, body=b"other")
-    odd = harness.submit(link, 1, "x")
+    harness.dispatchers.attempts["x"] = replace(first, body=b"other")
+    odd = harness.dispatchers.submit(link, 1, "x")
     harness.step(MS)
-    assert harness.attempts[odd].outcome == "failed" and list(harness.runs) == [name]
+    assert harness.dispatchers.attempts[odd].outcome == "failed" and list(harness.pool.runs) == [name]
     assert (link, 9) not in harness.frontend.rpcs  # a name in use was unfit, and kept nothing
     assert harness.core.lifecycle.find_running(name) is harness.core.lifecycle.rpcs[0]
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -11,9 +11,10 @@
 from finchcart.node.fleet_inputs import fleet_input, key_lease_client_input
 from finchcart.node.key_leases import KeyLeaseGate
 from tests.core_cases import GAUGES, plain_harness
-from tests.core_harness import CoreHarness, read_answer
+from tests.core_harness import CoreHarness
 from tests.harness import draw_settings
 from tests.random_core_runs import may_be_running_at_the_end, play
+from tests.simulated_dispatchers import read_answer
 
 
 class SimulatedReplicas:
@@ -100,20 +101,24 @@
 def one_keyed(status, again=False, by=1000, result=b"there"):
     """How a keyed RPC is answered whose lease comes to `status`, whether it ran, and how late it was."""
     harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
-    name = harness.submit(harness.open(), 1, **({"r": "1"} if again else {}))
+    name = harness.dispatchers.submit(harness.dispatchers.open(), 1, **({"r": "1"} if again else {}))
     harness.step(MS)
     (acquire_input,) = harness.key_lease_inputs
     asked = acquire_input.keys[0]
-    assert not harness.runs, "not before its lease"
+    assert not harness.pool.runs, "not before its lease"
     if status is not None:
         harness.feed(fleet_input(LeaseAnswer(asked.key, status, result, harness.now + by * MS)))
     harness.step(MS)
-    ran = name in harness.runs
+    ran = name in harness.pool.runs
     for _ in range(200):
-        if harness.attempts[name].outcome or ran:
+        if harness.dispatchers.attempts[name].outcome or ran:
             break
         harness.step(20 * MS)
-    return harness.attempts[name].outcome, ran, harness.now - harness.attempts[name].due
+    return (
+        harness.dispatchers.attempts[name].outcome,
+        ran,
+        harness.now - harness.dispatchers.attempts[name].due,
+    )
 
 
 def test_the_answer_to_an_attempt_decides_what_the_caller_receives():
@@ -132,10 +137,10 @@
 def test_a_run_elsewhere_gives_its_result():
     harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     told = []
-    harness.on_reply = lambda link, data: told.append(read_answer(data))
-    harness.submit(harness.open(), 1)
+    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
+    harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     key = harness.key_lease_inputs[0].keys[0].key
     harness.feed(fleet_input(LeaseAnswer(key, LeaseStatus.COMPLETED, b"there", 0)))
     assert b"there" in str(told).encode()
-    assert not harness.runs
+    assert not harness.pool.runs
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -41,11 +41,11 @@
         controller = self.core.controller
         if controller is None:
             return
-        on_cores = sum(run.state == "running" for run in self.active_runs.values())
-        assert controller.state.runs.in_progress >= len(self.active_runs), "runs that nobody counts"
+        on_cores = sum(run.state == "running" for run in self.pool.active_runs.values())
+        assert controller.state.runs.in_progress >= len(self.pool.active_runs), "runs that nobody counts"
         assert controller.state.runs.on_cores >= on_cores, "runs on cores that nobody counts"
         if self.rng.random() < self.cut_probability:
-            self.lose_pool_connection()
+            self.pool.lose_connection()
 
 
 def test_every_run_is_counted_through_cuts_of_the_connection():
@@ -58,22 +58,22 @@
 def test_a_start_written_again_as_its_first_run_ends_is_counted_too():
     """The end of the first run crosses the second start: the worker pool runs it again."""
     harness = plain_harness()
-    name = harness.submit(harness.open(), 0)
+    name = harness.dispatchers.submit(harness.dispatchers.open(), 0)
     harness.step(0)
     harness.read_commands()
-    harness.lose_pool_connection()
+    harness.pool.lose_connection()
     for _ in range(40):
         harness.step(MS)
         if any(b"spawn" in data for _, data in harness.commands):
             break
     assert any(b"spawn" in data for _, data in harness.commands), "it is not written again"
-    harness.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
+    harness.pool.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
     for _ in range(3):
         harness.step(MS)
     assert how(harness, name) == "ok"
-    assert harness.runs[name].state == "running"
+    assert harness.pool.runs[name].state == "running"
     assert harness.core.controller.state.runs.on_cores == 1
-    harness.end_run(name, Outcome.OK)
+    harness.pool.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
     assert harness.core.controller.state.runs.on_cores == 0
@@ -82,7 +82,7 @@
 def test_a_bound_that_is_read_late_is_no_restart_of_the_worker_pool():
     harness = plain_harness()
     name = running(harness, 1)
-    harness.lose_pool_connection()
+    harness.pool.lose_connection()
     while not harness.commands:
         harness.now += MS
         harness.feed(TimersDue())
@@ -97,7 +97,7 @@
 def test_a_command_that_was_not_carried_out_says_nothing_of_its_run():
     harness = plain_harness()
     name = running(harness, 1)
-    harness.deliver(harness.pool_connection, CommandRejected(False, name))
+    harness.deliver(harness.pool.connection, CommandRejected(False, name))
     harness.step(MS)
     assert how(harness, name) is None
     assert harness.core.controller.state.runs.in_progress == 1
@@ -110,9 +110,9 @@
     for _ in range(10):
         harness.step(10 * MS)  # its start is known to be read
     assert not harness.core.pool.commands.unconfirmed
-    harness.notices_numbered = 1  # the notice of its end, which is never readable
+    harness.pool.notices_numbered = 1  # the notice of its end, which is never readable
     for _ in range(2):  # the same notice again right after the next bind: it is passed over
-        harness.lose_connection(harness.pool_connection, "a line that is no message")
+        harness.lose_connection(harness.pool.connection, "a line that is no message")
         for _ in range(40):
             harness.step(MS)
             if harness.core.pool.commands.settlement_ticket:
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -74,30 +74,30 @@
     harness.write_block_probability = 0
     harness.step(MS)
     harness.step(MS)
-    link = harness.open()
-    names = [harness.submit(link, 0) for _ in range(6)]
+    link = harness.dispatchers.open()
+    names = [harness.dispatchers.submit(link, 0) for _ in range(6)]
     harness.step(MS)
     for handle in harness.core.controller.handles.values():
         handle.shadow = SimpleNamespace(state=None, run_ended=lambda *_: None, caller_gone=lambda now: 1 / 0)
     for _ in range(400):
         harness.step(10 * MS)
     ended(harness)
-    assert all(harness.attempts[name].answers == 1 for name in names)
+    assert all(harness.dispatchers.attempts[name].answers == 1 for name in names)
 
 
 def crowded(watched, told=PLAIN, waited=0):
     """More than two cores can do, for a while, on a node that is busy itself."""
     harness = CoreHarness({**told, **GAUGES}, shadow=shadow_settings(told, watched, 10**12))
     harness.write_block_probability = 0
-    links = [harness.open() for _ in range(4)]
+    links = [harness.dispatchers.open() for _ in range(4)]
     for step in range(300):
         harness.step(10 * MS)
         harness.feed(LoadMeasured(19, 20))
         if harness.core.ready:
             for n in (0, 0, 1):
-                harness.submit(links[step % 4], n, waited=waited, p="0.9" if n else "0.1")
-            for name in list(harness.active_runs) if step % 20 == 0 else ():
-                harness.end_run(name, Outcome.OK)
+                harness.dispatchers.submit(links[step % 4], n, waited=waited, p="0.9" if n else "0.1")
+            for name in list(harness.pool.active_runs) if step % 20 == 0 else ():
+                harness.pool.end_run(name, Outcome.OK)
     return harness.core.controller.counts
 
 
--- a/tests/test_worker_pool_client.py
+++ b/tests/test_worker_pool_client.py
@@ -9,49 +9,49 @@
 
 def test_commands_lost_with_the_pool_connection_are_written_again_after_the_replay():
     harness = plain_harness()
-    link = harness.open()
-    done = harness.submit(link)
+    link = harness.dispatchers.open()
+    done = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.step(MS)
-    harness.lose_pool_connection()
-    harness.end_run(done, Outcome.OK)  # while no link exists
-    lost = harness.submit(link)
+    harness.pool.lose_connection()
+    harness.pool.end_run(done, Outcome.OK)  # while no link exists
+    lost = harness.dispatchers.submit(link)
     for _ in range(60):
         harness.step(10 * MS)
     assert how(harness, done) == "ok"
-    assert harness.runs[lost].state == "running"
-    harness.end_run(lost, Outcome.OK)
+    assert harness.pool.runs[lost].state == "running"
+    harness.pool.end_run(lost, Outcome.OK)
     harness.step(MS)
     assert how(harness, lost) == "ok"
-    assert len([notice for notice in harness.notices if notice.rpc_name == done]) == 1
+    assert len([notice for notice in harness.pool.notices if notice.rpc_name == done]) == 1
 
 
 def test_an_effect_whose_start_may_have_been_lost_is_answered_and_never_started_twice():
     harness = plain_harness()
-    name = harness.submit(harness.open(), 1)
+    name = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
-    harness.lose_pool_connection()
-    while harness.now < harness.attempts[name].due:
+    harness.pool.lose_connection()
+    while harness.now < harness.dispatchers.attempts[name].due:
         assert harness.core.controller.state.runs.in_progress == 1  # it may be running
         harness.step(10 * MS)
     assert how(harness, name) == "failed"
-    assert name not in harness.runs
+    assert name not in harness.pool.runs
     harness.step(100 * MS)
     assert harness.core.controller.state.runs.in_progress == 0  # for as long as the settings let it
-    again = harness.submit(harness.open(), 1, name)
+    again = harness.dispatchers.submit(harness.dispatchers.open(), 1, name)
     harness.step(MS)
     assert how(harness, again) == "failed"
-    assert not harness.runs
+    assert not harness.pool.runs
 
 
 def test_an_effect_whose_start_was_never_written_is_started_once_the_link_is_back():
     harness = plain_harness()
-    harness.pool_accepts = False
-    harness.lose_pool_connection()
-    name = harness.submit(harness.open(), 1)
+    harness.pool.accepts = False
+    harness.pool.lose_connection()
+    name = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     for _ in range(20):
         harness.step(10 * MS)
-    harness.pool_accepts = True
+    harness.pool.accepts = True
     for _ in range(20):
         harness.step(10 * MS)
     ends_well(harness, name)
@@ -60,13 +60,13 @@
 def test_a_reply_that_may_have_been_lost_leaves_the_call_out_where_that_is_allowed():
     harness = plain_harness(degraded_value=(0.5, 0.0))
     name, link = calling(harness)
-    harness.store_reply(link, name, Outcome.OK)
+    harness.store.reply(link, name, Outcome.OK)
     harness.step(0)
-    assert harness.runs[name].state == "blocked"  # the reply is on its way
-    harness.lose_pool_connection()
+    assert harness.pool.runs[name].state == "blocked"  # the reply is on its way
+    harness.pool.lose_connection()
     for _ in range(20):
         harness.step(10 * MS)
-    assert harness.runs[name].state == "running"
+    assert harness.pool.runs[name].state == "running"
     ends_well(harness, name)
 
 
@@ -78,30 +78,30 @@
 def test_connections_follow_a_new_configuration_and_nothing_is_lost_on_the_way():
     harness = plain_harness()
     held, (called, link) = running(harness, 1), calling(harness)
-    name, old = harness.submit(harness.open(), 1), harness.pool_connection
+    name, old = harness.dispatchers.submit(harness.dispatchers.open(), 1), harness.pool.connection
     harness.step(0)
-    assert name not in harness.runs  # its start is on the old link
+    assert name not in harness.pool.runs  # its start is on the old link
     move(harness)
-    during = harness.submit(harness.open(), 1)
+    during = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     for _ in range(8):
         harness.step(MS)
     assert harness.connections[old] == "closed"
-    assert harness.connections[harness.pool_connection] == "open"
+    assert harness.connections[harness.pool.connection] == "open"
     assert harness.reports[-1][0] == harness.now - 8 * MS
-    harness.store_reply(link, called, Outcome.OK)  # at the old place
+    harness.store.reply(link, called, Outcome.OK)  # at the old place
     harness.step(MS)
     harness.step(MS)
-    assert harness.runs[called].state == "running"
+    assert harness.pool.runs[called].state == "running"
     for each in (held, called, name, during):
         ends_well(harness, each)
 
 
 def test_a_restarted_pool_has_lost_its_runs_and_none_is_run_again():
     harness = plain_harness()
-    names = [harness.submit(harness.open(), n) for n in (0, 1)]
+    names = [harness.dispatchers.submit(harness.dispatchers.open(), n) for n in (0, 1)]
     harness.step(MS)
     harness.step(2_000 * MS)
-    harness.restart_pool()
+    harness.pool.restart()
     for _ in range(30):
         harness.step(10 * MS)
     assert [how(harness, name) for name in names] == ["failed"] * 2
@@ -112,9 +112,9 @@
 def test_a_bind_to_the_same_pool_is_no_restart_though_its_age_is_rounded():
     harness = plain_harness()
     name = running(harness)
-    harness.lose_pool_connection()
-    harness.pool_started_at += 900  # told in whole milliseconds
+    harness.pool.lose_connection()
+    harness.pool.started_at += 900  # told in whole milliseconds
     for _ in range(30):
         harness.step(10 * MS)
     assert how(harness, name) is None
-    assert harness.runs[name].state == "running"
+    assert harness.pool.runs[name].state == "running"
