--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -133,7 +133,7 @@
         A thread that took no turn for long was held up, and the readers with it: the process was paused.
         """
         reading = read_clocks()
-        if reading.boot - self._last_turn_at > self._limits.turn_gap:
+        if reading.boot - self._last_turn_at > self._limits.turn_gap_us:
             self._awake_since = reading.boot
         self._last_turn_at = reading.boot
         offset = reading.unix - reading.boot
@@ -145,11 +145,11 @@
         """Tell the core from time to time how busy this thread is, and pause between turns where it is."""
         now = boot_clock()
         span = now - self._load_measured_at
-        if span < self._limits.load_interval:
+        if span < self._limits.load_interval_us:
             return
         self._waiting.append(LoadMeasured(span - self._idle, span))
         is_busy = self._idle < (1 - self._limits.busy_threshold) * span
-        self._pause_s = self._limits.busy_pause / MICROSECONDS_PER_SECOND if is_busy else 0.0
+        self._pause_s = self._limits.busy_pause_us / MICROSECONDS_PER_SECOND if is_busy else 0.0
         self._load_measured_at = now
         self._idle = 0
 
@@ -179,7 +179,7 @@
         if fault is not None:
             self._waiting.appendleft(ConnectionEnded(received.connection, fault))
         not_before = received.empty_at
-        gap = self._limits.turn_gap
+        gap = self._limits.turn_gap_us
         if received.was_waiting and received.received_at - self._awake_since > gap:
             not_before = max(not_before, received.received_at - gap)  # no pause held the bytes back
         return MessagesReceived(received.connection, messages, received.received_at, not_before)
@@ -208,6 +208,6 @@
         self._idle += after - before
         if (
             timeout_s is not None
-            and after - before < timeout_s * MICROSECONDS_PER_SECOND + self._limits.turn_gap
+            and after - before < timeout_s * MICROSECONDS_PER_SECOND + self._limits.turn_gap_us
         ):
             self._last_turn_at = after  # it waited as long as it meant to
--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -93,7 +93,7 @@
     """The earliest kill: the node counts on `stop_ms`."""
     from finchcart import limits
 
-    limits.KILL_DELAY = 1000 * limits.SECOND
+    limits.KILL_DELAY_US = 1000 * limits.SECOND
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/finchcart/net/buffers.py
+++ b/finchcart/net/buffers.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, limits: Limits) -> None:
-        self.size = limits.buffer_size
+        self.size = limits.buffer_bytes
         self.max_spare = limits.spare_buffers
         self.spare: deque[bytearray] = deque(maxlen=self.max_spare)
         self.in_use: set[int] = set()  # by id
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -230,7 +230,7 @@
     def _connect(self) -> socket.socket:
         if self._address is None:
             raise OSError(errno.EDESTADDRREQ, "neither a socket nor an address was given")
-        timeout_s = self._limits.connect_timeout / MICROSECONDS_PER_SECOND
+        timeout_s = self._limits.connect_timeout_us / MICROSECONDS_PER_SECOND
         sock = self.sock = socket.create_connection(self._address, timeout_s)
         sock.settimeout(None)
         if self._is_dropped:
@@ -246,7 +246,7 @@
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(self._limits.send_timeout))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(self._limits.send_timeout_us))
         self.is_open = True
 
     def _half_close_if_closing(self, sock: socket.socket) -> None:
@@ -277,10 +277,10 @@
         Closing over unread bytes would reset the connection, and with it answers on their way. While answers
         are still being written, which ends by itself, silence is no reason to stop.
         """
-        remaining = self._limits.discard_size
+        remaining = self._limits.discard_bytes
         with self._buffers.borrow() as buffer:
             try:
-                linger = timeval(self._limits.linger_timeout)
+                linger = timeval(self._limits.linger_timeout_us)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, linger)
                 while remaining > 0:
                     is_writing = self._writes.thread
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -76,7 +76,7 @@
     def _pause(self, failures: int) -> None:
         """Longer with each failure in a row: a shortage of a moment holds nobody up for long."""
         pause_us = FIRST_PAUSE_US << min(failures - 1, MOST_DOUBLINGS)
-        sleep(min(pause_us, self._limits.accept_retry_delay) / MICROSECONDS_PER_SECOND)
+        sleep(min(pause_us, self._limits.accept_retry_delay_us) / MICROSECONDS_PER_SECOND)
 
     def _accept_one(self) -> None:
         sock, address = self.sock.accept()
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -79,14 +79,14 @@
         make_key_leases: "Callable[[EffectBuffer], KeyLeaseGate] | None" = None,
     ) -> None:
         settings = supported_settings(settings)
-        self.effect_buffer = EffectBuffer(limits.log_interval)
-        self.methods: Mapping[str, MethodInfo] = read_methods(settings, limits.late_read_grace)
+        self.effect_buffer = EffectBuffer(limits.log_interval_us)
+        self.methods: Mapping[str, MethodInfo] = read_methods(settings, limits.late_read_grace_us)
         self.limiters = limiters
         self.key_leases = make_key_leases(self.effect_buffer) if make_key_leases else None
         self.fleet = FleetView(self.effect_buffer, self.methods, limiters, observer)
         self.registration = Registration(self.effect_buffer, limits, name, addresses.registry)
         self._load = InputLoad()
-        self._arrivals = ArrivalClock(self.effect_buffer, limits.max_clock_lead)
+        self._arrivals = ArrivalClock(self.effect_buffer, limits.max_clock_lead_us)
         self._make_rpc_parts(limits)
         self._make_shutdown(limits, settings.drain_grace_us)
         self._controllers = self._make_controller_host(settings, seed, shadow)
@@ -101,7 +101,7 @@
 
     def _make_rpc_parts(self, limits: Limits) -> None:
         late_read_us = max((method.late_read_us for method in self.methods.values()), default=0)
-        self.idempotency = IdempotencyCache(self.effect_buffer, late_read_us, limits.cached_results)
+        self.idempotency = IdempotencyCache(self.effect_buffer, late_read_us, limits.cached_results_bytes)
         self.lifecycle = RpcLifecycle(
             self.effect_buffer, self.methods, self.idempotency, self.fleet, self.key_leases
         )
@@ -110,7 +110,7 @@
         )
 
     def _make_shutdown(self, limits: Limits, drain_grace_us: int) -> None:
-        self._statistics_log = StatisticsLog(self.effect_buffer, self.lifecycle, limits.log_interval)
+        self._statistics_log = StatisticsLog(self.effect_buffer, self.lifecycle, limits.log_interval_us)
         self._drain = NodeDrain(
             self.effect_buffer, limits, self.lifecycle, self._statistics_log, self.key_leases
         )
--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -39,7 +39,7 @@
         key_leases: "KeyLeaseGate | None",
     ) -> None:
         self.effect_buffer = effect_buffer
-        self._check_interval_us = limits.unready_check_interval
+        self._check_interval_us = limits.unready_check_interval_us
         self._lifecycle = lifecycle
         self._statistics_log = statistics_log
         self._key_leases = key_leases
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -18,7 +18,7 @@
         self.effect_buffer = effect_buffer
         self.address = address
         self.healthy = True
-        self._interval_us = limits.registration_interval
+        self._interval_us = limits.registration_interval_us
         self._name = name
         self._reports_sent = 0
 
--- a/finchcart/node/shutdown.py
+++ b/finchcart/node/shutdown.py
@@ -30,7 +30,7 @@
 
     notice_at: int
     grace_ends_at: int
-    kill_at: int  # by `limits.kill_margin` earlier than the kill can come
+    kill_at: int  # by `limits.kill_margin_us` earlier than the kill can come
 
 
 class ShutdownHost(Protocol):
@@ -75,11 +75,11 @@
         self.phase = NodePhase.DRAINING
         limits = self._limits
         grace_ends_at = notice_at + self._drain_grace_us
-        kill_at = notice_at + limits.stop_timeout - limits.kill_margin
+        kill_at = notice_at + limits.stop_timeout_us - limits.kill_margin_us
         self.times = DrainTimes(notice_at, grace_ends_at, kill_at)
         schedule = self.effect_buffer.schedule
-        schedule(min(grace_ends_at, kill_at - limits.leave_period), self._host.announce_close)
-        schedule(kill_at - limits.finish_period, self._finish)
+        schedule(min(grace_ends_at, kill_at - limits.leave_period_us), self._host.announce_close)
+        schedule(kill_at - limits.finish_period_us, self._finish)
         schedule(kill_at, self._end_unless_busy, kill_at)
         return self.times
 
@@ -93,13 +93,13 @@
             self._idle_since = None
         elif self._idle_since is None:
             self._idle_since = now
-        elif now - self._idle_since >= limits.quiet_period:
+        elif now - self._idle_since >= limits.quiet_period_us:
             # Guards against an RPC on a connection that is being accepted: first no new ones, then the end.
             if self.phase is NodePhase.DRAINING:
                 self._stop_listening()
             else:
                 self._end()
-            self._idle_since = now - limits.quiet_period + limits.final_check_delay
+            self._idle_since = now - limits.quiet_period_us + limits.final_check_delay_us
 
     def _finish(self) -> None:
         """Accept nobody any more, and close what is open as soon as it can be."""
@@ -117,9 +117,9 @@
         A node that is short of processor time reads late, and what it reads now is answered at once.
         """
         limits = self._limits
-        last_moment = kill_at + limits.kill_margin - limits.exit_time
+        last_moment = kill_at + limits.kill_margin_us - limits.exit_time_us
         if self._host.is_busy() and self.effect_buffer.now < last_moment:
-            self.effect_buffer.schedule_after(limits.finish_retry_interval, self._end_unless_busy, kill_at)
+            self.effect_buffer.schedule_after(limits.finish_retry_interval_us, self._end_unless_busy, kill_at)
         else:
             self._end()
 
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -185,7 +185,7 @@
         self.connections[connection.number] = connection
         effect_buffer.emit(Read(connection.number))
         effect_buffer.schedule(
-            effect_buffer.now + self.limits.store_idle_timeout, self._close_if_idle, connection
+            effect_buffer.now + self.limits.store_idle_timeout_us, self._close_if_idle, connection
         )
         return connection
 
@@ -229,7 +229,7 @@
         if connection.number not in self.connections:
             return
         since = self.effect_buffer.now if connection.rpc else connection.idle_since
-        due = since + self.limits.store_idle_timeout
+        due = since + self.limits.store_idle_timeout_us
         if self.effect_buffer.now >= due:
             self._close(connection)
         else:
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -50,7 +50,7 @@
         self.polls = GaugePolls(effect_buffer, limits, gauge_names, self.connection, listener)
         self.commands = CommandJournal(effect_buffer, self.connection, self.polls, runs)
         self.notices = NoticeHandler(effect_buffer, self.cursor, self.commands, runs)
-        self._restarts = RestartDetector(limits.pool_start_tolerance)
+        self._restarts = RestartDetector(limits.pool_start_tolerance_us)
         self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
             RunEnded: self.notices.run_ended,
             RunAwaitingCall: self.notices.awaiting_call,
--- a/finchcart/node/worker_pool/gauge_polls.py
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -28,7 +28,7 @@
         self.effect_buffer = effect_buffer
         self.last_ticket = 0
         self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
-        self._timeout_us = limits.gauges_timeout
+        self._timeout_us = limits.gauges_timeout_us
         self._gauge_names = gauge_names
         self._connection = connection
         self._listener = listener
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -76,7 +76,7 @@
         return EXIT_NOT_STARTED
     if fleet:
         listeners.append(fleet.on_signal)
-    _configure_threads(inputs, config.limits.thread_stack)
+    _configure_threads(inputs, config.limits.thread_stack_bytes)
     core = _make_core(config, fleet)
     connections = ConnectionTable(
         inputs, Buffers(config.limits), config.limits, listener, FRONTEND, codec.THRIFT_CODEC
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -64,25 +64,27 @@
             return
         now = self.effect_buffer.now
         checked_once = connection.calls < 2 and self.table.is_crowded
-        timeout_us = self.limits.silent_timeout if checked_once else self.limits.health_check_idle_timeout
+        timeout_us = (
+            self.limits.silent_timeout_us if checked_once else self.limits.health_check_idle_timeout_us
+        )
         due = connection.last_message_at + timeout_us
         if now < due:
-            when = min(due, now + self.limits.silent_timeout)
+            when = min(due, now + self.limits.silent_timeout_us)
             self.effect_buffer.schedule(when, self.check_health_checker, connection)
         elif not connection.open_rpcs:
-            self.announce(connection, self.limits.unused_close_delay)
+            self.announce(connection, self.limits.unused_close_delay_us)
 
     def watch_unused(self, connection: Connection) -> None:
         """Closes a new connection that carries no message in time."""
         self.effect_buffer.schedule(
-            self.effect_buffer.now + self.limits.unused_timeout, self._close_unused, connection
+            self.effect_buffer.now + self.limits.unused_timeout_us, self._close_unused, connection
         )
 
     def _close_unused(self, connection: Connection) -> None:
         """Guards against those that stay silent, or never end what they send."""
         if not connection.calls and not connection.closing_announced:
             self.host.record_invalid_traffic(connection.number)
-            self.announce(connection, self.limits.unused_close_delay)
+            self.announce(connection, self.limits.unused_close_delay_us)
 
     # ---- The end of the node
 
@@ -115,7 +117,7 @@
             return
         connection.closing_announced = True
         self.table.send(connection, codec.closing_notice())
-        patience_us = self._patience(patience_us or self.limits.close_delay)
+        patience_us = self._patience(patience_us or self.limits.close_delay_us)
         self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
 
     def _defer_close(self, connection: Connection) -> None:
@@ -133,7 +135,7 @@
         if connection is None:
             return
         if connection.open_rpcs:
-            patience_us = self._patience(self.limits.close_delay)
+            patience_us = self._patience(self.limits.close_delay_us)
             self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
         else:
             self.effect_buffer.emit(CloseIfIdle(number))
@@ -145,9 +147,9 @@
             return
         connection.close_attempts += 1
         limits = self.limits
-        interval_us = limits.finish_retry_interval if self.is_finishing else limits.close_retry_interval
+        interval_us = limits.finish_retry_interval_us if self.is_finishing else limits.close_retry_interval_us
         tried_for_us = connection.close_attempts * interval_us
-        holds_back = tried_for_us > limits.partial_message_timeout and not connection.write_blocked
+        holds_back = tried_for_us > limits.partial_message_timeout_us and not connection.write_blocked
         if closed or holds_back:
             self.table.end(connection)  # guards against one that never sends the rest of what it began
         else:
@@ -158,6 +160,6 @@
         if self.kill_at is None:
             return patience_us
         if self.is_finishing:
-            return self.limits.finish_retry_interval
+            return self.limits.finish_retry_interval_us
         until_kill_us = self.kill_at - self.effect_buffer.now
-        return min(patience_us, max(self.limits.unused_close_delay, until_kill_us // KILL_TIME_PART))
+        return min(patience_us, max(self.limits.unused_close_delay_us, until_kill_us // KILL_TIME_PART))
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -45,7 +45,7 @@
         carried no call: nothing of it ran. One that may be about to speak is let be; where none else is left,
         those that come wait outside.
         """
-        since = self.effect_buffer.now - self.limits.crossing_window
+        since = self.effect_buffer.now - self.limits.crossing_window_us
         unused = (
             connection
             for connection in self.table.connections.values()
@@ -67,7 +67,7 @@
         """
         at_limit = len(self.table.connections) >= self.table.max_connections
         since = self.effect_buffer.now - (
-            self.limits.crossing_window if at_limit else self.limits.silent_timeout
+            self.limits.crossing_window_us if at_limit else self.limits.silent_timeout_us
         )
         most_calls = None if self.table.is_nearly_full else 1
         least = min(
@@ -81,7 +81,7 @@
         )
         if least is None:
             return False
-        self.closer.announce(least, self.limits.unused_close_delay)
+        self.closer.announce(least, self.limits.unused_close_delay_us)
         return True
 
     def _check_nearly_full(self) -> None:
@@ -98,7 +98,7 @@
         while staying > table.max_connections * 3 // 4 and self._close_least_used():
             staying -= 1
         self.effect_buffer.schedule(
-            self.effect_buffer.now + self.limits.crossing_window, self._check_nearly_full
+            self.effect_buffer.now + self.limits.crossing_window_us, self._check_nearly_full
         )
 
 
--- a/finchcart/thrift/connection_table.py
+++ b/finchcart/thrift/connection_table.py
@@ -134,7 +134,7 @@
         """Nothing more is read or sent; a peer that does not close in its turn is not waited for long."""
         connection.ended = True
         self.effect_buffer.emit(effect(connection.number))
-        linger = self.limits.crossing_window if self.is_nearly_full else self.limits.linger_timeout
+        linger = self.limits.crossing_window_us if self.is_nearly_full else self.limits.linger_timeout_us
         self.effect_buffer.schedule(self.effect_buffer.now + linger, self._drop_ended, connection)
 
     def _drop_ended(self, connection: Connection) -> None:
@@ -144,7 +144,7 @@
         """
         if connection.write_blocked and connection.number in self.connections:
             self.effect_buffer.schedule(
-                self.effect_buffer.now + self.limits.linger_timeout, self._drop_ended, connection
+                self.effect_buffer.now + self.limits.linger_timeout_us, self._drop_ended, connection
             )
         else:
             self.effect_buffer.emit(Drop(connection.number))
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -82,8 +82,8 @@
     """
     if fields is None or body is None:
         raise InvalidRpcError("the call carries no fields or no body")
-    if len(body) > limits.body_size:
-        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_size} at most")
+    if len(body) > limits.body_bytes:
+        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_bytes} at most")
     method = fields.get("c")
     if method not in methods:
         raise InvalidRpcError(f"field c={_quoted(method)}: no such method")
@@ -95,7 +95,7 @@
     if not (caller.isdigit() and len(caller) <= MAX_CALLER_LENGTH):
         raise InvalidRpcError(f"field f={_quoted(caller)}: expected the number of a dispatcher")
     shed_rank = number(fields, "p", 0, 1, NO_SHED_RANK)
-    service_time_hint_ms = number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
+    service_time_hint_ms = number(fields, "h", 0, limits.max_expected_run_us / US_PER_MS, 0)
     attributes = RpcAttributes(
         arrival.earliest,
         caller,
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -89,7 +89,7 @@
         self.settings = settings
         self.now = NOW
         self.rng = random.Random(seed)
-        self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
+        self.limits = Limits(memory_bytes=192 * 2**20, descriptors=200, stop_timeout_us=3_000 * MS, **limits)
         self.addresses = NodeAddresses(("pool", 1), ("store", 1), ("registry", 1))
         self.core = Core(
             typed(settings),
@@ -286,7 +286,7 @@
 
     def on_stop_listening(self):
         times = self.core.shutdown.times
-        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period
+        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period_us
         assert is_last_moment or not self.responses_pending()
 
     def responses_pending(self):
@@ -515,7 +515,7 @@
             assert self.now <= attempt.due + 2 * LATE_US, f"lost: {name} {attempt}"
         cache = self.core.idempotency
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result)
-        assert cache.result_bytes <= self.limits.cached_results
+        assert cache.result_bytes <= self.limits.cached_results_bytes
         assert not self.reports or self.now - self.reports[-1][0] < 2_000 * MS or self.ended
 
 
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -228,7 +228,7 @@
 
 # ---- What the fields of an RPC say
 
-LIMITS = Limits(memory=192 * 2**20, descriptors=1024, stop_timeout=3_000_000)
+LIMITS = Limits(memory_bytes=192 * 2**20, descriptors=1024, stop_timeout_us=3_000_000)
 NOW = 1_700_000_000_000_000
 METHODS = {
     name: MethodInfo(not is_keyed, is_keyed, 0.0, 0, late_read_us=5_000_000, has_priority=False)
@@ -248,7 +248,7 @@
     """Stamps of a wall clock that never stepped, read at `NOW`."""
 
     def read_arrival(self, stamp, late_read_us):
-        return WallClockHistory().arrival(stamp, 0, NOW, NOW - late_read_us, LIMITS.max_clock_lead)
+        return WallClockHistory().arrival(stamp, 0, NOW, NOW - late_read_us, LIMITS.max_clock_lead_us)
 
     def unix_now(self):
         return NOW
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -27,8 +27,8 @@
 )
 from finchcart.thrift import codec as thrift
 
-LIMITS = Limits(memory=192 * 2**20, descriptors=1024, stop_timeout=3_000_000)
-LONGEST = LIMITS.buffer_size
+LIMITS = Limits(memory_bytes=192 * 2**20, descriptors=1024, stop_timeout_us=3_000_000)
+LONGEST = LIMITS.buffer_bytes
 
 
 def take(codec, data, at, longest):
@@ -371,7 +371,7 @@
             buffers.release(taken.pop(rng.randrange(len(taken))))
         else:
             taken.append(buffers.acquire())
-            assert len(taken[-1]) == LIMITS.buffer_size
+            assert len(taken[-1]) == LIMITS.buffer_bytes
         assert len(buffers.in_use) == len(taken) == len({id(buffer) for buffer in taken})
         assert len(buffers.spare) <= LIMITS.spare_buffers
     last = taken.pop()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -25,8 +25,8 @@
 from tests.harness import same_input
 from tests.node_testbed import wait_until
 
-LIMITS = Limits(memory=1 << 28, descriptors=64, stop_timeout=1_000_000, linger_timeout=20_000)
-SMALL_LIMITS = Limits(memory=1, descriptors=1, stop_timeout=1)
+LIMITS = Limits(memory_bytes=1 << 28, descriptors=64, stop_timeout_us=1_000_000, linger_timeout_us=20_000)
+SMALL_LIMITS = Limits(memory_bytes=1, descriptors=1, stop_timeout_us=1)
 HEALTH_CHECK = codec.encode_message(CALL, b"heartbeat", 1, FIELD.pack(BOOL, 1) + b"\1\0")
 
 
@@ -186,7 +186,7 @@
 
 def test_buffers_all_come_back_after_cut_whole_and_hostile_bytes():
     rng = random.Random(9)
-    limits = replace(SMALL_LIMITS, linger_timeout=50_000)
+    limits = replace(SMALL_LIMITS, linger_timeout_us=50_000)
     buffers = Buffers(limits)
     inputs = SimpleQueue()
     for number in range(60):
@@ -239,7 +239,7 @@
 
 
 def test_no_more_are_accepted_than_descriptors_allow_and_the_rest_when_one_closes():
-    limits = Limits(memory=1 << 28, descriptors=20, stop_timeout=1)
+    limits = Limits(memory_bytes=1 << 28, descriptors=20, stop_timeout_us=1)
     listener, opened, address = make_listener(limits)
     thread = threading.Thread(target=listener.accept, daemon=True)
     thread.start()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,9 @@
 @pytest.mark.parametrize("seed", [*range(20), 2008])  # 2008: an idempotent run starts again as it ends
 def test_rules_hold_in_random_runs(seed):
     rng = random.Random(seed)
-    harness = CoreHarness({**draw_settings(rng), **GAUGES}, seed, cached_results=rng.choice((60, 10_000)))
+    harness = CoreHarness(
+        {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
+    )
     assert "ok" in play(harness, rng, rng.choice((None, 320)))
 
 
@@ -31,7 +33,7 @@
             harness.step(10 * MS)
     assert how(harness, name) == "ok"
     assert harness.ended
-    assert harness.now < harness.drain_notice_at + harness.limits.stop_timeout + 100 * MS
+    assert harness.now < harness.drain_notice_at + harness.limits.stop_timeout_us + 100 * MS
 
 
 def test_nothing_is_kept_once_all_windows_are_over():
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -133,7 +133,7 @@
     harness.step(MS)
     while not harness.frontend.table.connections[link].closing_announced:
         harness.step(MS)
-    harness.step(harness.limits.close_delay - MS)
+    harness.step(harness.limits.close_delay_us - MS)
     assert harness.connections[link] == "open"
     return link
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -112,7 +112,7 @@
 def test_rules_hold_through_a_frontend_of_another_kind(seed):
     rng = random.Random(100 + seed)
     harness = MemoryFrontendHarness(
-        {**draw_settings(rng), **GAUGES}, seed, cached_results=rng.choice((60, 10_000))
+        {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
     assert "ok" in play(harness, rng) and not harness.frontend.rpcs
     assert ("health", False) in harness.frontend.said and harness.frontend.said[-1][0] != "health"
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -34,7 +34,7 @@
 from tests.harness import same_input
 
 MS = 1000
-LIMITS = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS)
+LIMITS = Limits(memory_bytes=192 * 2**20, descriptors=200, stop_timeout_us=3_000 * MS)
 
 
 def rpc_of(index, body=b"body"):
--- a/tests/test_quota_limiters.py
+++ b/tests/test_quota_limiters.py
@@ -122,7 +122,7 @@
     def send(self, *what):
         os.kill(os.getpid(), signal.SIGSTOP)  # after the last look at the clock, before the write
         return self.sock.send(*what)
-limits = Limits(memory=10**8, descriptors=100, stop_timeout=10**6)
+limits = Limits(memory_bytes=10**8, descriptors=100, stop_timeout_us=10**6)
 place = "127.0.0.1", int(sys.argv[1])
 link = Connection(-1, CODECS["store"], SimpleQueue(), Buffers(limits), limits, address=place)
 while not link.is_open:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -114,7 +114,7 @@
 
 
 def accepted_at_the_end(failing):
-    limits = Limits(memory=64 << 20, descriptors=200, stop_timeout=3_000_000)
+    limits = Limits(memory_bytes=64 << 20, descriptors=200, stop_timeout_us=3_000_000)
     listener = Listener(("127.0.0.1", 0), limits)
     address = listener.sock.getsockname()
     peers = [socket.create_connection(address) for _ in range(PEERS)]
@@ -127,7 +127,9 @@
 
 
 def test_a_connection_whose_reader_can_not_be_started_waits_for_a_thread():
-    limits = Limits(memory=64 << 20, descriptors=200, stop_timeout=3_000_000, accept_retry_delay=1_000)
+    limits = Limits(
+        memory_bytes=64 << 20, descriptors=200, stop_timeout_us=3_000_000, accept_retry_delay_us=1_000
+    )
     listener = Listener(("127.0.0.1", 0), limits)
     refusals = [OSError(errno.EAGAIN, "no thread")] * 3
     taken = SimpleQueue()
