--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -203,7 +203,7 @@
         raise ConfigError(f"{path}: {value!r:.{MAX_QUOTED}}: expected {text}")
 
 
-def whole(text: str) -> int:
+def whole_number(text: str) -> int:
     """Return the whole number of a text. Raise ValueError for any other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
@@ -282,7 +282,7 @@
         return tuple(_value(part) for part in text.split(","))
     if text in ("true", "false"):
         return text == "true"
-    for read in (whole, float):
+    for read in (whole_number, float):
         try:
             return read(text)
         except ValueError:
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -11,7 +11,7 @@
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.settings import whole
+from finchcart.settings import whole_number
 from finchcart.simulator.events import (
     BatchEnded,
     BatchStarted,
@@ -96,7 +96,7 @@
     return OUTCOMES[int(text)]
 
 
-WHOLE_NUMBER = FieldType(whole, "a whole number")
+WHOLE_NUMBER = FieldType(whole_number, "a whole number")
 NUMBER = FieldType(float, "a number")
 TEXT = FieldType(str, "text")
 FLAG = FieldType(FLAGS.__getitem__, "1 or 0")
