--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -75,9 +75,9 @@
             failures = 0
 
     def _pause(self, failures: int) -> None:
-        """Back off: the pause doubles with each consecutive failure, up to `limits.accept_retry_delay`."""
+        """Back off: the pause doubles with each consecutive failure, up to `limits.accept_retry_delay_us`."""
         pause_us = FIRST_PAUSE_US << min(failures - 1, MAX_DOUBLINGS)
-        sleep(min(pause_us, self._limits.accept_retry_delay) / MICROSECONDS_PER_SECOND)
+        sleep(min(pause_us, self._limits.accept_retry_delay_us) / MICROSECONDS_PER_SECOND)
 
     def _accept_one(self) -> None:
         sock, address = self.sock.accept()
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -134,7 +134,7 @@
         """End a connection: nothing more is read or sent, and a peer that does not close is dropped."""
         connection.ended = True
         self.effect_buffer.emit(effect(connection.number))
-        linger = self.limits.crossing_window if self.is_nearly_full else self.limits.linger_timeout
+        linger = self.limits.crossing_window_us if self.is_nearly_full else self.limits.linger_timeout_us
         self.effect_buffer.schedule(self.effect_buffer.now + linger, self._drop_ended, connection)
 
     def _drop_ended(self, connection: DispatcherConnection) -> None:
@@ -145,7 +145,7 @@
         """
         if connection.write_blocked and connection.number in self.connections:
             self.effect_buffer.schedule(
-                self.effect_buffer.now + self.limits.linger_timeout, self._drop_ended, connection
+                self.effect_buffer.now + self.limits.linger_timeout_us, self._drop_ended, connection
             )
         else:
             self.effect_buffer.emit(Drop(connection.number))
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -83,8 +83,8 @@
     """
     if fields is None or body is None:
         raise InvalidRpcError("the call carries no fields or no body")
-    if len(body) > limits.body_size:
-        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_size} at most")
+    if len(body) > limits.body_bytes:
+        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_bytes} at most")
     method = fields.get("c")
     if method is None or method not in methods:
         raise InvalidRpcError(f"field c={_quoted(method)}: no such method")
@@ -94,7 +94,7 @@
     arrival = _read_arrival(fields, arrivals, info.late_read_us)
     caller = _read_caller(fields)
     shed_rank = read_number(fields, "p", 0, 1, NO_SHED_RANK)
-    service_time_hint_ms = read_number(fields, "h", 0, limits.max_expected_run / US_PER_MS, 0)
+    service_time_hint_ms = read_number(fields, "h", 0, limits.max_expected_run_us / US_PER_MS, 0)
     attributes = RpcAttributes(
         arrival.earliest,
         caller,
