--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -68,10 +68,10 @@
         self._reduce = fleet.reducer(core) if fleet else core.reduce
         self._handlers = self._effect_handlers(fleet)
         self._waiting: deque[Input] = deque([Start()])
-        self._load_measured_at = 0  # microseconds
-        self._idle = 0  # microseconds since then in which nothing was to be done
+        self._load_measured_at = 0  # microseconds on the boot clock, as all points in time here
+        self._idle_us = 0  # since then, in which nothing was to be done
         self._pause_s = 0.0  # between turns; 0: wait for the next input
-        self._clock_offset: int | None = None  # of the wall clock, as the core knows it
+        self._clock_offset_us: int | None = None  # of the wall clock, as the core knows it
         self._last_turn_at = 0
         self._awake_since = 0  # the thread took turns from then on, with no gap
 
@@ -102,11 +102,14 @@
     def run(self) -> None:
         """Listen, and take turns until the core ends."""
         self._connections.listen()
-        self._load_measured_at = self._last_turn_at = self._awake_since = boot_clock()
+        began_at = boot_clock()
+        self._load_measured_at = began_at
+        self._last_turn_at = began_at
+        self._awake_since = began_at
         has_ended = False
         while not has_ended:
             is_behind = self._drain_queue()
-            self._look_at_clocks()
+            self._read_clocks()
             self._waiting = deque(own_connections_first(self._waiting))
             self._measure_load()
             if not self._waiting:
@@ -127,31 +130,31 @@
             return False
         return True
 
-    def _look_at_clocks(self) -> None:
-        """Tell the core of a wall clock that stepped, before the messages that may carry its time.
+    def _read_clocks(self) -> None:
+        """Notify the core of a wall clock that stepped, before the messages that may carry its time.
 
-        A thread that took no turn for long was held up, and the readers with it: the process was paused.
+        A thread without a turn for long was suspended, and the readers with it.
         """
         reading = read_clocks()
         if reading.boot - self._last_turn_at > self._limits.turn_gap:
             self._awake_since = reading.boot
         self._last_turn_at = reading.boot
         offset = reading.unix - reading.boot
-        if self._clock_offset is None or abs(offset - self._clock_offset) > CLOCK_CHANGE_US:
-            self._clock_offset = offset
+        if self._clock_offset_us is None or abs(offset - self._clock_offset_us) > CLOCK_CHANGE_US:
+            self._clock_offset_us = offset
             self._waiting.appendleft(WallClockRead(reading.unix))
 
     def _measure_load(self) -> None:
-        """Tell the core from time to time how busy this thread is, and pause between turns where it is."""
+        """Report each interval how busy this thread is, and pause between turns while it is busy."""
         now = boot_clock()
-        span = now - self._load_measured_at
-        if span < self._limits.load_interval:
+        span_us = now - self._load_measured_at
+        if span_us < self._limits.load_interval:
             return
-        self._waiting.append(LoadMeasured(span - self._idle, span))
-        is_busy = self._idle < (1 - self._limits.busy_threshold) * span
+        self._waiting.append(LoadMeasured(span_us - self._idle_us, span_us))
+        is_busy = self._idle_us < (1 - self._limits.busy_threshold) * span_us
         self._pause_s = self._limits.busy_pause / MICROSECONDS_PER_SECOND if is_busy else 0.0
         self._load_measured_at = now
-        self._idle = 0
+        self._idle_us = 0
 
     def _process_waiting(self) -> bool:
         """Process the turn's inputs; return whether the core ended."""
@@ -205,7 +208,7 @@
             with suppress(Empty):
                 self._waiting.append(self._inputs.get(timeout=timeout_s))
         after = boot_clock()
-        self._idle += after - before
+        self._idle_us += after - before
         if (
             timeout_s is not None
             and after - before < timeout_s * MICROSECONDS_PER_SECOND + self._limits.turn_gap
