--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -18,6 +18,7 @@
 from finchcart.node.statistics import Statistics
 
 MessageT = TypeVar("MessageT", contravariant=True)
+Timer = tuple[int, int, Callable[..., None], tuple[object, ...]]  # when, number, callback, its arguments
 
 
 class ConnectionOwner(Protocol[MessageT]):
@@ -66,7 +67,7 @@
     def __init__(self, log_interval_us: int) -> None:
         self.now = 0
         self.effects: list[Effect] = []
-        self.timers: list[tuple] = []  # heap of (when, number, callback, arguments)
+        self.timers: list[Timer] = []  # a heap
         self.connection_owners: dict[int, AnyOwner] = {}
         self._timers_made = 0
         self._connections_made = 0
--- a/tests/core_cases.py
+++ b/tests/core_cases.py
@@ -18,7 +18,7 @@
 
 
 def running(harness, n=0):
-    """A try that runs."""
+    """Return the name of an attempt that runs."""
     name = harness.dispatchers.submit(harness.dispatchers.open(), n)
     harness.step(MS)
     harness.step(MS)
@@ -33,17 +33,17 @@
 
 
 def calling(harness, n=0):
-    """A try at a call, and the link that the call is on."""
+    """Return the name of an attempt whose run awaits a call, and the connection that carries it."""
     name = running(harness, n)
     harness.pool.block_at_call(name)
     for _ in range(3):
         harness.step(MS)
-    ((link, _),) = [(link, calls) for link, calls in harness.store.calls.items() if calls]
-    return name, link
+    ((connection, _),) = [(connection, calls) for connection, calls in harness.store.calls.items() if calls]
+    return name, connection
 
 
 def repeated(harness, outcome):
-    """A try that ends so, and a repeat of it that came while it ran."""
+    """Return the names of an attempt that ends so, and of a duplicate that came while it ran."""
     first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     second = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
