--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -4,8 +4,6 @@
 and durations are microseconds, memory is in units of 1024 bytes.
 """
 
-from __future__ import annotations
-
 from enum import Enum
 from typing import Protocol
 
@@ -33,16 +31,16 @@
 class RpcEvents(Protocol):
     """What the handle of an RPC calls: see the handle's methods of the same names."""
 
-    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def run_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
         """Act on the end of a run, or of the wait of a duplicate."""
 
-    def caller_gone(self, now: int, rpc: RpcHandle) -> None:
+    def caller_gone(self, now: int, rpc: "RpcHandle") -> None:
         """Act on the loss of the caller."""
 
-    def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
+    def awaiting_call(self, now: int, rpc: "RpcHandle") -> None:
         """Act on a run that needs its call to the dependency."""
 
-    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def call_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
         """Act on the end of a call."""
 
 
@@ -82,10 +80,10 @@
         "time_at_calls",
     )
 
-    # Set by admission.py as it admits the RPC.
-    expected_service_time: float  # that is left, as far as is learned; less after a pause (runs.py)
-    objective_at: int  # when its response still meets the latency objective
-    priority: tuple[float, float]  # order of the queue, the smallest first
+    # Set as it is admitted.
+    expected_service_time: float  # that is left, as far as is learned: admission.py; after a pause runs.py
+    objective_at: int  # until then its response meets the latency objective: admission.py
+    priority: tuple[float, float]  # order of the queue, the smallest first: admission.py
     # Set as its run comes to a call.
     awaiting_since: int  # when it last began to await a call: runs.py
     called_at: int  # when its last call was made: dependency_calls.py
@@ -106,7 +104,7 @@
         self.is_retry = arrival.is_retry
         self.duplicate_of = arrival.duplicate_of
         self.quota = arrival.quota
-        self.state = QUEUED  # runs.py, dependency_calls.py, completion.py; SHARING: admission.py
+        self.state = QUEUED  # runs.py, dependency_calls.py, completion.py, duplicates.py
         self.response_sent = False  # completion.py
         self.caller_is_gone = False  # rpc_events.py
         self.has_run = False  # it began, an effect may have come of it: runs.py; at its end rpc_events.py
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -136,11 +136,11 @@
 
 def test_a_run_elsewhere_gives_its_result():
     harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
-    told = []
-    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
+    replies = []
+    harness.dispatchers.on_reply = lambda link, data: replies.append(read_answer(data))
     harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     key = harness.key_lease_inputs[0].keys[0].key
     harness.feed(fleet_input(LeaseAnswer(key, LeaseStatus.COMPLETED, b"there", 0)))
-    assert b"there" in str(told).encode()
+    assert b"there" in str(replies).encode()
     assert not harness.pool.runs
