--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -19,9 +19,9 @@
     WriteResumed,
 )
 from finchcart.thrift.frontend import ThriftFrontend
-from tests.simulated_dispatchers import SimulatedDispatchers
-from tests.simulated_pool import SimulatedPool
-from tests.simulated_store import SimulatedStore
+from tests.dispatchers_double import DispatchersDouble
+from tests.pool_double import PoolDouble
+from tests.store_double import StoreDouble
 from tests.typed_settings import typed
 
 MS = 1000
@@ -31,7 +31,7 @@
 class CoreHarness:
     """Dispatchers, worker pool, store and registry round one core, and the connections between them."""
 
-    dispatchers_type = SimulatedDispatchers
+    dispatchers_type = DispatchersDouble
 
     def __init__(
         self,
@@ -78,8 +78,8 @@
         self.write_block_probability = 0.01  # how often a peer does not read what is sent
         self.commands = []  # of the core to worker pool and store, not read yet: (connection, data)
         self.dispatchers = self.dispatchers_type(self)
-        self.pool = SimulatedPool(self)
-        self.store = SimulatedStore(self)
+        self.pool = PoolDouble(self)
+        self.store = StoreDouble(self)
         self.drain_notice_at = None
         self.ended = False
         self.feed(Start())
--- a/tests/simulated_dispatchers.py
+++ b/tests/dispatchers_double.py
@@ -35,7 +35,7 @@
     outcome: str | None = None  # the value of a FinalOutcome
 
 
-class SimulatedDispatchers:
+class DispatchersDouble:
     """The attempts of all dispatchers. `harness`: has the time, the connections and the other peers."""
 
     def __init__(self, harness):
@@ -149,5 +149,5 @@
 def read_answer(data):
     """Kind, name, sequence number and arguments of an answer to a dispatcher."""
     reader = thrift.Reader(data[4:])
-    head = reader.number(thrift.I32) & 0xFF
-    return head, reader.value(STRING), reader.number(thrift.I32), reader.value(STRUCT)
+    head = reader.integer(thrift.I32) & 0xFF
+    return head, reader.value(STRING), reader.integer(thrift.I32), reader.value(STRUCT)
--- a/tests/simulated_pool.py
+++ b/tests/pool_double.py
@@ -25,7 +25,7 @@
     cursor: int | None = None  # of the notice that it is blocked
 
 
-class SimulatedPool:
+class PoolDouble:
     """The runs and notices of a worker pool. `harness`: has the time, connections and other peers."""
 
     def __init__(self, harness):
--- a/tests/simulated_store.py
+++ b/tests/store_double.py
@@ -6,7 +6,7 @@
 )
 
 
-class SimulatedStore:
+class StoreDouble:
     """The calls in flight. `harness`: has the connections and the other peers."""
 
     def __init__(self, harness):
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -13,7 +13,7 @@
 from finchcart.thrift import codec as thrift
 from tests.core_cases import ends_well, how, plain_harness, running
 from tests.core_harness import MS
-from tests.simulated_dispatchers import read_answer
+from tests.dispatchers_double import read_answer
 
 
 def test_a_dispatcher_that_never_reads_is_read_no_further():
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -12,9 +12,9 @@
 from tests.core_cases import GAUGES, running
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
+from tests.dispatchers_double import DispatchersDouble
 from tests.harness import draw_settings
 from tests.random_core_runs import play
-from tests.simulated_dispatchers import SimulatedDispatchers
 
 
 class MemoryFrontend:
@@ -100,7 +100,7 @@
         return not self.links
 
 
-class MemoryFrontendDispatchers(SimulatedDispatchers):
+class MemoryFrontendDispatchers(DispatchersDouble):
     def on_reply(self, connection, data):
         sequence, outcome, body = data
         self.record_answer(connection, sequence, outcome, body)
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -12,9 +12,9 @@
 from finchcart.node.key_leases import KeyLeaseGate
 from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness
+from tests.dispatchers_double import read_answer
 from tests.harness import draw_settings
 from tests.random_core_runs import may_be_running_at_the_end, play
-from tests.simulated_dispatchers import read_answer
 
 
 class SimulatedReplicas:
