--- a/tests/simulated_dispatchers.py
+++ b/tests/dispatchers_double.py
@@ -35,7 +35,7 @@
     outcome: str | None = None  # the value of a FinalOutcome
 
 
-class SimulatedDispatchers:
+class DispatchersDouble:
     """The attempts of all dispatchers. `harness`: has the time, the connections and the other peers."""
 
     def __init__(self, harness):
