--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -2,6 +2,7 @@
 
 import json
 import random
+from contextlib import suppress
 
 import pytest
 
@@ -66,6 +67,11 @@
     return type(message), *message
 
 
+def read_line(text):
+    """The message of a line of the worker pool, with its type; the line's end is added."""
+    return typed(take(worker_pool_codec.WORKER_POOL_CODEC, text + b"\n", 0, LONGEST)[0])
+
+
 def framed(data):
     return len(data).to_bytes(4, "big") + data
 
@@ -197,11 +203,9 @@
         bad = bytearray(whole)
         for _ in range(rng.randint(1, 6)):
             bad[rng.randrange(len(bad))] = rng.choice((0, 1, 11, 13, 127, 128, 255, rng.randrange(256)))
-        try:
+        with suppress(ProtocolError):
             got = take(codec, bytes(bad), 0, LONGEST)
             assert got is None or 0 < got[1] <= len(bad)
-        except ProtocolError:
-            pass
 
 
 @pytest.mark.parametrize(
@@ -211,10 +215,8 @@
     rng = random.Random(5)
     for _ in range(2000):
         data = rng.randbytes(rng.randint(1, 60)) + rng.choice((b"", b"\n", b"\r\n"))
-        try:
+        with suppress(ProtocolError):
             take(codec, data, 0, LONGEST)
-        except ProtocolError:
-            pass
 
 
 @pytest.mark.parametrize(
@@ -251,16 +253,18 @@
         "9",
         (0.5, 3.0, 0.25, 17.0),
     )
-    read = lambda text: typed(take(worker_pool_codec.WORKER_POOL_CODEC, text + b"\n", 0, LONGEST)[0])
-    assert read(b'{"event":"bound","fate":"new","lasted":20}') == (Subscribed, True, 20_000)
-    assert read(b'{"event":"blocked","cursor":5,"handle":"x","arg":"AA=="}') == (
+    assert read_line(b'{"event":"bound","fate":"new","lasted":20}') == (Subscribed, True, 20_000)
+    assert read_line(b'{"event":"blocked","cursor":5,"handle":"x","arg":"AA=="}') == (
         RunAwaitingCall,
         5,
         "x",
         b"\0",
     )
-    assert read(b'{"event":"unknown","fate":"spawn","handle":"x"}') == (CommandRejected, True, "x")
-    assert read(b'{"event":"of a later day"}') == (UnknownNotice,)
+    assert read_line(b'{"event":"unknown","fate":"spawn","handle":"x"}') == (CommandRejected, True, "x")
+    assert read_line(b'{"event":"of a later day"}') == (UnknownNotice,)
+
+
+def test_invalid_lines_of_the_pool_are_malformed():
     for bad in (
         b"[]",
         b"{}",
@@ -277,7 +281,10 @@
         b'{"event":"unknown","fate":"spawn","handle":[1]}',
     ):
         with pytest.raises(ProtocolError):
-            read(bad)
+            read_line(bad)
+
+
+def test_commands_to_the_pool_are_a_json_object_a_line():
     said = [
         worker_pool_codec.encode_subscribe(3),
         worker_pool_codec.encode_start("x", "m", b"\xff\0A"),
@@ -285,7 +292,8 @@
         worker_pool_codec.encode_degrade("x", 5),
         worker_pool_codec.encode_gauges_request("7"),
     ]
-    assert all(line.count(b"\n") == 1 and line.endswith(b"\n") for line in said)
+    assert all(line.count(b"\n") == 1 for line in said)
+    assert all(line.endswith(b"\n") for line in said)
     assert [json.loads(line) for line in said] == [
         {"event": "bind", "cursor": 3},
         {"event": "spawn", "handle": "x", "entry": "m", "arg": "/wBB"},
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -94,7 +94,8 @@
     assert not connection.close_if_idle()  # in the system's buffer
     connection.request_batch()
     # Read, and not yet seen by the core.
-    assert isinstance(inputs.get(), FramesReceived) and not connection.close_if_idle()
+    assert isinstance(inputs.get(), FramesReceived)
+    assert not connection.close_if_idle()
     connection.batches_taken += 1
     connection.request_batch()
     peer.sendall(HEALTH_CHECK[:7])
@@ -106,12 +107,14 @@
     sent = random.Random(1).randbytes(30_000_000)
     connection.send(sent)
     # An answer that is not written.
-    assert same_input(inputs.get(), WriteBlocked(1)) and not connection.close_if_idle()
+    assert same_input(inputs.get(), WriteBlocked(1))
+    assert not connection.close_if_idle()
     got = b""
     while len(got) < len(sent):
         got += peer.recv(1 << 20)
     wait_until(connection.close_if_idle)
-    assert got == sent and peer.recv(1) == b""  # closed in one direction, nothing was reset
+    assert got == sent
+    assert peer.recv(1) == b""  # closed in one direction, nothing was reset
     peer.sendall(HEALTH_CHECK)  # after the close: read past, never handed over as the first is
     peer.close()
     wait_until_closed(inputs)
@@ -172,14 +175,17 @@
     connection, peer, inputs = open_pair(SMALL_LIMITS)
     before = set(threading.enumerate())  # threads that other tests left may end meanwhile
     connection.send(b"first")
-    assert set(threading.enumerate()) <= before and inputs.empty()
+    assert set(threading.enumerate()) <= before
+    assert inputs.empty()
     sent = [random.Random(n).randbytes(1_000_000) for n in range(20)]
     for part in sent:
         connection.send(part)
     started = set(threading.enumerate()) - before
-    assert [thread.name for thread in started] == ["write 1"] and same_input(inputs.get(), WriteBlocked(1))
+    assert [thread.name for thread in started] == ["write 1"]
+    assert same_input(inputs.get(), WriteBlocked(1))
     connection.close()
-    assert read_all(peer) == b"first" + b"".join(sent) and same_input(inputs.get(), WriteResumed(1))
+    assert read_all(peer) == b"first" + b"".join(sent)
+    assert same_input(inputs.get(), WriteResumed(1))
     peer.close()
     wait_until_closed(inputs)
 
@@ -245,11 +251,9 @@
     thread.start()
     clients = [socket.create_connection(address) for _ in range(limits.descriptors + 5)]
     first = [opened.get(timeout=10) for _ in range(limits.max_accepted)]
-    assert (
-        limits.max_accepted < limits.descriptors
-        and not listener.capacity.acquire(blocking=False)
-        and opened.empty()
-    )
+    assert limits.max_accepted < limits.descriptors
+    assert not listener.capacity.acquire(blocking=False)
+    assert opened.empty()
     _, sock, _, on_closed = first[0]
     sock.close()
     on_closed()
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -107,8 +107,10 @@
     harness = MemoryFrontendHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results=rng.choice((60, 10_000))
     )
-    assert "ok" in play(harness, rng) and not harness.frontend.rpcs
-    assert ("health", False) in harness.frontend.said and harness.frontend.said[-1][0] != "health"
+    assert "ok" in play(harness, rng)
+    assert not harness.frontend.rpcs
+    assert ("health", False) in harness.frontend.said
+    assert harness.frontend.said[-1][0] != "health"
 
 
 def test_two_frontends_share_keys_and_one_name_is_one_rpc():
@@ -122,6 +124,7 @@
     harness.attempts["x"] = replace(first, body=b"other")
     odd = harness.submit(link, 1, "x")
     harness.step(MS)
-    assert harness.attempts[odd].outcome == "failed" and list(harness.runs) == [name]
+    assert harness.attempts[odd].outcome == "failed"
+    assert list(harness.runs) == [name]
     assert (link, 9) not in harness.frontend.rpcs  # a name in use was unfit, and kept nothing
     assert harness.core.lifecycle.find_running(name) is harness.core.lifecycle.rpcs[0]
