--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -5,7 +5,8 @@
 thread; a connection whose peer does not read gets a writer thread until all is written. Threads must never
 touch the node's state: what they see goes to the one queue as an input of the core.
 
-Reading: reader.py. Writing to a peer that is behind: writer.py. Which events may cross here, and what comes
+Reading: reader.py. Writing to a peer that is behind: writer.py. The end of one that the node closes:
+discarding.py. Which events may cross here, and what comes
 of it: docs/design/crossings.md.
 """
 
@@ -22,6 +23,7 @@
 from finchcart.net.buffers import Buffers
 from finchcart.net.clock import boot_clock
 from finchcart.net.deferred_threads import DeferredThread, DeferredThreadStarter
+from finchcart.net.discarding import discard_to_end
 from finchcart.net.reader import FrameReader
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, shut_down, start_thread, timeval
 from finchcart.net.transient_errors import is_transient
@@ -38,8 +40,6 @@
 
 Address = tuple[str, int]
 
-SHORTAGE_COST = 4 * 1024  # bytes that a read which fails for want of memory counts as, when discarding
-
 
 class ReadEnd(NamedTuple):
     """Why a connection is not read any more. Neither: the peer closed, or the connection broke."""
@@ -205,9 +205,13 @@
                 self._inputs.put(ConnectionEnded(self.number, end.fault))
                 self._await_close_order()
             if end.peer_may_send and not self._is_dropped:
-                self._discard(sock)
+                with self._buffers.borrow() as buffer:
+                    discard_to_end(sock, buffer, self._limits, self._is_writing)
         self._finish(end)
 
+    def _is_writing(self) -> bool:
+        return self._writes.thread is not None
+
     def _await_close_order(self) -> None:
         while self._requests.get():
             pass
@@ -271,36 +275,6 @@
         except (EOFError, OSError):
             return ReadEnd()
 
-    def _discard(self, sock: socket.socket) -> None:
-        """Read and discard until the peer closes, for a bounded time and number of bytes.
-
-        Closing over unread bytes would reset the connection, and with it answers on their way. While answers
-        are still being written, which ends by itself, silence is no reason to stop.
-        """
-        remaining = self._limits.discard_size
-        with self._buffers.borrow() as buffer:
-            try:
-                linger = timeval(self._limits.linger_timeout)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, linger)
-                while remaining > 0:
-                    is_writing = self._writes.thread
-                    try:
-                        count = sock.recv_into(buffer)
-                    except BlockingIOError:
-                        if not is_writing:
-                            break
-                        continue
-                    except OSError as error:
-                        if not is_transient(error):
-                            break
-                        remaining -= SHORTAGE_COST
-                        continue
-                    if not count:
-                        break
-                    remaining -= count
-            except OSError:
-                pass
-
     def _finish(self, end: ReadEnd) -> None:
         """Close the socket once the writer has ended, and report it."""
         with self._lock:
--- a/finchcart/node/worker_pool.py
+++ b/finchcart/node/worker_pool.py
@@ -23,7 +23,7 @@
     GaugesRead,
     InformationalNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     Subscribed,
     UnknownNotice,
     WorkerPoolMessage,
@@ -130,7 +130,7 @@
         self._unreadable_after: int | None = None  # the last notice before one that could not be read
         self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
             Subscribed: self._on_bound,
-            RunEnded: self._on_run_ended,
+            RunEndedNotice: self._on_run_ended,
             RunAwaitingCall: self._on_awaiting_call,
             GaugesRead: self._on_gauges,
             CommandRejected: self._on_not_carried_out,
--- a/finchcart/protocol/messages.py
+++ b/finchcart/protocol/messages.py
@@ -19,7 +19,7 @@
     uptime_us: int
 
 
-class RunEnded(NamedTuple):
+class RunEndedNotice(NamedTuple):
     """A notice: a run has ended."""
 
     cursor: int
@@ -63,7 +63,7 @@
 
 WorkerPoolMessage = (
     Subscribed
-    | RunEnded
+    | RunEndedNotice
     | RunAwaitingCall
     | GaugesRead
     | CommandRejected
--- a/finchcart/protocol/worker_pool_codec.py
+++ b/finchcart/protocol/worker_pool_codec.py
@@ -20,7 +20,7 @@
     GaugesRead,
     InformationalNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     Subscribed,
     UnknownNotice,
     WorkerPoolMessage,
@@ -63,11 +63,11 @@
     return read(fields) if read else UnknownNotice()
 
 
-def _read_run_ended(fields: Mapping[str, Any]) -> RunEnded:
+def _read_run_ended(fields: Mapping[str, Any]) -> RunEndedNotice:
     outcome = RUN_OUTCOMES[fields["fate"]]
     service_time_us = _microseconds(fields["lasted"])
     cursor = _whole_number(fields, "cursor")
-    return RunEnded(cursor, _text(fields, "handle"), outcome, service_time_us, _decode_body(fields))
+    return RunEndedNotice(cursor, _text(fields, "handle"), outcome, service_time_us, _decode_body(fields))
 
 
 def _read_awaiting_call(fields: Mapping[str, Any]) -> RunAwaitingCall:
--- a/finchcart/simulated_peers/client.py
+++ b/finchcart/simulated_peers/client.py
@@ -20,7 +20,21 @@
 from finchcart.errors import ProtocolError
 from finchcart.simulated_peers.server import Address, parse_address
 from finchcart.thrift import codec as thrift
-from finchcart.thrift.codec import BOOL, FIELD, I32, LENGTH, MAP, STRING, ThriftValue
+from finchcart.thrift.binary_protocol import (
+    BOOL,
+    CALL,
+    EXCEPTION,
+    FIELD,
+    I32,
+    LENGTH,
+    MAP,
+    ONEWAY,
+    STRING,
+    Reader,
+    ThriftValue,
+    encode_message,
+    read_texts,
+)
 
 TIMEOUT_S = 10
 
@@ -80,24 +94,24 @@
         """Send a health check; return its sequence number."""
         self.sequence += 1
         arguments = FIELD.pack(BOOL, 1) + b"\1"
-        self.sock.sendall(thrift.encode_message(thrift.CALL, b"heartbeat", self.sequence, arguments + b"\0"))
+        self.sock.sendall(encode_message(CALL, b"heartbeat", self.sequence, arguments + b"\0"))
         return self.sequence
 
     def answer(self) -> Answer:
         """Return the next message; `EOFError` where the node closed the connection."""
-        reader = thrift.Reader(self._receive(LENGTH.unpack(self._receive(4))[0]))
+        reader = Reader(self._receive(LENGTH.unpack(self._receive(4))[0]))
         kind = reader.integer(I32) & 0xFF
         name = reader.string().decode()
         sequence = reader.integer(I32)
         arguments = reader.struct()
-        if kind == thrift.EXCEPTION:
+        if kind == EXCEPTION:
             return Answer(name, sequence, ClientOutcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
-        if kind == thrift.ONEWAY:
+        if kind == ONEWAY:
             return Answer(name, sequence, ClientOutcome.ONEWAY, b"", {})
         (field_number, _), inner = next(iter(arguments.items()))
         if not isinstance(inner, dict):
             raise ProtocolError(f"a reply to {name}: expected a struct, got {inner!r:.60}")
-        fields = thrift.read_texts(inner[(2 if field_number == 0 else 1), MAP]) or {}
+        fields = read_texts(inner[(2 if field_number == 0 else 1), MAP]) or {}
         if field_number == 0:
             outcome = ClientOutcome.OK if inner[3, BOOL] else ClientOutcome.NOT_GOOD
             return Answer(name, sequence, outcome, _bytes_of(inner[1, STRING]), fields)
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -26,13 +26,13 @@
     GaugesRead,
     RevokeNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     StoreReply,
     SubmitCall,
     Subscribed,
 )
 from finchcart.thrift import codec as thrift
-from finchcart.thrift.codec import STRING, STRUCT
+from finchcart.thrift.binary_protocol import I32, STRING, STRUCT, Reader
 from finchcart.thrift.frontend import ThriftFrontend
 from tests.typed_settings import typed
 
@@ -423,7 +423,7 @@
             return
         assert run is None or attempt.kind == "idempotent", "run again"
         if attempt.answers or not attempt.answer_owed:
-            self.send_notice(RunEnded, name, Outcome.NOT_STARTED, 0, b"")
+            self.send_notice(RunEndedNotice, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
             return
         others = [each for each in self.attempts.values() if each.key == attempt.key and each.has_run]
@@ -449,7 +449,7 @@
         result = self.rng.randbytes(6) if outcome is Outcome.OK else b""
         if result:
             self.results.add((run.key, result))
-        self.send_notice(RunEnded, name, outcome, RUN_TIME_US, result)
+        self.send_notice(RunEndedNotice, name, outcome, RUN_TIME_US, result)
 
     def block_at_call(self, name):
         """The run awaits a call."""
@@ -537,6 +537,6 @@
 
 def read_answer(data):
     """Kind, name, sequence number and arguments of an answer to a dispatcher."""
-    reader = thrift.Reader(data[4:])
-    head = reader.integer(thrift.I32) & 0xFF
-    return head, reader.value(STRING), reader.integer(thrift.I32), reader.value(STRUCT)
+    reader = Reader(data[4:])
+    head = reader.integer(I32) & 0xFF
+    return head, reader.value(STRING), reader.integer(I32), reader.value(STRUCT)
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -25,7 +25,7 @@
     InformationalNotice,
     RevokeNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     StoreReply,
     SubmitCall,
     Subscribed,
@@ -36,6 +36,17 @@
 from finchcart.simulator.codec import OUTCOMES
 from finchcart.thrift import codec as thrift
 from finchcart.thrift import fields as thrift_fields
+from finchcart.thrift.binary_protocol import (
+    CALL,
+    FIELD,
+    I32,
+    LENGTH,
+    ONEWAY,
+    STRING,
+    STRUCT,
+    Reader,
+    encode_message,
+)
 
 FLEET = "example"
 PLAIN_OUTCOME = {outcome: code for code, outcome in OUTCOMES.items()}
@@ -120,11 +131,14 @@
     "thrift unknown method": lambda: thrift.application_exception(3, "x", thrift.UNKNOWN_METHOD, "no"),
     "thrift protocol error": lambda: thrift.application_exception(3, "submit", thrift.PROTOCOL_ERROR, "no"),
     "thrift closing": lambda: thrift.closing_notice(),
-    "thrift heartbeat": lambda: thrift.encode_message(thrift.CALL, b"heartbeat", 2, b"\0"),
-    "thrift other call": lambda: thrift.encode_message(thrift.CALL, b"headcount", 2, b"\0"),
-    "thrift other one-way call": lambda: thrift.encode_message(thrift.ONEWAY, b"headcount", 2, b"\0"),
-    "thrift revoke": lambda: thrift.encode_message(
-        thrift.ONEWAY, b"revoke", 0, thrift.FIELD.pack(thrift.I32, 1) + thrift.LENGTH.pack(7) + b"\0"
+    "thrift heartbeat": lambda: encode_message(CALL, b"heartbeat", 2, b"\0"),
+    "thrift other call": lambda: encode_message(CALL, b"headcount", 2, b"\0"),
+    "thrift other one-way call": lambda: encode_message(ONEWAY, b"headcount", 2, b"\0"),
+    "thrift revoke": lambda: encode_message(
+        ONEWAY,
+        b"revoke",
+        0,
+        FIELD.pack(I32, 1) + LENGTH.pack(7) + b"\0",
     ),
     # What others know keys, members and subjects by.
     "member id": lambda: number(codec.name_hash("n1")),
@@ -161,7 +175,7 @@
 # Type of a message read -> pinned word.
 READ_WORDS = {
     Subscribed: "up",
-    RunEnded: "run ended",
+    RunEndedNotice: "run ended",
     RunAwaitingCall: "at call",
     GaugesRead: "gauges",
     CommandRejected: "not carried out",
@@ -204,9 +218,13 @@
 
 def read_thrift_answer(data):
     """Of the protocol's own reader, whatever the message is."""
-    reader = thrift.Reader(data[4:])
-    values = [reader.integer(thrift.I32), reader.value(thrift.STRING), reader.integer(thrift.I32)]
-    return plain([*values, reader.value(thrift.STRUCT)])
+    reader = Reader(data[4:])
+    values = [
+        reader.integer(I32),
+        reader.value(STRING),
+        reader.integer(I32),
+    ]
+    return plain([*values, reader.value(STRUCT)])
 
 
 def read_back(name, data):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -19,7 +19,7 @@
     HeartbeatCall,
     RevokeNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     StoreReply,
     SubmitCall,
     Subscribed,
@@ -241,7 +241,7 @@
 def test_lines_of_the_pool():
     name = "9b1f03aa5c7e2d41"
     assert typed(take(worker_pool_codec.WORKER_POOL_CODEC, FINISHED, 0, LONGEST)[0]) == (
-        RunEnded,
+        RunEndedNotice,
         4,
         name,
         Outcome.OK,
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,13 +21,13 @@
     WriteResumed,
 )
 from finchcart.thrift import codec
-from finchcart.thrift.codec import BOOL, CALL, FIELD
+from finchcart.thrift.binary_protocol import BOOL, CALL, FIELD, encode_message
 from tests.harness import same_input
 from tests.node_testbed import wait_until
 
 LIMITS = Limits(memory=1 << 28, descriptors=64, stop_timeout=1_000_000, linger_timeout=20_000)
 SMALL_LIMITS = Limits(memory=1, descriptors=1, stop_timeout=1)
-HEALTH_CHECK = codec.encode_message(CALL, b"heartbeat", 1, FIELD.pack(BOOL, 1) + b"\1\0")
+HEALTH_CHECK = encode_message(CALL, b"heartbeat", 1, FIELD.pack(BOOL, 1) + b"\1\0")
 
 
 class TimeoutCounter:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,7 +19,7 @@
     UnservedCall,
 )
 from finchcart.quota.limits import Limit
-from finchcart.thrift import codec as thrift
+from finchcart.thrift.binary_protocol import EXCEPTION, STRING
 from tests.core_harness import MS, CoreHarness, read_answer
 from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
@@ -583,7 +583,7 @@
     harness.step(MS)
     harness.step(MS)
     ((kind, _, _, args),) = told
-    assert kind == thrift.EXCEPTION and words in args[1, thrift.STRING].decode() and not harness.runs
+    assert kind == EXCEPTION and words in args[1, STRING].decode() and not harness.runs
     assert (
         not harness.core.control.state.arrivals.ingress_queueing_delay
         and not harness.core.control.state.callers.last_seen
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -23,7 +23,7 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool import WorkerPool
 from finchcart.protocol.connection_events import ConnectionEnded
-from finchcart.protocol.messages import GaugesRead, RunEnded, StoreReply, Subscribed
+from finchcart.protocol.messages import GaugesRead, RunEndedNotice, StoreReply, Subscribed
 from tests.harness import same_input
 
 MS = 1000
@@ -208,11 +208,11 @@
     # It may be running: it counts, and is reported as over once the settings let it go on no longer.
     assert effect.index in pool.unknown_runs and not any(told[0] == effect.name for told in host.told)
     assert list(pool.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
     assert host.told.count((safe.name, Outcome.OK)) == 0 and safe.index in pool.unknown_runs
-    pool.message_received(pool.connection, RunEnded(2, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection, RunEndedNotice(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
     turn.begin(turn.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
