--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -8,7 +8,6 @@
 import time
 from collections.abc import Callable
 from queue import SimpleQueue
-from typing import Any, cast
 
 from loguru import logger
 from msgspec import UNSET
@@ -17,8 +16,8 @@
 from finchcart.cli.log_output import LOG_FORMATS
 from finchcart.cli.settings_reload import reread_settings
 from finchcart.consensus import messages as consensus_messages
+from finchcart.consensus.evidence import Evidence
 from finchcart.consensus.inputs import ConsensusConfigChanged, EvidenceCollected
-from finchcart.consensus.observations import Evidence
 from finchcart.fleet.codec import parse_address
 from finchcart.fleet.inputs import Leave
 from finchcart.fleet_participant import FleetParticipant, Reduce
@@ -106,7 +105,7 @@
         """Return the limiters of all limits that hold for this node; new ones wait for the next start."""
         if not self._quota:
             return None
-        limiters = LimiterSet(self._quota.limits, self._quota.slack, self._quota.most)
+        limiters = LimiterSet(self._quota.limits, self._quota.write_slack, self._quota.max_processes)
         consensus = consensus_config(self._settings)
         if consensus:
             limiters.recovery_step_us = consensus.recovery_step
@@ -121,7 +120,11 @@
     def key_lease_factory(self) -> Callable[[EffectBuffer], KeyLeaseGate] | None:
         """Return the factory of the core's part that acquires key leases, or None."""
         key_leases = key_lease_config(self._settings)
-        return (lambda turn: KeyLeaseGate(turn, key_leases.life)) if key_leases else None
+        return (
+            (lambda effect_buffer: KeyLeaseGate(effect_buffer, key_leases.lease_duration))
+            if key_leases
+            else None
+        )
 
     def reducer(self, core: Core) -> Reduce:
         """Return the core's `reduce`, with the boot clock set before each input."""
@@ -145,15 +148,15 @@
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Post what this node uses and demands of a limit: to the lease holder, or by gossip."""
         usage = UsageReported(limit, in_use, demand, priority_demand)
-        strict_limits = self._quota.strict if self._quota else ()
+        strict_limits = self._quota.strict_limits if self._quota else ()
         if any(strict.name == limit for strict in strict_limits):
             self._datagrams.post(quota_messages.CHANNEL, usage)
         else:
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
-    def publish_evidence(self, evidence: dict[str, Any]) -> None:
+    def publish_evidence(self, evidence: Evidence) -> None:
         """Post what the core observed to the consensus store."""
-        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(cast("Evidence", evidence)))
+        self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
         """Post a command to the key lease client, to be handled immediately."""
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -17,7 +17,7 @@
 
 
 class ConsensusStatus:
-    """Keeps no state: what is in force when asked.
+    """Reports what is in force at the time of the request.
 
     Arguments:
         name: of this node.
@@ -62,7 +62,7 @@
         measured = member.loss, member.lateness
         return {
             "members": collector.member_count,
-            "heard": collector.heard_count,
+            "heard": collector.reporting_count,
             "oldest_ms": collector.oldest_age // 1000,
             "stale_at_most_ms": config.staleness_bound() // 1000,
             "acts_within_ms": decisions.acts_within(member) // 1000,
--- a/finchcart/fleet_settings/configs.py
+++ b/finchcart/fleet_settings/configs.py
@@ -27,10 +27,10 @@
     """Return the limits and how they are shared out; None where no limits are set."""
     if settings.quota is UNSET or not settings.limits:
         return None
-    return QuotaConfig(
-        limits=tuple(_quota_limit(limit) for limit in settings.limits),
-        planners=tuple(settings.quota.planners),
-        **_in_microseconds(settings.quota, ("planners",)),
+    return QuotaConfig.from_settings(
+        tuple(_quota_limit(limit) for limit in settings.limits),
+        tuple(settings.quota.planners),
+        _in_microseconds(settings.quota, ("planners",)),
     )
 
 
@@ -60,8 +60,8 @@
     """Return the configuration of key leases; None where none is set."""
     if settings.claims is UNSET:
         return None
-    return KeyLeaseConfig(
-        keepers=tuple(settings.claims.keepers), **_in_microseconds(settings.claims, ("keepers",))
+    return KeyLeaseConfig.from_settings(
+        tuple(settings.claims.keepers), _in_microseconds(settings.claims, ("keepers",))
     )
 
 
--- a/finchcart/fleet_settings/rules.py
+++ b/finchcart/fleet_settings/rules.py
@@ -86,7 +86,7 @@
         return
     if settings.fleet is UNSET:
         yield Mistake("fleet", "is missing: claims are asked for by its address")
-    yield from _address_mistakes("claims.keepers", config.keepers)
+    yield from _address_mistakes("claims.keepers", config.replicas)
     for path, reason in key_leases.config_errors(config):
         yield Mistake(f"claims.{path}", reason)
 
@@ -122,9 +122,9 @@
 
 def _patience_is_ordered(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
-    if config.patience_most < config.patience:
+    if config.max_patience < config.patience:
         yield Mistake(
-            "fleet.patience_most", f"{config.patience_most} is less than fleet.patience, {config.patience}"
+            "fleet.patience_most", f"{config.max_patience} is less than fleet.patience, {config.patience}"
         )
 
 
@@ -141,7 +141,7 @@
 
 def _datagrams_suffice(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
-    need = 2 * config.watch + config.revive + SPARE_DATAGRAMS
+    need = 2 * config.watch_degree + config.probes_per_period + SPARE_DATAGRAMS
     if config.max_datagrams < need:
         yield Mistake(
             "fleet.datagrams", f"{config.max_datagrams} is less than 2 x watch + revive + 8 = {need}"
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -5,13 +5,14 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from finchcart.decisions.arrival import FleetQuota
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import PublishEvidence, PublishUsage
+from finchcart.node.inputs import FleetMemberState
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 
@@ -20,7 +21,14 @@
     from finchcart.node.limiters import CallsInFlight
     from finchcart.node.observer import NodeObserver
 
-GONE_STATES = ("failed", "left")  # of members
+GONE_STATES = (FleetMemberState.FAILED, FleetMemberState.LEFT)
+
+
+class FleetMember(NamedTuple):
+    """A member of the fleet, as last reported."""
+
+    state: FleetMemberState
+    incarnation: int
 
 
 class FleetView:
@@ -32,35 +40,35 @@
 
     def __init__(
         self,
-        turn: EffectBuffer,
+        effect_buffer: EffectBuffer,
         methods: Mapping[str, MethodInfo],
         limiters: "LimiterSet | None" = None,
         observer: "NodeObserver | None" = None,
     ) -> None:
-        self.turn = turn
+        self.effect_buffer = effect_buffer
         self.methods = methods
         self.limiters = limiters
         self.observer = observer
         self.limits_rpcs = limiters is not None or observer is not None
-        self.members: dict[str, tuple[str, int]] = {}  # name -> (state, incarnation)
+        self.members: dict[str, FleetMember] = {}  # by name
         self.isolated = False
         self._hosts: dict[int, str | None] = {}  # by connection, where there is an observer
 
     # ---- Inputs of the fleet
 
-    def member_changed(self, name: str, state: str, incarnation: int) -> None:
-        """See `MemberChanged`."""
+    def member_changed(self, name: str, state: FleetMemberState, incarnation: int) -> None:
+        """Handle a change of a member, see `FleetMemberChanged`."""
         if state in GONE_STATES:
             self.members.pop(name, None)
         else:
-            self.members[name] = state, incarnation
+            self.members[name] = FleetMember(state, incarnation)
 
     def isolation_changed(self, isolated: bool) -> None:
-        """See `IsolationChanged`."""
+        """Handle the loss or return of contact, see `FleetIsolationChanged`."""
         self.isolated = isolated
 
     def allocation_granted(self, limit: str, floor: int | None, amount: int, until: int) -> None:
-        """See `AllocationGranted`."""
+        """Apply an allocation, see `AllocationGranted`."""
         if self.limiters:
             self.limiters.set_allowance(limit, floor, amount, until)
 
@@ -71,23 +79,25 @@
         min_shed_level: float,
         source_states: Mapping[int, int],
     ) -> None:
-        """See `ConsensusChanged`."""
-        self.observer.apply_consensus(dependency_state, ejected, min_shed_level, source_states)
-        self.limiters.set_dependency_down(self.observer.dependency_down)
+        """Apply what the fleet holds to be so, see `ConsensusChanged`."""
+        if self.observer:
+            self.observer.apply_consensus(dependency_state, ejected, min_shed_level, source_states)
+            if self.limiters:
+                self.limiters.set_dependency_down(self.observer.dependency_down)
 
     # ---- Connections
 
     def connection_opened(self, connection: int, host: str | None) -> None:
-        """A peer connected from that host."""
+        """Remember where a connection comes from."""
         if self.observer:
             self._hosts[connection] = host
 
     def connection_closed(self, connection: int) -> None:
-        """The connection is gone."""
+        """Forget a connection that is gone."""
         self._hosts.pop(connection, None)
 
     def record_invalid_traffic(self, connection: int) -> None:
-        """A message that can't be read came on the connection, or none at all."""
+        """Record a message that can't be read, or a connection without any."""
         if self.observer:
             self.observer.record_invalid_traffic(self._hosts.get(connection))
 
@@ -96,9 +106,9 @@
     def quota_for(
         self, method: str, attributes: RpcAttributes
     ) -> "tuple[FleetQuota | None, Sequence[RpcLimiter]]":
-        """What an RPC may use, None for no bound, and the limiters that count it where it is admitted."""
+        """Return what an RPC may use, None for no bound, and the limiters that count it if admitted."""
         quota = None
-        limiters = ()
+        limiters: Sequence[RpcLimiter] = ()
         caller = attributes.caller
         if self.limiters:
             limiters = self.limiters.limiters_of(method, caller)
@@ -106,31 +116,31 @@
             if self.observer and quota and quota.available <= 0 and _counts_dispatcher(limiters):
                 self.observer.record_over_limit(caller)
         if self.observer:
-            host = self._hosts.get(attributes.connection)
-            source_quota = self.observer.quota_for(self.turn.now, host, caller)
+            host = None if attributes.connection is None else self._hosts.get(attributes.connection)
+            source_quota = self.observer.quota_for(self.effect_buffer.now, host, caller)
             if source_quota and (quota is None or source_quota < quota):
                 quota = source_quota
         return quota, limiters
 
     def run_ended(self, outcome: Outcome, spent_us: int) -> None:
-        """A run is over."""
+        """Record the end of a run."""
         if self.observer:
             self.observer.run_ended(outcome, spent_us)
 
     def call_awaited(self) -> None:
-        """A run awaits a call."""
+        """Record the demand of a run that awaits a call."""
         if self.limiters and self.limiters.calls_rate:
             self.limiters.calls_rate.record_demand()
 
     def call_ended(self, outcome: Outcome, spent_us: int, time_cut: bool) -> None:
-        """A call is over; `time_cut`: see `NodeObserver.call_ended`."""
+        """Record the end of a call; `time_cut`: see `NodeObserver.call_ended`."""
         if self.observer:
             self.observer.call_ended(outcome, spent_us, time_cut)
 
     # ---- The control loop
 
     def add_gauges(self, gauges: Gauges, calls: "CallsInFlight") -> Gauges:
-        """The gauges with what the fleet allows and holds."""
+        """Return the gauges with what the fleet allows and holds."""
         if self.limiters:
             gauges = gauges._replace(call_capacity=self.limiters.call_capacity(calls))
         if self.observer:
@@ -142,19 +152,19 @@
         return gauges
 
     def publish_usage(self, rpcs: Iterable[NodeRpc], calls: "CallsInFlight") -> None:
-        """Publishes what is used and wanted of the limits of which something changed."""
+        """Publish what is used and wanted of the limits of which something changed."""
         if not self.limiters:
             return
         waiting = [self.methods[rpc.method].has_priority for rpc in rpcs if rpc.awaited_call is not None]
         for limit, usage in self.limiters.usage(calls, len(waiting), sum(waiting)):
-            self.turn.emit(PublishUsage(limit, *usage))
+            self.effect_buffer.emit(PublishUsage(limit, *usage))
 
     def publish_evidence(self, shed_level: float) -> None:
-        """Publishes what was seen since the last time, where that is due."""
+        """Publish what was seen since the last time, where that is due."""
         if self.observer:
-            evidence = self.observer.collect_evidence(self.turn.now, shed_level)
+            evidence = self.observer.collect_evidence(self.effect_buffer.now, shed_level)
             if evidence:
-                self.turn.emit(PublishEvidence(evidence))
+                self.effect_buffer.emit(PublishEvidence(evidence))
 
 
 def _counts_dispatcher(limiters: "Sequence[RpcLimiter]") -> bool:
--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -6,7 +6,7 @@
 """
 
 from finchcart.consensus.effects import DecisionsChanged
-from finchcart.fleet.effects import Effect
+from finchcart.fleet.effects import FleetEffect
 from finchcart.key_leases.effects import LeaseAnswer
 from finchcart.key_leases.inputs import (
     AbandonKeyLease,
@@ -29,10 +29,11 @@
     AllocationGranted,
     ConsensusChanged,
     FleetInput,
-    IsolationChanged,
+    FleetIsolationChanged,
+    FleetMemberChanged,
+    FleetMemberState,
     KeyLeaseAnswered,
     KeyLeaseOutcome,
-    MemberChanged,
 )
 from finchcart.quota.effects import LimitAllowance
 
@@ -46,7 +47,7 @@
 }
 
 
-def fleet_input(change: Effect) -> FleetInput:
+def fleet_input(change: FleetEffect) -> FleetInput:
     """Return the input of the core for a change that a state machine of the fleet emitted."""
     match change:
         case LimitAllowance():
@@ -56,9 +57,9 @@
         case LeaseAnswer(key, status, result, run_before):
             return KeyLeaseAnswered(key, OUTCOMES[status], result, run_before)
         case membership_effects.IsolationChanged(is_isolated):
-            return IsolationChanged(is_isolated)
-        case membership_effects.MemberChanged():
-            return MemberChanged(*change)
+            return FleetIsolationChanged(is_isolated)
+        case membership_effects.MemberChanged(name, state, incarnation):
+            return FleetMemberChanged(name, FleetMemberState(state), incarnation)
     raise TypeError(f"change of the fleet: expected an effect of its packages, found {type(change).__name__}")
 
 
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -1,48 +1,29 @@
 """The idempotency cache: which key was seen when, and the results that duplicates may share.
 
-Owns the entry of each idempotency key, which RPC holds it and what that came to. It must never let a result
+Owns the entry of each idempotency key, which RPC holds it and how that ended. It must never let a result
 go to an RPC with another body, nor lose an entry whose RPC may have run.
 """
 
-from enum import Enum
 from hashlib import blake2b
 
 from finchcart.node.effect_buffer import EffectBuffer
 from finchcart.node.effects import Defer
 from finchcart.node.inputs import DuplicateReady
+from finchcart.node.key_entry import IdempotencyKey, KeyEntry, NoResult
 from finchcart.node.rpc import NodeRpc
 
 DIGEST_BYTES = 16
 
-Key = tuple[str, str]  # method and idempotency key
-
-
-class NoResult(Enum):
-    """Why an entry has no result."""
-
-    PENDING = "pending"  # not there yet
-    FAILED = "failed"  # the run came to nothing, or its result is kept no more
-
 
 def digest_of(body: bytes) -> bytes:
-    """By which two bodies are compared."""
+    """Return by what two bodies are compared."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
-class KeyEntry:
-    """One idempotency key: the RPC that holds it, and what that came to."""
-
-    __slots__ = ("digest", "expires_at", "index", "key", "previous", "ran", "result", "waiting")
-
-    def __init__(self, key: Key, index: int, digest: bytes) -> None:
-        self.key = key
-        self.index = index  # of the RPC that holds it
-        self.digest = digest  # of the body, the same for all RPCs of the key
-        self.expires_at = 0
-        self.result: bytes | NoResult = NoResult.PENDING
-        self.waiting: list[int] = []  # indices of the duplicates that wait for the result
-        self.ran = False
-        self.previous: KeyEntry | None = None  # the last of the key that ran, while this one has not
+def entry_of(rpc: NodeRpc) -> KeyEntry:
+    """Return the entry of an RPC that has an idempotency key."""
+    assert rpc.key_entry is not None, f"RPC {rpc.index}: no idempotency key"
+    return rpc.key_entry
 
 
 class IdempotencyCache:
@@ -52,34 +33,40 @@
     its window can still be read: `late_read_us` after it; results by `max_result_bytes`, the oldest first.
     """
 
-    def __init__(self, turn: EffectBuffer, late_read_us: int, max_result_bytes: int) -> None:
-        self.turn = turn
+    def __init__(self, effect_buffer: EffectBuffer, late_read_us: int, max_result_bytes: int) -> None:
+        self.effect_buffer = effect_buffer
         self.late_read_us = late_read_us
         self.max_result_bytes = max_result_bytes
-        self.entries: dict[Key, KeyEntry] = {}
+        self.entries: dict[IdempotencyKey, KeyEntry] = {}
         self.with_result: dict[KeyEntry, None] = {}  # entries whose results are kept, the oldest first
         self.result_bytes = 0
 
-    def is_payload_mismatch(self, key: Key, digest: bytes) -> bool:
-        """Whether the key is held by an RPC with another body."""
+    def is_payload_mismatch(self, key: IdempotencyKey, digest: bytes) -> bool:
+        """Return whether the key is held by an RPC with another body."""
         entry = self.entries.get(key)
         return entry is not None and entry.digest != digest
 
-    def entry_for(self, key: Key, index: int, digest: bytes, arrived_at: int) -> tuple[KeyEntry, bool]:
-        """The entry that an RPC belongs to, and whether it is a duplicate.
+    def entry_for(
+        self, key: IdempotencyKey, index: int, digest: bytes, arrived_at: int
+    ) -> tuple[KeyEntry, bool]:
+        """Return the entry that an RPC belongs to, and whether it is a duplicate.
 
-        By when it reached the machine (`arrived_at`), not by when it is read.
+        That counts from when it reached the machine (`arrived_at`), not from when it is read.
         """
         entry = self.entries.get(key)
-        if entry and entry.expires_at > arrived_at and (entry.ran or entry.expires_at > self.turn.now):
+        if (
+            entry
+            and entry.expires_at > arrived_at
+            and (entry.ran or entry.expires_at > self.effect_buffer.now)
+        ):
             return entry, True
         return KeyEntry(key, index, digest), False
 
     def store(self, rpc: NodeRpc, ttl_us: int) -> None:
-        """Keeps the RPC's key for `ttl_us`."""
-        if rpc.key_entry.index != rpc.index:
-            rpc.key_entry = KeyEntry(rpc.key_entry.key, rpc.index, rpc.key_entry.digest)
-        entry = rpc.key_entry
+        """Keep the RPC's key for `ttl_us`."""
+        entry = entry_of(rpc)
+        if entry.index != rpc.index:
+            rpc.key_entry = entry = KeyEntry(entry.key, rpc.index, entry.digest)
         previous = self.entries.get(entry.key)
         if previous is not None and previous is not entry:
             self._drop_result(previous)
@@ -87,16 +74,16 @@
             # what ran in the window before.
             entry.previous = previous if previous.ran else previous.previous
             previous.previous = None
-        entry.expires_at = self.turn.now + ttl_us
+        entry.expires_at = self.effect_buffer.now + ttl_us
         self.entries[entry.key] = entry
-        self.turn.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
+        self.effect_buffer.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
 
     def evict(self, entry: KeyEntry) -> None:
-        """Removes a key whose RPC never ran; its duplicates fail."""
+        """Remove a key whose RPC never ran; its duplicates fail."""
         if self.entries.get(entry.key) is entry:
             previous = entry.previous
             entry.previous = None
-            if previous and self.turn.now < previous.expires_at + self.late_read_us:
+            if previous and self.effect_buffer.now < previous.expires_at + self.late_read_us:
                 self.entries[entry.key] = previous
             else:
                 del self.entries[entry.key]
@@ -104,16 +91,17 @@
         self._notify_waiting(entry)
 
     def join_in_flight(self, rpc: NodeRpc) -> None:
-        """Has a duplicate wait for what the first RPC of its key comes to: `DuplicateReady` follows."""
-        if rpc.key_entry.result is NoResult.PENDING:
-            rpc.key_entry.waiting.append(rpc.index)
+        """Have a duplicate wait for the end of the first RPC of its key: `DuplicateReady` follows."""
+        entry = entry_of(rpc)
+        if entry.result is NoResult.PENDING:
+            entry.waiting.append(rpc.index)
         else:
-            self.turn.emit(Defer(DuplicateReady(rpc.index)))
+            self.effect_buffer.emit(Defer(DuplicateReady(rpc.index)))
 
     def complete(self, entry: KeyEntry, result: bytes | NoResult) -> None:
-        """The RPC that holds the entry is completed: with its result, or `NoResult.FAILED`."""
+        """Handle the end of the RPC that holds the entry: with its result, or `NoResult.FAILED`."""
         entry.result = result
-        if result is not NoResult.FAILED:
+        if not isinstance(result, NoResult):
             self.with_result[entry] = None
             self.result_bytes += len(result)
             while self.result_bytes > self.max_result_bytes:
@@ -121,7 +109,7 @@
         self._notify_waiting(entry)
 
     def _drop_result(self, entry: KeyEntry) -> None:
-        if entry in self.with_result:
+        if entry in self.with_result and not isinstance(entry.result, NoResult):
             del self.with_result[entry]
             self.result_bytes -= len(entry.result)
             entry.result = NoResult.FAILED
@@ -130,13 +118,13 @@
         waiting = entry.waiting
         entry.waiting = []
         for index in waiting:
-            self.turn.emit(Defer(DuplicateReady(index)))
+            self.effect_buffer.emit(Defer(DuplicateReady(index)))
 
     def _expire(self, entry: KeyEntry) -> None:
         if self.entries.get(entry.key) is entry:
             expires_at = entry.expires_at + self.late_read_us
-            if self.turn.now < expires_at:
-                self.turn.schedule(expires_at, self._expire, entry)
+            if self.effect_buffer.now < expires_at:
+                self.effect_buffer.schedule(expires_at, self._expire, entry)
                 return
             del self.entries[entry.key]
         self._drop_result(entry)
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -22,7 +22,7 @@
 
     def __init__(self, host: FrontendHost, limits: Limits, table: DispatcherConnectionTable) -> None:
         self.host = host
-        self.turn = host.turn
+        self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.table = table
         self.idle_timeout_us: int | None = None  # None: not known yet
@@ -44,12 +44,12 @@
         if connection.closing_announced or connection.ended:
             return
         due = connection.idle_since + self.idle_timeout_us
-        if self.turn.now >= due:
+        if self.effect_buffer.now >= due:
             self.announce(connection)
         elif connection.idle_timer_at is None or connection.idle_timer_at > due:
             # Guards against timers that pile up on a busy connection: only its next check counts.
             connection.idle_timer_at = due
-            self.turn.schedule(due, self._idle_due, connection, due)
+            self.effect_buffer.schedule(due, self._idle_due, connection, due)
 
     def _idle_due(self, connection: DispatcherConnection, due: int) -> None:
         if connection.idle_timer_at == due:
@@ -65,19 +65,21 @@
         """
         if connection.ended or connection.closing_announced:
             return
-        now = self.turn.now
+        now = self.effect_buffer.now
         checked_once = connection.calls < 2 and self.table.is_crowded
         timeout_us = self.limits.silent_timeout if checked_once else self.limits.health_check_idle_timeout
         due = connection.last_message_at + timeout_us
         if now < due:
             when = min(due, now + self.limits.silent_timeout)
-            self.turn.schedule(when, self.check_health_checker, connection)
+            self.effect_buffer.schedule(when, self.check_health_checker, connection)
         elif not connection.open_rpcs:
             self.announce(connection, self.limits.unused_close_delay)
 
     def watch_unused(self, connection: DispatcherConnection) -> None:
         """Close a new connection that carries no message in time."""
-        self.turn.schedule(self.turn.now + self.limits.unused_timeout, self._close_unused, connection)
+        self.effect_buffer.schedule(
+            self.effect_buffer.now + self.limits.unused_timeout, self._close_unused, connection
+        )
 
     def _close_unused(self, connection: DispatcherConnection) -> None:
         # Guards against those that stay silent, or never complete what they send.
@@ -118,7 +120,7 @@
         connection.closing_announced = True
         self.table.send(connection, codec.closing_notice())
         patience_us = self._patience(patience_us or self.limits.close_delay)
-        self.turn.schedule(self.turn.now + patience_us, self._defer_close, connection)
+        self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
 
     def _defer_close(self, connection: DispatcherConnection) -> None:
         """Attempt the close after all that was received before it.
@@ -127,7 +129,7 @@
         close.
         """
         if connection.is_usable:
-            self.turn.emit(Defer(CloseDue(connection.number)))
+            self.effect_buffer.emit(Defer(CloseDue(connection.number)))
 
     def close_due(self, number: int) -> None:
         """Attempt to close, or wait for what is open: all that was received before is handed over."""
@@ -136,9 +138,9 @@
             return
         if connection.open_rpcs:
             patience_us = self._patience(self.limits.close_delay)
-            self.turn.schedule(self.turn.now + patience_us, self._defer_close, connection)
+            self.effect_buffer.schedule(self.effect_buffer.now + patience_us, self._defer_close, connection)
         else:
-            self.turn.emit(CloseIfIdle(number))
+            self.effect_buffer.emit(CloseIfIdle(number))
 
     def close_attempted(self, number: int, closed: bool) -> None:
         """End a connection that is closed, or schedule another attempt."""
@@ -153,7 +155,7 @@
         if closed or is_withholding:
             self.table.end(connection)  # guards against one that never completes a message
         else:
-            self.turn.schedule(self.turn.now + interval_us, self._defer_close, connection)
+            self.effect_buffer.schedule(self.effect_buffer.now + interval_us, self._defer_close, connection)
 
     def _patience(self, patience_us: int) -> int:
         """Return the time to wait for a dispatcher, in microseconds: less as the kill comes nearer."""
@@ -161,5 +163,5 @@
             return patience_us
         if self.is_finishing:
             return self.limits.finish_retry_interval
-        until_kill_us = self.kill_at - self.turn.now
+        until_kill_us = self.kill_at - self.effect_buffer.now
         return min(patience_us, max(self.limits.unused_close_delay, until_kill_us // KILL_TIME_DIVISOR))
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -61,14 +61,14 @@
 
     def __init__(self, host: FrontendHost, limits: Limits) -> None:
         self.host = host
-        self.turn = host.turn
+        self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.max_connections = limits.max_connections
         self.connections: dict[int, DispatcherConnection] = {}
 
     def add(self, number: int) -> DispatcherConnection:
         """Add a connection that a dispatcher made, and return its state."""
-        connection = self.connections[number] = DispatcherConnection(number, self.turn.now)
+        connection = self.connections[number] = DispatcherConnection(number, self.effect_buffer.now)
         return connection
 
     def usable(self, number: int) -> DispatcherConnection | None:
@@ -89,7 +89,7 @@
     def send(self, connection: DispatcherConnection, data: bytes) -> None:
         """Write, unless the connection has ended."""
         if not connection.ended:
-            self.turn.emit(Send(connection.number, data))
+            self.effect_buffer.emit(Send(connection.number, data))
 
     # ---- Reads
 
@@ -108,7 +108,7 @@
 
     def _request_reads(self, connection: DispatcherConnection) -> None:
         for _ in range(connection.reads_after_resume):
-            self.turn.emit(Read(connection.number))
+            self.effect_buffer.emit(Read(connection.number))
         connection.reads_requested += connection.reads_after_resume
         connection.reads_after_resume = 0
 
@@ -133,9 +133,9 @@
     def end(self, connection: DispatcherConnection, effect: type[Close] | type[Drop] = Close) -> None:
         """End a connection: nothing more is read or sent, and a peer that does not close is dropped."""
         connection.ended = True
-        self.turn.emit(effect(connection.number))
+        self.effect_buffer.emit(effect(connection.number))
         linger = self.limits.crossing_window if self.is_nearly_full else self.limits.linger_timeout
-        self.turn.schedule(self.turn.now + linger, self._drop_ended, connection)
+        self.effect_buffer.schedule(self.effect_buffer.now + linger, self._drop_ended, connection)
 
     def _drop_ended(self, connection: DispatcherConnection) -> None:
         """Drop a connection that has ended, once nothing is pending.
@@ -144,9 +144,11 @@
         breaks the connection by itself.
         """
         if connection.write_blocked and connection.number in self.connections:
-            self.turn.schedule(self.turn.now + self.limits.linger_timeout, self._drop_ended, connection)
+            self.effect_buffer.schedule(
+                self.effect_buffer.now + self.limits.linger_timeout, self._drop_ended, connection
+            )
         else:
-            self.turn.emit(Drop(connection.number))
+            self.effect_buffer.emit(Drop(connection.number))
 
     def end_unreadable(self, connection: DispatcherConnection) -> None:
         """End a connection that sent what cannot be read, once its answers are written."""
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -19,10 +19,11 @@
 from finchcart.node.inputs import TimersDue
 from finchcart.protocol.messages import CommandRejected
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
+from tests.core_cases import GAUGES, ends_well, how, plain_harness, running
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.node_testbed import METHODS, read_answers, wait_until
-from tests.test_core import GAUGES, ends_well, how, plain_harness, play, running
+from tests.random_core_runs import play
 
 SEEDS = range(24)
 CALLERS = 24
@@ -37,12 +38,12 @@
 
     def check(self):
         super().check()
-        control = self.core.control
-        if control is None:
+        controller = self.core.controller
+        if controller is None:
             return
         on_cores = sum(run.state == "running" for run in self.active_runs.values())
-        assert control.state.runs.in_progress >= len(self.active_runs), "runs that nobody counts"
-        assert control.state.runs.on_cores >= on_cores, "runs on cores that nobody counts"
+        assert controller.state.runs.in_progress >= len(self.active_runs), "runs that nobody counts"
+        assert controller.state.runs.on_cores >= on_cores, "runs on cores that nobody counts"
         if self.rng.random() < self.cut_probability:
             self.lose_pool_connection()
 
@@ -69,12 +70,13 @@
     harness.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
     for _ in range(3):
         harness.step(MS)
-    assert how(harness, name) == "ok" and harness.runs[name].state == "running"
-    assert harness.core.control.state.runs.on_cores == 1
+    assert how(harness, name) == "ok"
+    assert harness.runs[name].state == "running"
+    assert harness.core.controller.state.runs.on_cores == 1
     harness.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
-    assert harness.core.control.state.runs.on_cores == 0
+    assert harness.core.controller.state.runs.on_cores == 0
 
 
 def test_a_bound_that_is_read_late_is_no_restart_of_the_worker_pool():
@@ -87,7 +89,8 @@
         harness.establish_connections()
     harness.read_commands()  # `bound` is written,
     harness.step(1_500 * MS)  # and read later than starts of a worker pool lie apart
-    assert how(harness, name) is None and harness.core.control.state.runs.in_progress == 1
+    assert how(harness, name) is None
+    assert harness.core.controller.state.runs.in_progress == 1
     ends_well(harness, name)
 
 
@@ -96,7 +99,8 @@
     name = running(harness, 1)
     harness.deliver(harness.pool_connection, CommandRejected(False, name))
     harness.step(MS)
-    assert how(harness, name) is None and harness.core.control.state.runs.in_progress == 1
+    assert how(harness, name) is None
+    assert harness.core.controller.state.runs.in_progress == 1
     ends_well(harness, name)
 
 
@@ -105,19 +109,21 @@
     name = running(harness, 1)
     for _ in range(10):
         harness.step(10 * MS)  # its start is known to be read
-    assert not harness.core.pool.unconfirmed
+    assert not harness.core.pool.commands.unconfirmed
     harness.notices_numbered = 1  # the notice of its end, which is never readable
     for _ in range(2):  # the same notice again right after the next bind: it is passed over
         harness.lose_connection(harness.pool_connection, "a line that is no message")
         for _ in range(40):
             harness.step(MS)
-            if harness.core.pool.settle_ticket:
+            if harness.core.pool.commands.settlement_ticket:
                 break
-    assert harness.core.pool.cursor == 1 and harness.core.control.state.runs.in_progress == 1
+    assert harness.core.pool.cursor.position == 1
+    assert harness.core.controller.state.runs.in_progress == 1
     end = harness.now + harness.settings["methods.1.deadline"]
     while harness.now <= end:
         harness.step(20 * MS)
-    assert how(harness, name) == "failed" and harness.core.control.state.runs.in_progress == 0
+    assert how(harness, name) == "failed"
+    assert harness.core.controller.state.runs.in_progress == 0
 
 
 class BreakingPool(SimulatedWorkerPool):
