--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -155,7 +155,7 @@
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
     def publish_evidence(self, evidence: Evidence) -> None:
-        """Hand on what the core observed."""
+        """Post what the core observed to the consensus store."""
         self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -79,7 +79,7 @@
         quota = quota_config(settings)
         key_leases = key_lease_config(settings)
         self._quota = quota if quota and address in quota.planners else None
-        self._key_leases = key_leases if key_leases and address in key_leases.keepers else None
+        self._key_leases = key_leases if key_leases and address in key_leases.replicas else None
         if not self._quota and not self._key_leases:
             raise SettingsError([f"{path}: quota.planners, claims.keepers: {address} is not among them"])
         self._random = random.Random(random.SystemRandom().getrandbits(64))
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -33,6 +33,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 
 Address = tuple[str, int]
+AnyMachineInput = Any  # for the parameter of a machine, which has input types of its own
 MachineInput = tuple[Any, ...]  # a NamedTuple type for each input
 
 
@@ -48,7 +49,7 @@
 
     ended: bool
 
-    def reduce(self, now: int, event: Any) -> Sequence[FleetEffect]:  # each machine has inputs of its own
+    def reduce(self, now: int, event: AnyMachineInput) -> Sequence[FleetEffect]:
         """Process one input; return effects, told apart by type."""
 
     def count(self, reason: str) -> None:
--- a/tests/pool_double.py
+++ b/tests/pool_double.py
@@ -7,7 +7,7 @@
 from finchcart.protocol.messages import (
     GaugesRead,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     Subscribed,
 )
 
@@ -70,7 +70,7 @@
             return
         assert run is None or attempt.kind == "idempotent", "run again"
         if attempt.answers or not attempt.response_pending:
-            self.send_notice(RunEnded, name, Outcome.NOT_STARTED, 0, b"")
+            self.send_notice(RunEndedNotice, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
             return
         others = [
@@ -100,7 +100,7 @@
         result = self.harness.rng.randbytes(6) if outcome is Outcome.OK else b""
         if result:
             self.results.add((run.key, result))
-        self.send_notice(RunEnded, name, outcome, RUN_TIME_US, result)
+        self.send_notice(RunEndedNotice, name, outcome, RUN_TIME_US, result)
 
     def block_at_call(self, name):
         """The run awaits a call."""
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -10,7 +10,7 @@
     SubmitCall,
     UnservedCall,
 )
-from finchcart.thrift import codec as thrift
+from finchcart.thrift.binary_protocol import EXCEPTION, STRING
 from tests.core_cases import ends_well, how, plain_harness, running
 from tests.core_harness import MS
 from tests.dispatchers_double import read_answer
@@ -54,8 +54,8 @@
     harness.step(MS)
     harness.step(MS)
     ((kind, _, _, args),) = told
-    assert kind == thrift.EXCEPTION
-    assert words in args[1, thrift.STRING].decode()
+    assert kind == EXCEPTION
+    assert words in args[1, STRING].decode()
     assert not harness.pool.runs
     assert not harness.core.controller.state.arrivals.ingress_queueing_delay
     assert not harness.core.controller.state.callers.last_seen
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -30,7 +30,7 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol.connection_events import ConnectionEnded
-from finchcart.protocol.messages import GaugesRead, RunEnded, StoreReply, Subscribed
+from finchcart.protocol.messages import GaugesRead, RunEndedNotice, StoreReply, Subscribed
 from tests.harness import same_input
 
 MS = 1000
@@ -223,12 +223,12 @@
     assert effect.index in pool.commands.unconfirmed_runs
     assert not any(told[0] == effect.name for told in host.told)
     assert list(pool.commands.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection.number, RunEnded(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
     # The start written again may be read after that end: the second end counts, and one of them.
     assert host.told.count((safe.name, Outcome.OK)) == 0
     assert safe.index in pool.commands.unconfirmed_runs
-    pool.message_received(pool.connection.number, RunEnded(2, safe.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEndedNotice(2, safe.name, Outcome.OK, 5, b""))
     assert host.told.count((safe.name, Outcome.OK)) == 1
     effect_buffer.begin(effect_buffer.now + 2_999 * MS)
     assert (effect.name, Outcome.STOPPED) not in host.told
