--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -1,4 +1,4 @@
-"""What `finchcart check` prints of a settings file: the bounds that follow from it.
+"""The report of `finchcart check` on a settings file: the bounds that follow from it.
 
 Owns the wording. Each bound is a formula of the part that it is about.
 """
@@ -20,7 +20,7 @@
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.quota.limits import Limit, QuotaConfig
 
-FLEET_SIZES = (3, 24, 200)  # for which bounds are told
+FLEET_SIZES = (3, 24, 200)  # for which bounds are printed
 LOSSES = (0.0, 0.3)  # parts of the messages that are lost
 JOINING = (0, 4)  # members that join meanwhile
 TYPICAL_FLEET_SIZE = 24
--- a/finchcart/fleet_queries.py
+++ b/finchcart/fleet_queries.py
@@ -1,7 +1,7 @@
-"""Questions to a running process of a fleet, as one datagram each way.
+"""Queries to a running process of a fleet, as one datagram each way.
 
-Owns the socket of one question and its retries. It must never hold a view between questions. All functions
-raise TimeoutError where the process does not answer in time.
+Owns the socket of one query and its retries. It must never keep a view between queries. All functions raise
+TimeoutError where the process does not respond in time.
 """
 
 import random
@@ -73,9 +73,9 @@
     reason: str,
     timeout_s: float = TIMEOUT_S,
 ) -> View:
-    """Tell a node an operator's override, which tells all; return whether it took it, and why not.
+    """Send an operator's override to a node, which gossips it; return whether it was accepted, and why not.
 
-    A lifetime of 0 takes the override of the subject back.
+    A lifetime of 0 revokes the override of the subject.
     """
     lifetime_us = int(lifetime_s * MICROSECONDS_PER_SECOND)
     request = consensus.OverrideRequest(_random_number(), subject, value, lifetime_us, reason)
--- a/finchcart/fleet_settings/file.py
+++ b/finchcart/fleet_settings/file.py
@@ -1,6 +1,6 @@
 """The settings file: JSON5, read by a library, checked against typed structs.
 
-Owns how mistakes are told: all at once, each as `FILE: path.to.field: reason`. The fields and their ranges:
+Owns how mistakes are reported: all together, each as `FILE: path.to.field: reason`. Fields and their ranges:
 schema.py; what must hold between them: rules.py.
 """
 
--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -130,7 +130,7 @@
     def send(self, number: int, data: bytes) -> None:
         """Write at the turn's end: what goes out on one connection then is one write.
 
-        A call to the store goes out at once: its connection carries no other.
+        A call to the store is written immediately: its connection carries no other.
         """
         parts = self._outgoing.get(number)
         if number in self._unbatched:
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -1,13 +1,12 @@
 """One TCP connection of a node, with its threads.
 
 Owns its socket. Each connection has a reader thread with a small stack on a blocking socket, which delivers
-one batch of frames for each time that it is asked. What the kernel takes at once is written without a further
-thread; a connection whose peer does not read gets a writer thread until all is written. Threads must never
-touch the node's state: what they see goes to the one queue as an input of the core.
+one batch of frames for each request. What the kernel accepts immediately is written without a further thread;
+a connection whose peer does not read gets a writer thread until all is written. Threads must never touch the
+node's state: what they read goes to the one queue as an input of the core.
 
 Reading: reader.py. Writing to a peer that is behind: writer.py. The end of one that the node closes:
-discarding.py. Which events may cross here, and what comes
-of it: docs/design/crossings.md.
+discarding.py. Which events may cross here, and the result of each: docs/design/crossings.md.
 """
 
 import errno
--- a/finchcart/net/writer.py
+++ b/finchcart/net/writer.py
@@ -16,7 +16,7 @@
 
 
 class PendingWrites:
-    """The bytes that the system did not take at once. Its fields are read and set with `lock` held.
+    """The bytes that the system has not accepted yet. Its fields are read and set with `lock` held.
 
     `on_drained(sock)` is called, with the lock held, once all is written. The lock is the connection's own.
     Where no thread can be started, `thread_starter` does it later; None: the connection breaks.
@@ -63,7 +63,7 @@
     def _abandon(self, sock: socket.socket) -> None:
         shut_down(sock, socket.SHUT_RDWR)
         self.parts = []
-        self._inputs.put(WriteResumed(self._number))  # or its close would wait for a write for ever
+        self._inputs.put(WriteResumed(self._number))  # or its close would wait for a write without end
 
     def _run(self, sock: socket.socket) -> None:
         while True:
