--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -1,6 +1,6 @@
 """Runs that yield their core to RPCs that are more than twice as critical.
 
-Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake" in
+Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake: the loop" in
 docs/design.md. It acts only where the settings say that runs can be paused.
 """
 
@@ -15,7 +15,7 @@
 
 
 class Pausing:
-    """The pausing of runs. Invariant: only runs whose response is pending are told to pause."""
+    """The pausing of runs. Invariant: only runs whose response is pending are paused."""
 
     def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
         """Nothing is paused."""
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -26,7 +26,7 @@
 from tests.random_core_runs import play
 
 
-def witnessed(**settings):
+def harness_with_consensus(**settings):
     """A harness with verdicts: the trial limit gives this node one call, for ever."""
     limiters = LimiterSet((Limit("trial", 4, counts="trial", mode="loose"),), 20 * MS, 10)
     limiters.recovery_step_us, limiters.probe_timeout_us = CONFIG.recovery_step, CONFIG.probe_timeout
@@ -41,7 +41,7 @@
 
 
 def test_a_store_that_is_down_gets_this_nodes_probe_calls_alone_and_more_by_steps_once_it_is_back():
-    harness = witnessed(cores=64, overload_factor=64, calls_limit=100.0)
+    harness = harness_with_consensus(cores=64, overload_factor=64, calls_limit=100.0)
 
     def capacity():
         return harness.limiters.call_capacity(harness.core.store)
@@ -66,9 +66,13 @@
 
 
 def test_unreadable_and_silent_connections_count_against_the_address_and_never_a_number():
-    harness = witnessed()
-    harness.submit(harness.open("10.0.0.7"), 1, c="unheard")
-    silent, check, ours = harness.open("10.0.0.7"), harness.open("10.0.0.8"), harness.open("10.0.0.9")
+    harness = harness_with_consensus()
+    harness.dispatchers.submit(harness.dispatchers.open("10.0.0.7"), 1, c="unheard")
+    silent, check, ours = (
+        harness.dispatchers.open("10.0.0.7"),
+        harness.dispatchers.open("10.0.0.8"),
+        harness.dispatchers.open("10.0.0.9"),
+    )
     harness.deliver(check, HeartbeatCall(1))
     harness.feed(MessagesReceived(ours, [], harness.now))
     harness.frontend.closer.announce(harness.frontend.table.connections[ours])
@@ -83,7 +87,7 @@
 
 
 def test_a_blocked_source_is_rejected_at_once_and_a_throttled_one_beyond_its_rate():
-    harness = witnessed(retry_after_max=1000 * MS, cores=64, overload_factor=64)
+    harness = harness_with_consensus(retry_after_max=1000 * MS, cores=64, overload_factor=64)
     holds(
         harness,
         sources={
@@ -93,17 +97,17 @@
         },
     )
     tries = [
-        harness.submit(harness.open("10.0.0.7")),
-        harness.submit(harness.open("10.0.0.9"), f="5"),
-        harness.submit(harness.open("10.0.0.9")),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.7")),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.9"), f="5"),
+        harness.dispatchers.submit(harness.dispatchers.open("10.0.0.9")),
     ]
-    link = harness.open("10.0.0.8")
-    tries += [harness.submit(link) for _ in range(8)]
+    link = harness.dispatchers.open("10.0.0.8")
+    tries += [harness.dispatchers.submit(link) for _ in range(8)]
     harness.step(MS)
-    how = [harness.attempts[name].outcome for name in tries]
+    how = [harness.dispatchers.attempts[name].outcome for name in tries]
     assert how[:3] == ["rejected", "rejected", None]
     assert how[3:].count("rejected") == 8 - CONFIG.throttled_rate
-    assert not harness.runs.keys() & {tries[0], tries[1]}, "it never ran"
+    assert not harness.pool.runs.keys() & {tries[0], tries[1]}, "it never ran"
 
 
 @pytest.mark.parametrize("seed", range(10))
