--- a/Makefile
+++ b/Makefile
@@ -27,6 +27,7 @@
 	$(VENV)/ruff check .
 	$(VENV)/python tools/unfinished.py
 	$(VENV)/python tools/type_checks.py
+	$(VENV)/python tools/import_circles.py
 	$(VENV)/python tools/links.py
 
 unfinished: build  # list the modules that break rules of linter or type checker anew, in pyproject.toml
