--- a/finchcart/consensus/evidence.py
+++ b/finchcart/consensus/evidence.py
@@ -16,7 +16,7 @@
     time_us: int = 0  # of the successful ones together
 
 
-class RunCounts(NamedTuple):
+class RunOutcomeCounts(NamedTuple):
     """Runs of this node."""
 
     ended: int = 0
@@ -36,7 +36,7 @@
     """What a core observed since the last evidence."""
 
     calls: CallCounts = CallCounts()
-    runs: RunCounts = RunCounts()
+    runs: RunOutcomeCounts = RunOutcomeCounts()
     rpcs: int = 0  # admitted
     sources: Mapping[int, SourceCounts] = MappingProxyType({})  # by subject
     level: float = 0.0  # of load shedding, 0 to 1
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -9,7 +9,7 @@
 from math import log2
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
+from finchcart.consensus.evidence import CallCounts, Evidence, RunOutcomeCounts, SourceCounts
 from finchcart.consensus.messages import ObservationReport
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
@@ -90,7 +90,7 @@
     def _clear(self) -> None:
         config = self.config
         self.calls = SlidingSums(config.observation_span, len(CallCounts()))
-        self.runs = SlidingSums(config.observation_span, len(RunCounts()))
+        self.runs = SlidingSums(config.observation_span, len(RunOutcomeCounts()))
         self.rpcs = SlidingSums(config.source_span, 1)
         self.sources: dict[int, ObservedSource] = {}
         self._store: StoreHealth | None = None
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -14,7 +14,7 @@
 from finchcart.consensus import subjects
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.effects import DecisionsChanged
-from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
+from finchcart.consensus.evidence import CallCounts, Evidence, RunOutcomeCounts, SourceCounts
 from finchcart.consensus.inputs import EvidenceCollected
 from finchcart.consensus.store import ConsensusStore
 from finchcart.consensus.subjects import StoreHealth
@@ -149,7 +149,7 @@
             calls=CallCounts(ok, calls - ok, CALL_US[self.store_states[name]] * ok),
             rpcs=RPCS_PER_LOOK,
             sources=sources,
-            runs=RunCounts(RUNS_PER_LOOK, RUNS_PER_LOOK if name in self.failing else 0, RUN_US),
+            runs=RunOutcomeCounts(RUNS_PER_LOOK, RUNS_PER_LOOK if name in self.failing else 0, RUN_US),
             level=self.levels.get(name, 0.0),
         )
         if name in self.liars:
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from finchcart.consensus.config import ConsensusConfig
-from finchcart.consensus.evidence import CallCounts, Evidence, RunCounts, SourceCounts
+from finchcart.consensus.evidence import CallCounts, Evidence, RunOutcomeCounts, SourceCounts
 from finchcart.consensus.subjects import Restriction, StoreHealth, SubjectKind, make_subject, source_subject
 from finchcart.decisions.arrival import FleetQuota
 from finchcart.decisions.outcome import Outcome
@@ -52,7 +52,7 @@
             return None
         evidence = Evidence(
             CallCounts(*self._calls),
-            RunCounts(*self._runs),
+            RunOutcomeCounts(*self._runs),
             self._rpcs,
             {name: SourceCounts(*counts) for name, counts in self._sources.items()},
             shed_level,
