--- a/tools/import_circles.py
+++ b/tools/import_circles.py
@@ -19,7 +19,7 @@
 
 
 def module_paths(root: Path) -> dict[str, Path]:
-    """The source files of the package by the name of their module."""
+    """Return the source files of the package by the name of their module."""
     paths = {}
     for path in sorted((root / PACKAGE).rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
@@ -54,7 +54,7 @@
 
 
 def package_of(module: str) -> str:
-    """The part of the program that a module belongs to: the first name below the program's own."""
+    """Return the part of the program that a module belongs to: the first name below the program's own."""
     return ".".join(module.split(".")[:2])
 
 
@@ -69,14 +69,14 @@
 
 
 def circles(graph: Mapping[str, set[str]]) -> list[list[str]]:
-    """The groups of nodes that reach each other, each sorted."""
+    """Return the groups of nodes that reach each other, each sorted."""
     reached = {node: _reachable(graph, node) for node in graph}
     groups = {frozenset(other for other in reached[node] if node in reached[other]) for node in graph}
     return sorted(sorted(group) for group in groups if group)
 
 
 def _reachable(graph: Mapping[str, set[str]], start: str) -> set[str]:
-    """What can be reached from a node in one step or more."""
+    """Return what can be reached from a node in one step or more."""
     reached: set[str] = set()
     waiting = list(graph[start])
     while waiting:
--- a/tools/links.py
+++ b/tools/links.py
@@ -21,7 +21,7 @@
 
 
 def anchors(page: str) -> set[str]:
-    """The anchors of a page's headings: lower case, words joined by hyphens, no punctuation."""
+    """Return the anchors of a page's headings: lower case, words joined by hyphens, no punctuation."""
     headings = _HEADING.findall(_FENCED_BLOCK.sub("", page))
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
--- a/tools/type_checks.py
+++ b/tools/type_checks.py
@@ -22,7 +22,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """The text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
+    """Return the text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
     before, begin, rest = text.partition(BEGIN)
     listed, end, after = rest.partition(END)
     if not begin or not end:
@@ -32,18 +32,18 @@
 
 
 def listed_modules(text: str) -> set[str]:
-    """The modules in the list."""
+    """Return the modules in the list."""
     _, entries, _ = split_at_markers(text)
     return set(ENTRY.findall(entries))
 
 
 def module_name(path: str) -> str:
-    """The module of a source file."""
+    """Return the module of a source file."""
     return path.removesuffix(".py").replace("/", ".").removesuffix(".__init__")
 
 
 def errors_by_module(root: Path, text: str) -> dict[str, list[str]]:
-    """The errors of each module when the list is left out of account."""
+    """Return the errors of each module when the list is left out of account."""
     before, _, after = split_at_markers(text)
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "pyproject.toml"
@@ -61,7 +61,7 @@
 
 
 def complaints(listed: set[str], errors: dict[str, list[str]]) -> list[str]:
-    """The errors of modules that are not listed, and a line for each listed module that passes."""
+    """Return the errors of modules that are not listed, and a line for each listed module that passes."""
     lines = [line for module, found in sorted(errors.items()) if module not in listed for line in found]
     for module in sorted(listed - set(errors)):
         lines.append(f"pyproject.toml: {module} is listed and passes mypy: run `make unfinished`")
@@ -69,7 +69,7 @@
 
 
 def format_entries(errors: dict[str, list[str]]) -> str:
-    """The list as it stands in pyproject.toml, one module a line."""
+    """Return the list as it stands in pyproject.toml, one module a line."""
     return "".join(f'    "{module}",\n' for module in sorted(errors))
 
 
--- a/tools/unfinished.py
+++ b/tools/unfinished.py
@@ -26,7 +26,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """The text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
+    """Return the text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
     lines = text.splitlines(keepends=True)
     starts = [number for number, line in enumerate(lines) if line.startswith(BEGIN)]
     ends = [number for number, line in enumerate(lines) if line.startswith(END)]
@@ -37,20 +37,20 @@
 
 
 def listed_rules(text: str) -> RulesByFile:
-    """The entries of the list, by file."""
+    """Return the entries of the list, by file."""
     _, entries, _ = split_at_markers(text)
     return {path: set(rules) for path, rules in tomllib.loads(entries).items()}
 
 
 def permanent_ignores(text: str) -> dict[str, list[str]]:
-    """The per-file ignores outside the list."""
+    """Return the per-file ignores outside the list."""
     ignores = tomllib.loads(text)["tool"]["ruff"]["lint"]["per-file-ignores"]
     listed = listed_rules(text)
     return {pattern: rules for pattern, rules in ignores.items() if pattern not in listed}
 
 
 def broken_rules(root: Path, text: str) -> RulesByFile:
-    """The rules that each file breaks when the list is left out of account."""
+    """Return the rules that each file breaks when the list is left out of account."""
     ignores = json.dumps(permanent_ignores(text)).replace('":', '" =')
     command = [sys.executable, "-m", "ruff", "check", "--no-cache", "--exit-zero", "--output-format", "json"]
     command += ["--config", f"lint.per-file-ignores = {ignores}", "."]
@@ -72,7 +72,7 @@
 
 
 def format_entries(broken: RulesByFile) -> str:
-    """The list as it stands in pyproject.toml, one file a line."""
+    """Return the list as it stands in pyproject.toml, one file a line."""
     return "".join(f'"{path}" = {json.dumps(sorted(rules))}\n' for path, rules in sorted(broken.items()))
 
 
