--- a/tools/type_checks.py
+++ b/tools/type_checks.py
@@ -22,7 +22,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """Return the text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
+    """Return the text of pyproject.toml before the list, the list, and what follows, without the markers."""
     before, begin, rest = text.partition(BEGIN)
     listed, end, after = rest.partition(END)
     if not begin or not end:
--- a/tools/unfinished.py
+++ b/tools/unfinished.py
@@ -26,7 +26,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """Return the text of pyproject.toml up to the list, the list, and what follows; each marker stays outside."""
+    """Return the text of pyproject.toml before the list, the list, and what follows, without the markers."""
     lines = text.splitlines(keepends=True)
     starts = [number for number, line in enumerate(lines) if line.startswith(BEGIN)]
     ends = [number for number, line in enumerate(lines) if line.startswith(END)]
