--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -5,8 +5,7 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Any, Self
+from typing import Any, NamedTuple, Self
 
 MS = 1_000
 SECOND = 1_000_000
@@ -16,12 +15,12 @@
 MAX_COUNTED_DEADLINE_US = 3 * SECOND
 KILL_DELAY_US = 700 * MS
 
+MAX_CACHED_RESULTS_BYTES = 16 * 1024 * 1024
 CACHED_RESULTS_DIVISOR = 8  # cached results take no more than this part of the memory
 MIN_CONNECTIONS = 8  # however little memory there is
 
 
-@dataclass(frozen=True)
-class Limits:
+class Limits(NamedTuple):
     """The figures. Those without a default come from the configuration; a name without a unit is a count."""
 
     memory_bytes: int  # that the node may take
@@ -36,7 +35,7 @@
     spare_buffers: int = 64  # kept for reuse; more are freed
     backlog: int = 1024  # connections that wait to be accepted
     reserved_descriptors: int = 64  # not for dispatchers: listener, worker pool, store, registry, files
-    cached_results_bytes: int = 16 * 1024 * 1024  # of results that duplicates may still get
+    cached_results_bytes: int = MAX_CACHED_RESULTS_BYTES  # of results that duplicates may still get
 
     # The event loop
     read_ahead: int = 2  # batches requested of a connection at once: its reader is not woken for each
@@ -104,7 +103,7 @@
             memory_bytes=memory_bytes,
             descriptors=int(limits["sockets"]),
             stop_timeout_us=min(int(stop_ms * MS), earliest_kill_us),
-            cached_results_bytes=min(cls.cached_results_bytes, memory_bytes // CACHED_RESULTS_DIVISOR),
+            cached_results_bytes=min(MAX_CACHED_RESULTS_BYTES, memory_bytes // CACHED_RESULTS_DIVISOR),
         )
 
     @property
--- a/finchcart/node/wall_clock.py
+++ b/finchcart/node/wall_clock.py
@@ -14,7 +14,6 @@
 """
 
 from collections import deque
-from dataclasses import dataclass
 from typing import NamedTuple
 
 STEP_US = 10_000  # a change of the offset between two readings, beyond slewing, is a step
@@ -30,13 +29,15 @@
     latest: int
 
 
-@dataclass
 class ClockPeriod:
     """A time in which the wall clock did not step."""
 
-    begins: int  # the earliest moment, on the node's clock
-    ends: int | None  # the latest moment; None: it lasts
-    offset: int  # microseconds that the wall clock was ahead
+    __slots__ = ("begins", "ends", "offset")
+
+    def __init__(self, begins: int, ends: int | None, offset: int) -> None:
+        self.begins = begins  # the earliest moment, on the node's clock
+        self.ends = ends  # the latest moment; None: it lasts
+        self.offset = offset  # microseconds that the wall clock was ahead
 
     def includes(self, moment: int) -> bool:
         """Whether the clock can have stood so at that moment."""
--- a/tests/pins/settings_files.py
+++ b/tests/pins/settings_files.py
@@ -3,7 +3,6 @@
 import copy
 import json
 import re
-from dataclasses import asdict
 from enum import Enum
 
 import json5
@@ -156,7 +155,7 @@
         "worker pool, store, registry": [list(address) for address in config.addresses],
         "seed": config.seed,
         "watch": config.watch,
-        "limits": sorted(asdict(limits).values()),
+        "limits": sorted(limits),
         "connections, and those on their way out": [limits.max_connections, limits.max_accepted],
         "settings": sorted(str(value) for value in values_told(config.settings)),
     }
