--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -3,7 +3,6 @@
 import random
 import socket
 import threading
-from dataclasses import replace
 from queue import SimpleQueue
 
 import pytest
@@ -192,7 +191,7 @@
 
 def test_buffers_all_come_back_after_cut_whole_and_hostile_bytes():
     rng = random.Random(9)
-    limits = replace(SMALL_LIMITS, linger_timeout_us=50_000)
+    limits = SMALL_LIMITS._replace(linger_timeout_us=50_000)
     buffers = Buffers(limits)
     inputs = SimpleQueue()
     for number in range(60):
