--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -22,7 +22,7 @@
 from finchcart.fault_injection.membership.simulation import MembershipSimulation
 from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedAction
 from finchcart.fault_injection.scripted_runs.process_run import play_on_processes
-from finchcart.fault_injection.scripted_runs.script import Load, Script, StepKind
+from finchcart.fault_injection.scripted_runs.script import Script, ScriptedLoad, StepKind
 from finchcart.membership import failure_detection, view
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.membership.effects import MemberChanged
@@ -197,7 +197,7 @@
     """Return rows with and without membership: CPU and memory of nodes, latency of their RPCs."""
     rows = []
     for talk in (True, False, True, False):
-        load = Load(rate=rate, work_ms=20.0, processes=4)
+        load = ScriptedLoad(rate=rate, work_ms=20.0, processes=4)
         script = Script("cost", COST_NODES, seconds, [], load=load)
         names = [f"n{number:02d}" for number in range(COST_NODES)]
         plan = Plan(script, 1, names, names, [PlannedAction(1.0, StepKind.CLEAR)], [], seconds)
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -21,7 +21,7 @@
 from statistics import fmean
 
 from benchmarks.by_round import Rows, read_side_by_side, save_bars, side_by_side_table, total
-from finchcart.fault_injection.quota.fault_run import SeedResult, play_seed, seconds_to_follow_demand
+from finchcart.fault_injection.quota.fault_run import QuotaSeedResult, play_seed, seconds_to_follow_demand
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.quota.state_space import DRIFTS, explore
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
@@ -53,7 +53,7 @@
     return bool(breaches)
 
 
-def use_by_phase(results: Iterable[SeedResult]) -> str:
+def use_by_phase(results: Iterable[QuotaSeedResult]) -> str:
     """Return the part of what was wanted that was used, by phase."""
     sums: dict[str, list[float]] = {}
     for result in results:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from benchmarks.by_round import Rows, read_side_by_side, save_bars, side_by_side_table, total
-from finchcart.fault_injection.consensus.fault_run import SeedResult, play_seed
+from finchcart.fault_injection.consensus.fault_run import ConsensusSeedResult, play_seed
 from finchcart.fault_injection.consensus.simulation import POLL_US, ConsensusSimulation
 from finchcart.fault_injection.consensus.view import is_down
 from finchcart.membership.config import SECOND
@@ -51,7 +51,7 @@
     return bool(breaches)
 
 
-def print_times(results: Iterable[SeedResult]) -> None:
+def print_times(results: Iterable[ConsensusSeedResult]) -> None:
     """Print the time of each kind against its bound: median and worst, and the most of the bound used."""
     groups = defaultdict(list)
     for result in results:
--- a/finchcart/fault_injection/consensus/fault_run.py
+++ b/finchcart/fault_injection/consensus/fault_run.py
@@ -17,7 +17,7 @@
 JOIN_US = 10 * SECOND  # all know all by then
 
 
-class SeededRun(ConsensusRounds):
+class ConsensusFaultRun(ConsensusRounds):
     """One seed: `count` nodes play so many rounds of some kinds."""
 
     KINDS = tuple(RoundKind)
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class SeedResult:
+class ConsensusSeedResult:
     """What a seed came to."""
 
     breach: str | None  # what did not hold
@@ -84,12 +84,14 @@
     most_flap_changes: int
 
 
-def play_seed(seed: int, count: int = 8, rounds: int = 3, kinds: Sequence[str] | None = None) -> SeedResult:
+def play_seed(
+    seed: int, count: int = 8, rounds: int = 3, kinds: Sequence[str] | None = None
+) -> ConsensusSeedResult:
     """Play one seed."""
-    run = SeededRun(seed, count, kinds, rounds)
+    run = ConsensusFaultRun(seed, count, kinds, rounds)
     breach = None
     try:
         run.play()
     except InvariantError as error:
         breach = f"{run.kind}: {error}"
-    return SeedResult(breach, run.timings, run.steps, run.most_flap_changes)
+    return ConsensusSeedResult(breach, run.timings, run.steps, run.most_flap_changes)
--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -35,7 +35,7 @@
 LONGEST_DELAY_US = 3 * SECOND
 
 
-class FaultKind(StrEnum):
+class KeyLeaseFault(StrEnum):
     """What a fault does."""
 
     STOP = "stop"
@@ -49,19 +49,19 @@
 
 
 KINDS = (
-    FaultKind.STOP,
-    FaultKind.STOP,
-    FaultKind.RESTART_CLIENT,
-    FaultKind.RESTART_REPLICA,
-    FaultKind.RESTART_ALL_REPLICAS,
-    FaultKind.ROLLING_RESTART,
-    FaultKind.CUT,
-    FaultKind.ONE_WAY_CUT,
-    FaultKind.LOSS,
+    KeyLeaseFault.STOP,
+    KeyLeaseFault.STOP,
+    KeyLeaseFault.RESTART_CLIENT,
+    KeyLeaseFault.RESTART_REPLICA,
+    KeyLeaseFault.RESTART_ALL_REPLICAS,
+    KeyLeaseFault.ROLLING_RESTART,
+    KeyLeaseFault.CUT,
+    KeyLeaseFault.ONE_WAY_CUT,
+    KeyLeaseFault.LOSS,
 )
 
 
-class SeededRun(KeyLeaseSimulation):
+class KeyLeaseFaultRun(KeyLeaseSimulation):
     """One seed."""
 
     def __init__(
@@ -188,34 +188,34 @@
         kind = self.chance.choice(KINDS)
         names = list(self.machines)
         span = self.chance.randrange(200 * MS, 8 * SECOND)
-        if kind == FaultKind.STOP:
+        if kind == KeyLeaseFault.STOP:
             name = self.chance.choice(names)
             self.stopped.add(name)
             self._schedule(span, self._resume, name)
-        elif kind in (FaultKind.CUT, FaultKind.ONE_WAY_CUT):
+        elif kind in (KeyLeaseFault.CUT, KeyLeaseFault.ONE_WAY_CUT):
             self._cut(kind, names, span)
-        elif kind == FaultKind.LOSS:
+        elif kind == KeyLeaseFault.LOSS:
             self.loss = LOSS
             self._schedule(span, self._end_loss)
         else:
             self._restart_some(kind, names)
         self._schedule(self.chance.randrange(500 * MS, 4 * SECOND), self._inject_fault)
 
-    def _restart_some(self, kind: FaultKind, names: list[str]) -> None:
+    def _restart_some(self, kind: KeyLeaseFault, names: list[str]) -> None:
         replicas = [name for name in names if is_replica(name)]
-        if kind == FaultKind.RESTART_CLIENT:
+        if kind == KeyLeaseFault.RESTART_CLIENT:
             self.start(self.chance.choice([name for name in names if not is_replica(name)]))
-        elif kind == FaultKind.RESTART_REPLICA:
+        elif kind == KeyLeaseFault.RESTART_REPLICA:
             self.start(self.chance.choice(replicas))
         else:
-            interval = SECOND if kind == FaultKind.ROLLING_RESTART else 0
+            interval = SECOND if kind == KeyLeaseFault.ROLLING_RESTART else 0
             for number, name in enumerate(replicas):
                 self._schedule(number * interval, self._restart, name)
 
-    def _cut(self, kind: FaultKind, names: list[str], span: int) -> None:
+    def _cut(self, kind: KeyLeaseFault, names: list[str], span: int) -> None:
         some = set(self.chance.sample(names, self.chance.randrange(1, len(names))))
         pairs = {(origin, target) for origin in some for target in names if target not in some}
-        if kind == FaultKind.CUT:
+        if kind == KeyLeaseFault.CUT:
             pairs |= {(target, origin) for origin, target in pairs}
         self.cuts |= pairs
         self._schedule(span, self._heal, pairs)
@@ -238,7 +238,7 @@
 
 
 @dataclass(frozen=True)
-class SeedResult:
+class KeyLeaseSeedResult:
     """What a seed came to."""
 
     breach: str | None  # what did not hold
@@ -248,9 +248,9 @@
     runs: int
 
 
-def play_seed(seed: int, seconds: int = 30, make: dict | None = None) -> SeedResult:
+def play_seed(seed: int, seconds: int = 30, make: dict | None = None) -> KeyLeaseSeedResult:
     """Play one seed."""
-    run = SeededRun(seed, make=make)
+    run = KeyLeaseFaultRun(seed, make=make)
     breach = None
     try:
         run.play(seconds)
@@ -258,4 +258,4 @@
         breach = f"seed {seed}: {error}"
     answers = Counter(answer for answers in run.answers.values() for answer in answers)
     run_count = sum(len(runs) for runs in run.runs.values())
-    return SeedResult(breach, run.steps, run.key_count, dict(answers), run_count)
+    return KeyLeaseSeedResult(breach, run.steps, run.key_count, dict(answers), run_count)
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Run:
+class KeyLeaseRun:
     """A run of a key."""
 
     began: int  # in true time
@@ -70,9 +70,9 @@
         self.machines: dict[str, Any] = {}
         self.stopped: set[str] = set()
         self.in_flight: list[Datagram] = []
-        self.runs: dict[Key, list[Run]] = {}
+        self.runs: dict[Key, list[KeyLeaseRun]] = {}
         self.granted: dict[ClientKey, int] = {}  # not commanded yet -> by when it has to be
-        self.running: dict[ClientKey, Run] = {}
+        self.running: dict[ClientKey, KeyLeaseRun] = {}
         self.answers: dict[ClientKey, list[int]] = {}
         for number in range(replicas):
             self.start(f"k{number}", self.config.startup_quiet_period + SECOND)
@@ -136,7 +136,7 @@
         if self.clock(name) >= by:
             self.feed(name, KeyLeaseRunCancelled(key))
             return
-        run = Run(self.now, name, self.machines[name].session)
+        run = KeyLeaseRun(self.now, name, self.machines[name].session)
         runs = self.runs.setdefault(key, [])
         for other in runs:
             if self.now - other.began < self.config.run_spacing_bound():
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -19,7 +19,7 @@
     PROCESS_FAULTS,
     ZONE_CUTS,
     CutKind,
-    FaultKind,
+    MembershipFault,
 )
 from finchcart.fault_injection.membership.simulation import (
     FLEET_NAME,
@@ -51,11 +51,11 @@
 Pairs = list[tuple[str, str]]
 
 
-class SeededRun:
+class MembershipFaultRun:
     """One seed; `make` makes a member, so that a planted defect can be played."""
 
     def __init__(
-        self, seed: int, make: MemberFactory = Member, kinds: Sequence[FaultKind] | None = None
+        self, seed: int, make: MemberFactory = Member, kinds: Sequence[MembershipFault] | None = None
     ) -> None:
         self.seed = seed
         self.random = Random(f"faults {seed}")
@@ -212,38 +212,38 @@
     def _no_fault(self) -> None:
         """End the chain of faults."""
 
-    def _inject(self, kind: FaultKind, steady: list[str], until: int) -> None:
+    def _inject(self, kind: MembershipFault, steady: list[str], until: int) -> None:
         hurt = len(NAMES) - len(steady)
         if kind in PROCESS_FAULTS and hurt < MOST_HURT:
             self._hurt_process(kind, self.random.choice(steady), until)
-        elif kind == FaultKind.STARVE:
+        elif kind == MembershipFault.STARVE:
             process = self.fleet.processes[self.random.choice(steady)]
             process.tick_delay = self.random.randrange(50_000, 400_000)
             self.fleet.schedule(until, self._end_starvation, process.name)
-        elif kind == FaultKind.CUT:
+        elif kind == MembershipFault.CUT:
             self._cut(self.random.choice(CUT_KINDS), steady, until, hurt)
-        elif kind == FaultKind.LOSS and not self.loss:
+        elif kind == MembershipFault.LOSS and not self.loss:
             self._lose(until)
-        elif kind == FaultKind.FORGE:
+        elif kind == MembershipFault.FORGE:
             self._forge()
 
-    def _hurt_process(self, kind: FaultKind, name: str, until: int) -> None:
+    def _hurt_process(self, kind: MembershipFault, name: str, until: int) -> None:
         fleet = self.fleet
-        if kind == FaultKind.STOP:
+        if kind == MembershipFault.STOP:
             until = fleet.now + self.random.randrange(8, 30) * SECOND
             self._disturb([name], until)
             fleet.stop(name)
             fleet.schedule(until, fleet.resume, name)
-        elif kind == FaultKind.DUPLICATE_NAME and self.duplicated is None:
+        elif kind == MembershipFault.DUPLICATE_NAME and self.duplicated is None:
             self.duplicated = name
             fleet.start(DUPLICATE, member_name=name)
         else:
             self.down[name] = fleet.now
-            if kind == FaultKind.TERMINATE:
+            if kind == MembershipFault.TERMINATE:
                 fleet.feed(name, Leave())
                 fleet.feed(name, Shutdown())
             fleet.kill(name)
-            offset_ms = CLOCK_SET_BACK_MS if kind == FaultKind.CLOCK_SET_BACK else 0
+            offset_ms = CLOCK_SET_BACK_MS if kind == MembershipFault.CLOCK_SET_BACK else 0
             fleet.schedule(until, self._restart, name, offset_ms)
 
     def _restart(self, name: str, wall_clock_offset_ms: int) -> None:
--- a/finchcart/fault_injection/membership/faults.py
+++ b/finchcart/fault_injection/membership/faults.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class FaultKind(StrEnum):
+class MembershipFault(StrEnum):
     """What a fault does."""
 
     KILL = "kill"
@@ -33,16 +33,16 @@
 
 
 KINDS = (
-    FaultKind.KILL,
-    FaultKind.STOP,
-    FaultKind.TERMINATE,
-    FaultKind.STARVE,
-    FaultKind.CUT,
-    FaultKind.CUT,
-    FaultKind.LOSS,
-    FaultKind.DUPLICATE_NAME,
-    FaultKind.CLOCK_SET_BACK,
-    FaultKind.FORGE,
+    MembershipFault.KILL,
+    MembershipFault.STOP,
+    MembershipFault.TERMINATE,
+    MembershipFault.STARVE,
+    MembershipFault.CUT,
+    MembershipFault.CUT,
+    MembershipFault.LOSS,
+    MembershipFault.DUPLICATE_NAME,
+    MembershipFault.CLOCK_SET_BACK,
+    MembershipFault.FORGE,
 )
 CUT_KINDS = (
     CutKind.ONE_WAY,
@@ -61,9 +61,9 @@
 INBOUND_CUTS = (CutKind.MEMBER_IN, CutKind.ZONE_IN)
 OUTBOUND_CUTS = (CutKind.MEMBER_OUT, CutKind.ZONE_OUT)
 PROCESS_FAULTS = (
-    FaultKind.KILL,
-    FaultKind.STOP,
-    FaultKind.TERMINATE,
-    FaultKind.CLOCK_SET_BACK,
-    FaultKind.DUPLICATE_NAME,
+    MembershipFault.KILL,
+    MembershipFault.STOP,
+    MembershipFault.TERMINATE,
+    MembershipFault.CLOCK_SET_BACK,
+    MembershipFault.DUPLICATE_NAME,
 )
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -23,7 +23,7 @@
 Pairs = list[tuple[str | None, str | None]]
 
 
-class FaultKind(StrEnum):
+class QuotaFault(StrEnum):
     """What a fault does."""
 
     STOP = "stop"
@@ -44,34 +44,34 @@
 
 
 KINDS = (
-    FaultKind.STOP,
-    FaultKind.STOP,
-    FaultKind.KILL,
-    FaultKind.CUT,
-    FaultKind.ONE_WAY_CUT,
-    FaultKind.LOSS,
-    FaultKind.DELAY,
-    FaultKind.DEMAND,
-    FaultKind.DEMAND,
-    FaultKind.ALL_PLANNERS,
-    FaultKind.LEADER,
-    FaultKind.TWO_PLANNERS,
-    FaultKind.ONE_BY_ONE,
-    FaultKind.STOP_BEFORE_WRITE,
-    FaultKind.OVERSTATED_DEMAND,
-    FaultKind.NAME_ELSEWHERE,
-    FaultKind.REPLACE,
+    QuotaFault.STOP,
+    QuotaFault.STOP,
+    QuotaFault.KILL,
+    QuotaFault.CUT,
+    QuotaFault.ONE_WAY_CUT,
+    QuotaFault.LOSS,
+    QuotaFault.DELAY,
+    QuotaFault.DEMAND,
+    QuotaFault.DEMAND,
+    QuotaFault.ALL_PLANNERS,
+    QuotaFault.LEADER,
+    QuotaFault.TWO_PLANNERS,
+    QuotaFault.ONE_BY_ONE,
+    QuotaFault.STOP_BEFORE_WRITE,
+    QuotaFault.OVERSTATED_DEMAND,
+    QuotaFault.NAME_ELSEWHERE,
+    QuotaFault.REPLACE,
 )
 
 
-class SeededRun(QuotaSimulation):
+class QuotaFaultRun(QuotaSimulation):
     """One seed of faults by chance."""
 
     def __init__(
         self,
         seed: int,
         make: dict | None = None,
-        kinds: Sequence[FaultKind] = KINDS,
+        kinds: Sequence[QuotaFault] = KINDS,
         drift: float | None = None,
         **more: object,
     ) -> None:
@@ -116,13 +116,18 @@
     def _inject_fault(self, end: int) -> None:
         until = self.now + self.random.randrange(1, 12) * SECOND
         kind = self.random.choice(self.kinds)
-        if kind in (FaultKind.STOP, FaultKind.KILL, FaultKind.STOP_BEFORE_WRITE, FaultKind.NAME_ELSEWHERE):
+        if kind in (
+            QuotaFault.STOP,
+            QuotaFault.KILL,
+            QuotaFault.STOP_BEFORE_WRITE,
+            QuotaFault.NAME_ELSEWHERE,
+        ):
             running = self._running()
             if running:
                 self._hurt_process(kind, running)
-        elif kind in (FaultKind.CUT, FaultKind.ONE_WAY_CUT, FaultKind.LOSS, FaultKind.DELAY):
+        elif kind in (QuotaFault.CUT, QuotaFault.ONE_WAY_CUT, QuotaFault.LOSS, QuotaFault.DELAY):
             self._hurt_network(kind, until)
-        elif kind in (FaultKind.DEMAND, FaultKind.OVERSTATED_DEMAND, FaultKind.REPLACE):
+        elif kind in (QuotaFault.DEMAND, QuotaFault.OVERSTATED_DEMAND, QuotaFault.REPLACE):
             self._change_nodes(kind)
         else:
             self._hurt_planners(kind, until)
@@ -135,19 +140,19 @@
     def _seconds_from_now(self, low: int, high: int) -> int:
         return self.now + self.random.randrange(low, high) * SECOND
 
-    def _hurt_process(self, kind: FaultKind, running: list[str]) -> None:
-        if kind == FaultKind.STOP:
+    def _hurt_process(self, kind: QuotaFault, running: list[str]) -> None:
+        if kind == QuotaFault.STOP:
             name = self.random.choice(running)
             self.stop(name)
             self.schedule(self._seconds_from_now(1, 30), self._wake, name, self.processes[name].life)
-        elif kind == FaultKind.KILL:
+        elif kind == QuotaFault.KILL:
             name = self.random.choice(running)
             self.kill(name)
             self.schedule(self._seconds_from_now(0, 8), self._start_again, name)
         else:
             self._stop_before_write(kind, running)
 
-    def _stop_before_write(self, kind: FaultKind, running: list[str]) -> None:
+    def _stop_before_write(self, kind: QuotaFault, running: list[str]) -> None:
         running_nodes = [name for name in running if self.processes[name].is_node]
         name = self.random.choice(running_nodes or self.node_names)
         process = self.processes[name]
@@ -155,17 +160,17 @@
             return
         self.stop_before_write(name)
         self.schedule(self._seconds_from_now(1, 30), self._wake, name, process.life)
-        if kind == FaultKind.NAME_ELSEWHERE:
+        if kind == QuotaFault.NAME_ELSEWHERE:
             self.schedule(self.now + SECOND, self._start_elsewhere, name)
 
-    def _hurt_planners(self, kind: FaultKind, until: int) -> None:
-        if kind == FaultKind.LEADER:
+    def _hurt_planners(self, kind: QuotaFault, until: int) -> None:
+        if kind == QuotaFault.LEADER:
             self._hurt_leader(until)
-        elif kind == FaultKind.ALL_PLANNERS:
+        elif kind == QuotaFault.ALL_PLANNERS:
             for name in self.planner_names:
                 self.kill(name)
                 self.schedule(self._seconds_from_now(0, 4), self._start_again, name)
-        elif kind == FaultKind.TWO_PLANNERS:
+        elif kind == QuotaFault.TWO_PLANNERS:
             for name in self.planner_names[:2]:
                 self.schedule(self.now, self._restart, name, until - self.now)
         else:
@@ -189,29 +194,29 @@
             self.stop(leader)
             self.schedule(until, self._wake, leader, self.processes[leader].life)
 
-    def _change_nodes(self, kind: FaultKind) -> None:
-        if kind == FaultKind.DEMAND:
+    def _change_nodes(self, kind: QuotaFault) -> None:
+        if kind == QuotaFault.DEMAND:
             for name in self.node_names:
                 self.processes[name].demand = self.random.choice([0, 0, 3, 15, 60])
-        elif kind == FaultKind.OVERSTATED_DEMAND:
+        elif kind == QuotaFault.OVERSTATED_DEMAND:
             process = self.processes[self.random.choice(self.node_names)]
             process.overstates_demand = not process.overstates_demand
         else:
             for name in self.node_names[:-1]:
                 self.schedule(self._seconds_from_now(0, 4), self._restart, name, 200_000)
 
-    def _hurt_network(self, kind: FaultKind, until: int) -> None:
-        if kind == FaultKind.LOSS:
+    def _hurt_network(self, kind: QuotaFault, until: int) -> None:
+        if kind == QuotaFault.LOSS:
             rule = {"lose": 0.3, "double": 0.3, "swap": 0.2}
             self._set_rule([(None, None)], until, rule, dict.fromkeys(rule, 0.0))
-        elif kind == FaultKind.DELAY:
+        elif kind == QuotaFault.DELAY:
             rule = {"delay": 1000, "jitter": self.random.choice([300_000, 3_000_000, 10_000_000])}
             self._set_rule([(None, None)], until, rule, dict.fromkeys(rule, 0))
         else:
             some = self.random.sample(list(self.processes), self.random.randrange(1, len(self.processes)))
             rest = [name for name in self.processes if name not in some]
             pairs = [(origin, target) for origin in some for target in rest]
-            if kind == FaultKind.CUT:
+            if kind == QuotaFault.CUT:
                 pairs += [(target, origin) for origin in some for target in rest]
             self._set_rule(pairs, until, {"cut": True}, {"cut": False})
 
@@ -252,7 +257,7 @@
 
 
 @dataclass(frozen=True)
-class SeedResult:
+class QuotaSeedResult:
     """What a seed came to."""
 
     breach: str | None  # what did not hold
@@ -269,16 +274,16 @@
     per: str = "in_hand",
     seconds: int = 60,
     drift: float | None = None,
-) -> SeedResult:
+) -> QuotaSeedResult:
     """Play one seed."""
-    run = SeededRun(seed, mode=mode, per=per, drift=drift)
+    run = QuotaFaultRun(seed, mode=mode, per=per, drift=drift)
     breach = None
     try:
         run.play(seconds)
     except InvariantError as error:
         breach = str(error)
     limit = run.limit.amount if per == "in_hand" else run.limit.burst
-    return SeedResult(breach, run.worst, run.remainder, run.steps, run.use, limit)
+    return QuotaSeedResult(breach, run.worst, run.remainder, run.steps, run.use, limit)
 
 
 def seconds_to_follow_demand(mode: str, holders: int = 16) -> float | None:
--- a/finchcart/fault_injection/scripted_runs/fleet_options.py
+++ b/finchcart/fault_injection/scripted_runs/fleet_options.py
@@ -3,14 +3,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from finchcart.fault_injection.scripted_runs.script import Load, Script
+from finchcart.fault_injection.scripted_runs.script import Script, ScriptedLoad
 
 
 @dataclass(frozen=True)
 class FleetOptions:
     """What a fleet has beside its nodes; the dicts are blocks of the settings file."""
 
-    load: Load | None = None
+    load: ScriptedLoad | None = None
     talk: bool = True  # whether the nodes exchange anything
     planners: int = 0
     spares: int = 0
--- a/finchcart/fault_injection/scripted_runs/process_fleet.py
+++ b/finchcart/fault_injection/scripted_runs/process_fleet.py
@@ -24,7 +24,7 @@
 )
 from finchcart.fault_injection.scripted_runs.fault_injecting_proxy import UP_LINE
 from finchcart.fault_injection.scripted_runs.fleet_options import FleetOptions
-from finchcart.fault_injection.scripted_runs.script import Load
+from finchcart.fault_injection.scripted_runs.script import ScriptedLoad
 from finchcart.fleet_queries import query_limits, send_override
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.store import StoreState
@@ -155,7 +155,7 @@
         self.order({"do": "counts"})
         return json.loads(self.proxy.stdout.readline())
 
-    def _start_simulated_peers(self, load: Load) -> None:
+    def _start_simulated_peers(self, load: ScriptedLoad) -> None:
         """Start store and registry in one process, worker pools in some."""
         paths = [self._path(f"{name}.json") for name in self.node_names]
         arguments = ["--work-ms", str(load.work_ms), "--store-work-ms", str(load.store_ms)]
--- a/finchcart/fault_injection/scripted_runs/process_run.py
+++ b/finchcart/fault_injection/scripted_runs/process_run.py
@@ -18,7 +18,7 @@
     TRUTH_FILE,
     ProcessFleet,
 )
-from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.run_record import Facts, ScriptedRunRecord
 from finchcart.fault_injection.scripted_runs.script import Script, StepKind
 from finchcart.fleet_queries import query_members
 from finchcart.key_leases.config import KeyLeaseConfig
@@ -35,7 +35,7 @@
 END = "end"  # the action at the end of a run
 
 
-def play_on_processes(plan: Plan, folder: Path, talk: bool = True, oracle: bool = False) -> RunRecord:
+def play_on_processes(plan: Plan, folder: Path, talk: bool = True, oracle: bool = False) -> ScriptedRunRecord:
     """Play a plan; logs and files go to `folder`.
 
     Without `talk` the nodes exchange nothing; with `oracle` each node is told of the store's state at once.
@@ -53,7 +53,7 @@
         fleet.end()
     facts["late_s"] = late_s
     alias = partial(source_alias, fleet.addresses.sources_net)
-    return RunRecord(events_from_logs(folder, plan.names, fleet.began, alias), start, facts)
+    return ScriptedRunRecord(events_from_logs(folder, plan.names, fleet.began, alias), start, facts)
 
 
 def source_alias(sources_net: str, host: str) -> str:
--- a/finchcart/fault_injection/scripted_runs/run_record.py
+++ b/finchcart/fault_injection/scripted_runs/run_record.py
@@ -7,7 +7,7 @@
 Facts = dict  # written into results.json as it is
 
 
-class RunRecord(NamedTuple):
+class ScriptedRunRecord(NamedTuple):
     """The record of one run, on processes or on the virtual clock."""
 
     events: list[Event]
--- a/finchcart/fault_injection/scripted_runs/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -9,7 +9,7 @@
 
 from finchcart.fault_injection.scripted_runs.checker import Event, EventKind, Result
 from finchcart.fault_injection.scripted_runs.plan import Plan
-from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.run_record import Facts, ScriptedRunRecord
 
 US_PER_S = 1e6
 US_PER_MS = 1000
@@ -129,7 +129,7 @@
 # ---- use of a limit
 
 
-def use_rows(plan: Plan, record: RunRecord) -> list[dict]:
+def use_rows(plan: Plan, record: ScriptedRunRecord) -> list[dict]:
     """Return for each kind of round what the store counted.
 
     Told are use of the limit, the least of one round, most in hand, and by how much that is beyond the limit.
@@ -186,7 +186,7 @@
 # ---- calls by round
 
 
-def call_rows(plan: Plan, record: RunRecord) -> list[dict]:
+def call_rows(plan: Plan, record: ScriptedRunRecord) -> list[dict]:
     """Return for each kind of round with faults of the store or floods what became of calls.
 
     Told are calls, those wasted on a store that is down, the most in hand, the most changes of the store's
--- a/finchcart/fault_injection/scripted_runs/runner.py
+++ b/finchcart/fault_injection/scripted_runs/runner.py
@@ -18,7 +18,7 @@
 from finchcart.fault_injection.scripted_runs.limit_bounds import bucket_bound, overshoot_bound
 from finchcart.fault_injection.scripted_runs.plan import Plan, make_plan
 from finchcart.fault_injection.scripted_runs.process_run import play_on_processes
-from finchcart.fault_injection.scripted_runs.run_record import RunRecord
+from finchcart.fault_injection.scripted_runs.run_record import ScriptedRunRecord
 from finchcart.fault_injection.scripted_runs.run_report import (
     call_rows,
     call_table,
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class ScriptedRunReport:
     """The rows of a run's tables, and the text of all of them."""
 
     results: list[Result]
@@ -125,7 +125,7 @@
     return script
 
 
-def play_plan(plan: Plan, options: RunOptions, folder: Path) -> RunRecord:
+def play_plan(plan: Plan, options: RunOptions, folder: Path) -> ScriptedRunRecord:
     """Play a plan where the options say."""
     if options.virtual:
         return play_on_virtual_clock(plan)
@@ -136,7 +136,7 @@
 # ---- the report
 
 
-def make_report(plan: Plan, record: RunRecord, options: RunOptions) -> Report:
+def make_report(plan: Plan, record: ScriptedRunRecord, options: RunOptions) -> ScriptedRunReport:
     """Check a run and put its tables together."""
     results = [] if options.apart else check_plan(plan, record.events, record.start)
     expectations = expectation_rows(results)
@@ -147,10 +147,12 @@
         parts.append(use_table(uses))
     if calls:
         parts.append(call_table(calls))
-    return Report(results, expectations, uses, calls, "\n\n".join(parts))
+    return ScriptedRunReport(results, expectations, uses, calls, "\n\n".join(parts))
 
 
-def save_report(plan: Plan, record: RunRecord, report: Report, options: RunOptions, folder: Path) -> None:
+def save_report(
+    plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions, folder: Path
+) -> None:
     """Write table.md, results.json and timeline.png."""
     from finchcart.fault_injection.scripted_runs.timeline_chart import (
         save_timeline,  # matplotlib is slow to import
@@ -175,12 +177,16 @@
 # ---- breaches
 
 
-def first_breach(plan: Plan, record: RunRecord, report: Report, options: RunOptions) -> Result | None:
+def first_breach(
+    plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions
+) -> Result | None:
     """Return the first breach of an expectation, of the limit or of key leases."""
     return next(breaches(plan, record, report, options), None)
 
 
-def breaches(plan: Plan, record: RunRecord, report: Report, options: RunOptions) -> Iterator[Result]:
+def breaches(
+    plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions
+) -> Iterator[Result]:
     """Yield all that did not hold."""
     script = plan.script
     overshoot = overshoot_bound(script)
@@ -215,7 +221,7 @@
         yield Result("limit", "rate", [], 0, text)
 
 
-def wrong_effects(script: Script, record: RunRecord) -> Iterator[Result]:
+def wrong_effects(script: Script, record: ScriptedRunRecord) -> Iterator[Result]:
     """Yield a breach if a key ran twice, or was answered ok and never ran."""
     effects = record.facts.get("effects")
     if not effects:
--- a/finchcart/fault_injection/scripted_runs/script.py
+++ b/finchcart/fault_injection/scripted_runs/script.py
@@ -102,7 +102,7 @@
     limit: int = 0  # that holds in this span, where it is another than at the start
 
 
-class Load(Struct, forbid_unknown_fields=True):
+class ScriptedLoad(Struct, forbid_unknown_fields=True):
     """RPCs of simulated clients, and the simulated peers that the nodes need for them."""
 
     rate: float  # RPCs a second, all nodes together
@@ -123,7 +123,7 @@
     rounds: list[Round]
     zones: int = 3
     fleet: dict = {}
-    load: Load | None = None
+    load: ScriptedLoad | None = None
     planners: int = 0  # named p0, p1, ...: in no set but by name, or all of them by "planners"
     spares: int = 0
     limits: list[dict] = field(default_factory=list)  # as in the settings file
--- a/finchcart/fault_injection/scripted_runs/virtual_run.py
+++ b/finchcart/fault_injection/scripted_runs/virtual_run.py
@@ -6,7 +6,7 @@
 from finchcart.fault_injection.membership.simulation import MemberFactory, MembershipSimulation
 from finchcart.fault_injection.scripted_runs.checker import Event, EventKind
 from finchcart.fault_injection.scripted_runs.plan import Plan, PlannedAction
-from finchcart.fault_injection.scripted_runs.run_record import Facts, RunRecord
+from finchcart.fault_injection.scripted_runs.run_record import Facts, ScriptedRunRecord
 from finchcart.fault_injection.scripted_runs.script import StepKind
 from finchcart.fleet.effects import LogLine
 from finchcart.fleet.inputs import Leave, Shutdown
@@ -33,7 +33,7 @@
 
 def play_on_virtual_clock(
     plan: Plan, make: MemberFactory = Member, after_step: AfterStep | None = None
-) -> RunRecord:
+) -> ScriptedRunRecord:
     """Play a plan; `make` makes a member, so that a planted defect can be played."""
     return VirtualRun(plan, make, after_step).play()
 
@@ -51,7 +51,7 @@
         self.random = Random(f"drain {plan.seed}")
         self.drain_ends: dict[str, int] = {}  # name -> when its drain is over
 
-    def play(self) -> RunRecord:
+    def play(self) -> ScriptedRunRecord:
         """Play all actions in order of their times."""
         for name in self.plan.first:
             self._start(name)
@@ -64,7 +64,7 @@
         while self.drain_ends:
             self._end_next_drain()
         self.fleet.run(self.start + int(self.plan.seconds * US_PER_S), self.after_step)
-        return RunRecord(self.events, self.start, self._facts())
+        return ScriptedRunRecord(self.events, self.start, self._facts())
 
     def _watch(self, now: int, name: str, effect: tuple) -> None:
         if isinstance(effect, MemberChanged):
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -20,7 +20,7 @@
 from finchcart.fault_injection.processes.process_shim import ProcessShim
 from finchcart.fault_injection.soak.plan import SoakPlan
 from finchcart.fault_injection.soak.recorded_rules import SLACK_S, NodeLife, Pause, Rules, breaches
-from finchcart.fault_injection.soak.recording_client import RecordingClient, RpcRecord
+from finchcart.fault_injection.soak.recording_client import ClientRpcRecord, RecordingClient
 from finchcart.fault_injection.soak.stream_relay import StreamRelay
 from finchcart.simulated_peers.client import Client
 from finchcart.simulated_peers.registry import SimulatedRegistry
@@ -200,7 +200,7 @@
 
     # ---- What came of it
 
-    def records(self) -> list[RpcRecord]:
+    def records(self) -> list[ClientRpcRecord]:
         """Return the records of all clients."""
         return [record for client in self.clients for record in client.records]
 
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from finchcart.fault_injection.soak.recording_client import RpcRecord
+from finchcart.fault_injection.soak.recording_client import ClientRpcRecord
 from finchcart.simulated_peers.client import ClientOutcome
 from finchcart.simulated_peers.worker_pool import LoadSample, RunTiming, highest_mean
 
@@ -50,7 +50,7 @@
 
 
 def breaches(
-    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunTiming]
+    rules: Rules, lives: Sequence[NodeLife], records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     """Return a line for each broken rule of one node."""
     found = []
@@ -70,7 +70,7 @@
     return sum(max(0.0, min(until, each.ended) - max(since, each.began)) for each in life.pauses)
 
 
-def _lost_and_late(rules: Rules, lives: Sequence[NodeLife], records: Iterable[RpcRecord]) -> list[str]:
+def _lost_and_late(rules: Rules, lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord]) -> list[str]:
     found = []
     for record in records:
         life = _life_of(lives, record.written_at)
@@ -96,12 +96,12 @@
 
 
 def _second_effects(
-    lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Sequence[RunTiming]
+    lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     """What is not idempotent takes effect once in a window and in the life of a process."""
     found = []
     by_name = {record.name: record for record in records}
-    ran_by_effect: dict[tuple, list[RpcRecord]] = defaultdict(list)
+    ran_by_effect: dict[tuple, list[ClientRpcRecord]] = defaultdict(list)
     for run in runs:
         record = by_name.get(run.handle)
         if record and record.method.kind != "read_like":
@@ -115,7 +115,7 @@
     return found
 
 
-def _wrong_answers(records: Sequence[RpcRecord], runs: Sequence[RunTiming]) -> list[str]:
+def _wrong_answers(records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]) -> list[str]:
     """A rejection says that nothing ran; a result is what a run of that request made."""
     found = []
     started = {run.handle for run in runs}
@@ -136,7 +136,7 @@
 
 
 def _runs_past_the_grace(
-    rules: Rules, lives: Sequence[NodeLife], records: Iterable[RpcRecord], runs: Iterable[RunTiming]
+    rules: Rules, lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Iterable[RunTiming]
 ) -> list[str]:
     began = {run.handle: run.began for run in runs}
     found = []
@@ -151,7 +151,7 @@
 
 
 def _overload(
-    rules: Rules, lives: Sequence[NodeLife], records: Sequence[RpcRecord], runs: Sequence[RunTiming]
+    rules: Rules, lives: Sequence[NodeLife], records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     found = []
     on_cores = highest_mean(
@@ -181,7 +181,7 @@
 
 
 def highest_memory(
-    rules: Rules, records: Iterable[RpcRecord], runs: Sequence[RunTiming], pauses: Sequence[Pause] = ()
+    rules: Rules, records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming], pauses: Sequence[Pause] = ()
 ) -> float:
     """Return the most memory that requests took at any moment, in kilobytes.
 
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class RpcRecord:
+class ClientRpcRecord:
     """One try of an RPC."""
 
     name: str
@@ -85,7 +85,7 @@
         seed: int,
         unix_time: Callable[[], float],
     ) -> None:
-        self.records: list[RpcRecord] = []
+        self.records: list[ClientRpcRecord] = []
         self.connections: list[ConnectionRecord] = []
         self._node = node
         self._address = address
@@ -122,7 +122,7 @@
 
     def _use(self, client: Client, connection: ConnectionRecord) -> None:
         """Send on a connection until it is announced to close, ends, or the client is stopped."""
-        open_rpcs: dict[int, RpcRecord] = {}
+        open_rpcs: dict[int, ClientRpcRecord] = {}
         reader = threading.Thread(target=self._read, args=(client, connection, open_rpcs), daemon=True)
         reader.start()
         while connection.ended_at is None and connection.closing_at is None and not self._stopped.is_set():
@@ -139,7 +139,9 @@
         reader.join(CLOSE_TIMEOUT_S)
         client.sock.close()
 
-    def _submit(self, client: Client, connection: ConnectionRecord, open_rpcs: dict[int, RpcRecord]) -> bool:
+    def _submit(
+        self, client: Client, connection: ConnectionRecord, open_rpcs: dict[int, ClientRpcRecord]
+    ) -> bool:
         method = self._random.choice(self._methods)
         name = f"{self._random.getrandbits(64):016x}"
         key = None
@@ -149,7 +151,7 @@
         memory_kb = self._random.choice((5.0, 20.0, 40.0))
         sequence = client.sequence + 1
         stamp = str(int(self._unix_time() * 1000))
-        record = RpcRecord(name, method, body, key, memory_kb, time.monotonic(), connection)
+        record = ClientRpcRecord(name, method, body, key, memory_kb, time.monotonic(), connection)
         open_rpcs[sequence] = record
         try:
             client.submit(
@@ -170,7 +172,9 @@
             return record.key, record.body
         return name * 2, name.encode()
 
-    def _read(self, client: Client, connection: ConnectionRecord, open_rpcs: dict[int, RpcRecord]) -> None:
+    def _read(
+        self, client: Client, connection: ConnectionRecord, open_rpcs: dict[int, ClientRpcRecord]
+    ) -> None:
         client.sock.settimeout(None)
         try:
             while True:
--- a/tests/test_consensus_rounds.py
+++ b/tests/test_consensus_rounds.py
@@ -14,21 +14,21 @@
 )
 from finchcart.consensus.overrides import Override, OverrideTable
 from finchcart.consensus.store import ConsensusStore
-from finchcart.fault_injection.consensus.fault_run import SeededRun
+from finchcart.fault_injection.consensus.fault_run import ConsensusFaultRun
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.gossip import GossipEntryStore
 from tests.consensus_examples import SHORT
 
 
-@pytest.mark.parametrize("kind", SeededRun.KINDS)
+@pytest.mark.parametrize("kind", ConsensusFaultRun.KINDS)
 def test_a_round_of_each_kind_holds_its_bounds(kind):
-    run = SeededRun(1, 6, (kind,), 1, consensus_config=SHORT)
+    run = ConsensusFaultRun(1, 6, (kind,), 1, consensus_config=SHORT)
     run.play()
     assert all(took <= bound for _, _, took, bound in run.timings)
 
 
 def test_a_seed_replays_identically():
-    assert len({SeededRun(3, 5, ("flood",), 1, consensus_config=SHORT).play() for _ in range(2)}) == 1
+    assert len({ConsensusFaultRun(3, 5, ("flood",), 1, consensus_config=SHORT).play() for _ in range(2)}) == 1
 
 
 def planted(kinds, seeds=range(3), count=8, changes=(), config=SHORT, **more):
@@ -39,7 +39,7 @@
             setattr(where, name, new)
         for seed in seeds:
             try:
-                SeededRun(seed, count, kinds, 2, consensus_config=config, **more).play()
+                ConsensusFaultRun(seed, count, kinds, 2, consensus_config=config, **more).play()
             except InvariantError:
                 return True
         return False
--- a/tests/test_key_lease_defects.py
+++ b/tests/test_key_lease_defects.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from finchcart.fault_injection.key_leases.fault_run import SeededRun
+from finchcart.fault_injection.key_leases.fault_run import KeyLeaseFaultRun
 from finchcart.fault_injection.key_leases.simulation import KeyLeaseSimulation
 from finchcart.fault_injection.key_leases.state_space import KEY
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
@@ -111,7 +111,7 @@
 def test_a_planted_defect_is_found(name):
     for seed in range(30):
         try:
-            SeededRun(seed, make=DEFECTS[name]).play(20)
+            KeyLeaseFaultRun(seed, make=DEFECTS[name]).play(20)
         except InvariantError:
             return
     raise AssertionError("not found in 30 seeds")
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -7,7 +7,7 @@
 import json5
 import pytest
 
-from finchcart.fault_injection.key_leases.fault_run import SeededRun
+from finchcart.fault_injection.key_leases.fault_run import KeyLeaseFaultRun
 from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation
 from finchcart.fault_injection.key_leases.state_space import KEY, explore, perform
 from finchcart.fleet_settings.configs import key_lease_config
@@ -135,14 +135,14 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_key_runs_twice_in_seeded_runs(seed):
-    run = SeededRun(seed)
+    run = KeyLeaseFaultRun(seed)
     run.play(20)
     assert run.key_count > 50
     assert sum(map(len, run.runs.values())) > 10
 
 
 def test_a_seed_replays_identically():
-    assert SeededRun(5).play(10) == SeededRun(5).play(10)
+    assert KeyLeaseFaultRun(5).play(10) == KeyLeaseFaultRun(5).play(10)
 
 
 def test_the_bounded_search_of_all_orders_finds_nothing():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 import pytest
 
 from finchcart.errors import SettingsError
-from finchcart.fault_injection.membership.fault_run import SeededRun
+from finchcart.fault_injection.membership.fault_run import MembershipFaultRun
 from finchcart.fault_injection.membership.simulation import MembershipSimulation
 from finchcart.fleet.codec import encode_value, xxh64_digest
 from finchcart.fleet.inputs import DatagramReceived
@@ -91,7 +91,7 @@
 
 
 def test_seeded_runs_keep_all_properties_and_replay_identically():
-    traces = [SeededRun(seed).play() for seed in (3, 3, 18)]
+    traces = [MembershipFaultRun(seed).play() for seed in (3, 3, 18)]
     assert traces[0] == traces[1] != traces[2]
 
 
--- a/tests/test_membership_defects.py
+++ b/tests/test_membership_defects.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from finchcart.fault_injection.membership.fault_run import SeededRun
+from finchcart.fault_injection.membership.fault_run import MembershipFaultRun
 from finchcart.fault_injection.membership.simulation import MembershipSimulation
 from finchcart.fault_injection.scripted_runs.checker import check_plan
 from finchcart.fault_injection.scripted_runs.plan import make_plan
@@ -346,4 +346,4 @@
     monkeypatch.setattr(MemberTable, "receive", receive_older_too)
     with pytest.raises(InvariantError):
         for seed in range(4):
-            SeededRun(seed).play()
+            MembershipFaultRun(seed).play()
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from finchcart.fault_injection.quota.fault_run import SeededRun
+from finchcart.fault_injection.quota.fault_run import QuotaFaultRun
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fleet.inputs import DatagramReceived
 from finchcart.quota import messages
@@ -78,7 +78,7 @@
 
 
 def test_seeded_runs_are_never_over_and_replay_identically():
-    traces = [SeededRun(seed).play(30) for seed in (1, 1, 2, 3, 4, 5, 6, 7)]
+    traces = [QuotaFaultRun(seed).play(30) for seed in (1, 1, 2, 3, 4, 5, 6, 7)]
     assert traces[0] == traces[1] != traces[2]
 
 
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from finchcart.fault_injection.quota.fault_run import SeededRun
+from finchcart.fault_injection.quota.fault_run import QuotaFaultRun
 from finchcart.fault_injection.quota.state_space import explore
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet.inputs import Tick
@@ -181,7 +181,7 @@
     def play(make):
         for seed in range(count):
             try:
-                SeededRun(seed, make).play(40)
+                QuotaFaultRun(seed, make).play(40)
             except InvariantError as breach:
                 return [breach]
         return []
