--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -159,6 +159,10 @@
         datagram = self.in_flight[index] if keep else self.in_flight.pop(index)
         self.feed(datagram.target, DatagramReceived(self.address(datagram.origin), datagram.data))
 
+    def lose(self, index: int) -> None:
+        """Lose one of the messages under way."""
+        del self.in_flight[index]
+
     def pass_time(self, span: int) -> None:
         """Let so many microseconds pass and all processes tick."""
         self.now += span
--- a/finchcart/fault_injection/quota/state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -1,18 +1,19 @@
 """A bounded exhaustive search of elections and grants: every placing of a few faults.
 
-Owns the search. Time goes in steps; in each, all processes tick and all messages arrive, until none is
-under way. Before each step any one fault may happen: a process is restarted, stops or goes on; what goes
-from one to another is delayed by some steps, or arrives now and once more later, or is lost; a holder's
-demand changes. Clocks drift apart by the stated part, each way that `DRIFTS` names. All placings of a
-bounded number of faults within a bounded number of steps are tried; a state met before with as many faults
-left is not entered again. It must never cut a branch for any other reason.
+Owns what may happen in a step. Time goes in steps; in each, all processes tick and all messages arrive,
+until none is under way. Before each step any one fault may happen: a process is restarted, stops or goes
+on; what goes from one to another is delayed by some steps, or arrives now and once more later, or is lost;
+a holder's demand changes. Clocks drift apart by the stated part, each way that `DRIFTS` names. All placings
+of a bounded number of faults within a bounded number of steps are tried. The frame of the search is in
+virtual_time/state_space.py.
 """
 
 import pickle
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator, Sequence
 from typing import Any, NamedTuple
 
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.state_space import Budget, SearchResult, StateSpaceSearch
 from finchcart.fleet import codec
 from finchcart.fleet.effects import SendDatagram
 from finchcart.fleet.inputs import DatagramReceived, Tick
@@ -80,13 +81,17 @@
 
 
 class Fault(NamedTuple):
-    """A fault that may happen before a step: see `inject` for its action."""
+    """A fault that may happen before a step: `action(state, *arguments)`, or messages that are delayed."""
 
     name: str
-    action: tuple | None = None
+    action: Callable[..., None] | None = None
+    arguments: tuple = ()
     delay: Delay | None = None
 
 
+NO_FAULT = Fault("")
+
+
 class DelayedMessage(NamedTuple):
     """A message under way until a step."""
 
@@ -131,6 +136,11 @@
         """Tell a holder its node's demand."""
         self.machines[name].reduce(self.clock(name), UsageReported("store", 0, demand))
 
+    def change_demand(self, name: str, demand: int) -> None:
+        """Change the demand of a holder's node; a stopped holder is not told."""
+        if name not in self.stopped:
+            self.report_demand(name, demand)
+
     def clock(self, name: str, count: int = 0) -> int:
         """Return what the process's own clock reads, after so many inputs of the step."""
         return int((self.now + count) * self.clock_rates[name])
@@ -184,6 +194,10 @@
             self.delayed.append(DelayedMessage(self.step + delay.steps, origin, target, data))
         return delay.twice
 
+    def stop(self, name: str) -> None:
+        """Stop a process: datagrams wait for it."""
+        self.stopped[name] = []
+
     def resume(self, name: str) -> None:
         """Let a stopped process go on: it gets what waited."""
         for waiting in self.stopped.pop(name):
@@ -212,13 +226,13 @@
     """Yield each fault that may happen before the next step."""
     for name in NAMES:
         if name in state.stopped:
-            yield Fault(f"{name} goes on", ("go on", name))
+            yield Fault(f"{name} goes on", QuotaState.resume, (name,))
         else:
-            yield Fault(f"{name} started anew", ("start", name))
-            yield Fault(f"{name} stops", ("stop", name))
+            yield Fault(f"{name} started anew", QuotaState.start, (name,))
+            yield Fault(f"{name} stops", QuotaState.stop, (name,))
     for name in HOLDERS:
         for demand in DEMANDS:
-            yield Fault(f"{name} wants {demand}", ("want", name, demand))
+            yield Fault(f"{name} wants {demand}", QuotaState.change_demand, (name, demand))
     for origin in NAMES:
         for target in NAMES:
             if origin != target and (origin in PLANNERS or target in PLANNERS):
@@ -233,75 +247,47 @@
     yield Fault(f"{origin} to {target} twice", delay=Delay(origin, target, TWICE_DELAY, twice=True))
 
 
-def inject(state: QuotaState, action: tuple | None) -> None:
-    """Carry out a fault's action: its word, a name, and for a demand its amount."""
-    if action is None:
-        return
-    word, name, *amount = action
-    if word == "start":
-        state.start(name)
-    elif word == "stop":
-        state.stopped[name] = []
-    elif word == "go on":
-        state.resume(name)
-    elif name not in state.stopped:
-        state.report_demand(name, *amount)
+class QuotaSearch(StateSpaceSearch[QuotaState, Fault]):
+    """The search of elections and grants; its budget is (faults,)."""
 
+    def __init__(self, last_step: int, share: tuple[int, int]) -> None:
+        super().__init__(share)
+        self.last_step = last_step
 
-class Branch(NamedTuple):
-    """A state that is to be entered, and the faults that led to it."""
+    def choices(self, state: QuotaState, budget: Budget) -> Sequence[Fault]:
+        """Return all faults that may happen before the next step, and first that none does."""
+        if state.step >= self.last_step:
+            return []
+        (faults_left,) = budget
+        return [NO_FAULT, *faults(state)] if faults_left else [NO_FAULT]
 
-    state: bytes  # pickled
-    faults_left: int
-    path: tuple[str, ...]
+    def perform(self, state: QuotaState, choice: Fault) -> None:
+        """Inject the fault and play the step."""
+        if choice.action is not None:
+            choice.action(state, *choice.arguments)
+        state.play_step(choice.delay)
+        state.check()
 
-    @property
-    def is_first(self) -> bool:
-        """Whether no fault was made yet."""
-        return not self.path
+    def label(self, state: QuotaState, choice: Fault) -> str:
+        """Return the step and the fault's name."""
+        return f"{state.step}: {choice.name}"
 
+    def extends_path(self, choice: Fault) -> bool:
+        """Whether a fault was made."""
+        return choice is not NO_FAULT
 
-class Search:
-    """The states met so far, with the faults that were left."""
+    def budget_after(self, budget: Budget, choice: Fault) -> Budget:
+        """Return the faults that are left."""
+        (faults_left,) = budget
+        return (faults_left - self.extends_path(choice),)
 
-    def __init__(self, last_step: int, share: tuple[int, int]) -> None:
-        self.last_step = last_step
-        self.share = share
-        self.stack: list[Branch] = []
-        self.met: dict[int, int] = {}
-        self.count = 0
-
-    def enter(self, branch: Branch) -> str | None:
-        """Try all faults before the next step; return the first breach with what led to it."""
-        state = pickle.loads(branch.state)
-        if state.step >= self.last_step:
-            return None
-        choices = [Fault("")]
-        if branch.faults_left:
-            choices += faults(state)
-        part, parts = self.share
-        for number, fault in enumerate(choices):
-            if branch.is_first and number and number % parts != part:
-                continue
-            following = pickle.loads(branch.state)
-            try:
-                inject(following, fault.action)
-                following.play_step(fault.delay)
-                following.check()
-            except AssertionError as error:
-                return f"{'; '.join([*branch.path, f'{following.step}: {fault.name}'])}: {error}"
-            self._push(following, branch, fault)
-        return None
-
-    def _push(self, state: QuotaState, branch: Branch, fault: Fault) -> None:
-        faults_left = branch.faults_left - bool(fault.name)
-        key = state.key()
-        if self.met.get(key, -1) >= faults_left:
-            return
-        self.met[key] = faults_left
-        self.count += 1
-        path = (*branch.path, f"{state.step}: {fault.name}") if fault.name else branch.path
-        self.stack.append(Branch(pickle.dumps(state), faults_left, path))
+    def key(self, state: QuotaState) -> int:
+        """Return the hash of a state."""
+        return state.key()
+
+    def is_in_share(self, number: int) -> bool:
+        """Whether a choice is in this search's part: no fault is in all parts."""
+        return number == 0 or super().is_in_share(number)
 
 
 def explore(
@@ -311,7 +297,7 @@
     begin: int = ELECTION_STEPS,
     share: tuple[int, int] = (0, 1),
     drift: int = 0,
-) -> tuple[int, str | None]:
+) -> SearchResult:
     """Return the number of states, and the first breach with the faults that led to it, or None.
 
     The first `begin` steps are without faults: a planner leads by then. At most `most` faults are placed in
@@ -321,10 +307,4 @@
     state = QuotaState(make or {}, DRIFTS[drift])
     for _ in range(begin):
         state.play_step(None)
-    search = Search(begin + depth, share)
-    search.stack.append(Branch(pickle.dumps(state), most, ()))
-    while search.stack:
-        breach = search.enter(search.stack.pop())
-        if breach:
-            return search.count, breach
-    return search.count, None
+    return QuotaSearch(begin + depth, share).explore(state, (most,))
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -9,7 +9,7 @@
 
 from finchcart.fault_injection.key_leases.fault_run import KeyLeaseFaultRun
 from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation
-from finchcart.fault_injection.key_leases.state_space import KEY, explore, perform
+from finchcart.fault_injection.key_leases.state_space import KEY, claim, explore
 from finchcart.fleet_settings.configs import key_lease_config
 from finchcart.fleet_settings.file import check_settings
 from finchcart.key_leases import messages
@@ -153,9 +153,9 @@
 
 def test_choices_of_the_search_are_executed():
     simulation, rng = KeyLeaseSimulation(), random.Random(3)
-    perform(simulation, ("claim", "h0"))
+    claim(simulation, "h0")
     for _ in range(30):
         if simulation.in_flight:
-            perform(simulation, ("deliver", rng.randrange(len(simulation.in_flight))))
-        perform(simulation, ("time", 10 * MS))
+            simulation.deliver(rng.randrange(len(simulation.in_flight)))
+        simulation.pass_time(10 * MS)
     assert simulation.answers["h0", KEY] == [LeaseStatus.GRANTED]
