--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -19,9 +19,9 @@
     WriteResumed,
 )
 from finchcart.thrift.frontend import ThriftFrontend
-from tests.simulated_dispatchers import SimulatedDispatchers
-from tests.simulated_pool import SimulatedPool
-from tests.simulated_store import SimulatedStore
+from tests.dispatchers_double import DispatchersDouble
+from tests.pool_double import PoolDouble
+from tests.store_double import StoreDouble
 from tests.typed_settings import typed
 
 MS = 1000
@@ -31,7 +31,7 @@
 class CoreHarness:
     """Dispatchers, worker pool, store and registry round one core, and the connections between them."""
 
-    dispatchers_type = SimulatedDispatchers
+    dispatchers_type = DispatchersDouble
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self.settings = settings
         self.now = NOW
         self.rng = random.Random(seed)
-        self.limits = Limits(memory=192 * 2**20, descriptors=200, stop_timeout=3_000 * MS, **limits)
+        self.limits = Limits(memory_bytes=192 * 2**20, descriptors=200, stop_timeout_us=3_000 * MS, **limits)
         self.addresses = NodeAddresses(("pool", 1), ("store", 1), ("registry", 1))
         self.core = Core(
             typed(settings),
@@ -78,8 +78,8 @@
         self.write_block_probability = 0.01  # how often a peer does not read what is sent
         self.commands = []  # of the core to worker pool and store, not read yet: (connection, data)
         self.dispatchers = self.dispatchers_type(self)
-        self.pool = SimulatedPool(self)
-        self.store = SimulatedStore(self)
+        self.pool = PoolDouble(self)
+        self.store = StoreDouble(self)
         self.drain_notice_at = None
         self.ended = False
         self.feed(Start())
@@ -227,7 +227,7 @@
 
     def on_stop_listening(self):
         times = self.core.shutdown.times
-        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period
+        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period_us
         assert is_last_moment or not self.dispatchers.responses_pending()
 
     def on_end(self):
@@ -252,7 +252,7 @@
         self.dispatchers.check()
         cache = self.core.idempotency
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result)
-        assert cache.result_bytes <= self.limits.cached_results
+        assert cache.result_bytes <= self.limits.cached_results_bytes
         assert not self.reports or self.now - self.reports[-1][0] < 2_000 * MS or self.ended
 
 
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -13,7 +13,7 @@
 from finchcart.thrift import codec as thrift
 from tests.core_cases import ends_well, how, plain_harness, running
 from tests.core_harness import MS
-from tests.simulated_dispatchers import read_answer
+from tests.dispatchers_double import read_answer
 
 
 def test_a_dispatcher_that_never_reads_is_read_no_further():
@@ -137,7 +137,7 @@
     harness.step(MS)
     while not harness.frontend.table.connections[link].closing_announced:
         harness.step(MS)
-    harness.step(harness.limits.close_delay - MS)
+    harness.step(harness.limits.close_delay_us - MS)
     assert harness.connections[link] == "open"
     return link
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -12,9 +12,9 @@
 from tests.core_cases import GAUGES, running
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
+from tests.dispatchers_double import DispatchersDouble
 from tests.harness import draw_settings
 from tests.random_core_runs import play
-from tests.simulated_dispatchers import SimulatedDispatchers
 
 
 class MemoryFrontend:
@@ -100,7 +100,7 @@
         return not self.links
 
 
-class MemoryFrontendDispatchers(SimulatedDispatchers):
+class MemoryFrontendDispatchers(DispatchersDouble):
     def on_reply(self, connection, data):
         sequence, outcome, body = data
         self.record_answer(connection, sequence, outcome, body)
@@ -117,7 +117,7 @@
 def test_rules_hold_through_a_frontend_of_another_kind(seed):
     rng = random.Random(100 + seed)
     harness = MemoryFrontendHarness(
-        {**draw_settings(rng), **GAUGES}, seed, cached_results=rng.choice((60, 10_000))
+        {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
     assert "ok" in play(harness, rng) and not harness.frontend.rpcs
     assert ("health", False) in harness.frontend.said and harness.frontend.said[-1][0] != "health"
