--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -17,6 +17,7 @@
     TICK_US,
     Datagram,
     Key,
+    KeyLeaseFactories,
     KeyLeaseSimulation,
     is_replica,
 )
@@ -69,7 +70,7 @@
         seed: int,
         clients: int = 4,
         replicas: int = 3,
-        make: dict | None = None,
+        factories: KeyLeaseFactories | None = None,
         config: KeyLeaseConfig | None = None,
     ) -> None:
         self.chance = Random(f"claims {seed}")
@@ -77,7 +78,7 @@
         config = config or KeyLeaseConfig(lease_duration=LIFE_US)
         names = [f"k{number}" for number in range(replicas)] + [f"h{number}" for number in range(clients)]
         clock_rates = {name: 1 + self.chance.choice((-1, 0, 1)) * config.drift for name in names}
-        super().__init__(replicas, clients, config, make, clock_rates)
+        super().__init__(replicas, clients, config, factories, clock_rates)
         self.steps = 0
         self.key_count = 0
         self.cuts: set[tuple[str, str]] = set()
@@ -248,9 +249,9 @@
     runs: int
 
 
-def play_seed(seed: int, seconds: int = 30, make: dict | None = None) -> KeyLeaseSeedResult:
+def play_seed(seed: int, seconds: int = 30, factories: KeyLeaseFactories | None = None) -> KeyLeaseSeedResult:
     """Play one seed."""
-    run = KeyLeaseFaultRun(seed, make=make)
+    run = KeyLeaseFaultRun(seed, factories=factories)
     breach = None
     try:
         run.play(seconds)
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -5,6 +5,7 @@
 machine's word for a run.
 """
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 from typing import Any, NamedTuple
@@ -36,6 +37,14 @@
     data: bytes
 
 
+@dataclass(frozen=True)
+class KeyLeaseFactories:
+    """What makes the state machines, so that planted defects can be played."""
+
+    replica: Callable[..., KeyLeaseReplica] = KeyLeaseReplica
+    client: Callable[..., KeyLeaseClient] = KeyLeaseClient
+
+
 @dataclass
 class KeyLeaseRun:
     """A run of a key."""
@@ -49,8 +58,7 @@
 class KeyLeaseSimulation:
     """Replicas k0, k1, ... and clients h0, h1, ...
 
-    `make` has factories by "keeper" and "holder", so that planted defects can be played; `clock_rates` are
-    of the processes' clocks to true time.
+    `clock_rates` are of the processes' clocks to true time.
     """
 
     def __init__(
@@ -58,12 +66,12 @@
         replicas: int = 3,
         clients: int = 2,
         config: KeyLeaseConfig | None = None,
-        make: dict | None = None,
+        factories: KeyLeaseFactories | None = None,
         clock_rates: dict[str, float] | None = None,
     ) -> None:
         addresses = tuple(f"10.0.{REPLICA_NET}.{number + 1}:1" for number in range(replicas))
         self.config = KeyLeaseConfig(**{**(config or KeyLeaseConfig()).__dict__, "replicas": addresses})
-        self.make = make or {}
+        self.factories = factories or KeyLeaseFactories()
         self.now = 0
         self.lives = 0
         self.clock_rates = clock_rates or {}
@@ -91,11 +99,11 @@
         self.lives += 1
         self.stopped.discard(name)
         if is_replica(name):
-            make = self.make.get("keeper", KeyLeaseReplica)
-            self.machines[name] = make("f", self.config, self.clock(name) - before)
+            self.machines[name] = self.factories.replica("f", self.config, self.clock(name) - before)
             return
-        make = self.make.get("holder", KeyLeaseClient)
-        self.machines[name] = make(name, "f", self.config, Random(self.lives), self.clock(name))
+        self.machines[name] = self.factories.client(
+            name, "f", self.config, Random(self.lives), self.clock(name)
+        )
         for client_key in [client_key for client_key in self.granted if client_key[0] == name]:
             del self.granted[client_key]
         self.running = {client_key: run for client_key, run in self.running.items() if client_key[0] != name}
--- a/finchcart/fault_injection/key_leases/state_space.py
+++ b/finchcart/fault_injection/key_leases/state_space.py
@@ -10,7 +10,12 @@
 
 import xxhash
 
-from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation, is_replica
+from finchcart.fault_injection.key_leases.simulation import (
+    TICK_US,
+    KeyLeaseFactories,
+    KeyLeaseSimulation,
+    is_replica,
+)
 from finchcart.fault_injection.virtual_time.state_space import (
     NO_BOUND,
     Budget,
@@ -124,7 +129,7 @@
 def explore(
     depth: int,
     faults: int,
-    make: dict | None = None,
+    factories: KeyLeaseFactories | None = None,
     most: int = NO_BOUND,
     share: tuple[int, int] = (0, 1),
 ) -> SearchResult:
@@ -133,7 +138,7 @@
     At most `faults` faults are made within `depth` steps, and about `most` states entered; `share` (k, n)
     plays the k-th of n parts of the first choices.
     """
-    simulation = KeyLeaseSimulation(make=make)
+    simulation = KeyLeaseSimulation(factories=factories)
     for client in ("h0", "h1"):
         claim(simulation, client)
     return KeyLeaseSearch(share).explore(simulation, (depth, faults), most)
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from finchcart.fault_injection.quota.process import QuotaProcess, SharingMode
+from finchcart.fault_injection.quota.process import QuotaFactories, QuotaProcess, SharingMode
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
@@ -70,12 +70,12 @@
     def __init__(
         self,
         seed: int,
-        make: dict | None = None,
+        factories: QuotaFactories | None = None,
         kinds: Sequence[QuotaFault] = KINDS,
         drift: float | None = None,
         **more: object,
     ) -> None:
-        super().__init__(seed, make=make, drift=drift, **more)
+        super().__init__(seed, factories=factories, drift=drift, **more)
         self.kinds = kinds
         self.planner_names = [name for name, process in self.processes.items() if not process.is_node]
         self.node_names = [process.name for process in self.nodes]
--- a/finchcart/fault_injection/quota/process.py
+++ b/finchcart/fault_injection/quota/process.py
@@ -1,10 +1,14 @@
 """A simulated process that shares a limit: its clock, and the calls that it has at the store."""
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Any, NamedTuple
 
 from finchcart.fault_injection.virtual_time.driver import SimulatedProcess
+from finchcart.quota.lease_holder import LeaseHolder
+from finchcart.quota.local_limits import LocalLimits
+from finchcart.quota.planner import Planner
 
 
 class SharingMode(StrEnum):
@@ -54,6 +58,15 @@
         return sum(call.leased is leased for call in self.calls)
 
 
+@dataclass(frozen=True)
+class QuotaFactories:
+    """What makes the state machines, so that planted defects can be played."""
+
+    planner: Callable[..., Planner] = Planner
+    lease_holder: Callable[..., LeaseHolder] = LeaseHolder
+    local_limits: Callable[..., LocalLimits] = LocalLimits
+
+
 class IdleMachine:
     """The state machine of a node that exchanges nothing with others."""
 
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -9,7 +9,13 @@
 import xxhash
 
 from finchcart.fault_injection.membership.simulation import FLEET_NAME, WALL_CLOCK_MS
-from finchcart.fault_injection.quota.process import IdleMachine, QuotaProcess, SharingMode, StoreCall
+from finchcart.fault_injection.quota.process import (
+    IdleMachine,
+    QuotaFactories,
+    QuotaProcess,
+    SharingMode,
+    StoreCall,
+)
 from finchcart.fault_injection.virtual_time.driver import ProcessSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.membership.config import MembershipConfig
@@ -18,10 +24,7 @@
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.inputs import UsageReported
-from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
-from finchcart.quota.local_limits import LocalLimits
-from finchcart.quota.planner import Planner
 
 TICK_US = 100_000
 LATENCY_US = 300
@@ -38,8 +41,7 @@
     """Planners p0, p1, ... and nodes n0, n1, ... that share one limit.
 
     `per` is what is limited, "in_hand" or "rate"; `drift` is by how much clocks may be off, the stated part
-    where it is None. `make` has factories by "planner", "holder", "loose" and "meter", so that planted
-    defects can be played. `after_step` raises an `InvariantError` where more than the bound is in hand.
+    where it is None. `after_step` raises an `InvariantError` where more than the bound is in hand.
     """
 
     def __init__(
@@ -48,7 +50,7 @@
         planners: int = 3,
         holders: int = 4,
         quota: QuotaConfig | None = None,
-        make: dict | None = None,
+        factories: QuotaFactories | None = None,
         drift: float | None = None,
         mode: str = SharingMode.STRICT,
         per: str = "in_hand",
@@ -56,7 +58,7 @@
         super().__init__(seed, LATENCY_US)
         self.random = Random(f"shares {seed}")
         self.mode = SharingMode(mode)
-        self.make = make or {}
+        self.factories = factories or QuotaFactories()
         names = [f"p{number}" for number in range(planners)] + [f"n{number}" for number in range(holders)]
         addresses = [f"10.0.{number // 250}.{number % 250 + 1}:7401" for number in range(len(names))]
         quota = quota or QuotaConfig(limits=(self._default_limit(holders, per),), max_processes=holders + 2)
@@ -109,20 +111,20 @@
             process.limiter.now_us = own_time
             process.machine = self._make_node(process, random, own_time)
         else:
-            make = self.make.get("planner", Planner)
-            process.machine = make(process.address, FLEET_NAME, self.quota, random, own_time)
+            process.machine = self.factories.planner(
+                process.address, FLEET_NAME, self.quota, random, own_time
+            )
         self.schedule(self.now + self.random.randrange(TICK_US), self.tick, name, process.life)
 
     def _make_limiter(self) -> CallConcurrencyLimiter | RateLimiter:
-        kind = self.make.get("meter") or (RateLimiter if self.is_rate else CallConcurrencyLimiter)
+        kind = RateLimiter if self.is_rate else CallConcurrencyLimiter
         return kind(self.limit, self.quota.write_slack, self.quota.max_processes)
 
     def _make_node(self, process: QuotaProcess, random: Random, own_time: int) -> object:
         if self.mode == SharingMode.LOOSE:
             return self._make_member(process, random, own_time)
         if self.mode == SharingMode.STRICT:
-            make = self.make.get("holder", LeaseHolder)
-            return make(process.name, FLEET_NAME, self.quota, random, own_time)
+            return self.factories.lease_holder(process.name, FLEET_NAME, self.quota, random, own_time)
         parts = len(self.nodes) if self.mode == SharingMode.STATIC else 1
         process.limiter.set_allowance(self.limit.amount // parts, 0, FOREVER_US)
         return IdleMachine()
@@ -139,7 +141,7 @@
             WALL_CLOCK_MS + self.now // 1000,
             own_time,
         )
-        member.piggyback_clients.append(self.make.get("loose", LocalLimits)(self.quota, own_time))
+        member.piggyback_clients.append(self.factories.local_limits(self.quota, own_time))
         return member
 
     def kill(self, name: str) -> None:
--- a/finchcart/fault_injection/quota/state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, NamedTuple
 
+from finchcart.fault_injection.quota.process import QuotaFactories
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fault_injection.virtual_time.state_space import Budget, SearchResult, StateSpaceSearch
 from finchcart.fleet import codec
@@ -19,9 +20,7 @@
 from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.inputs import UsageReported
-from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
-from finchcart.quota.planner import Planner
 
 STEP_US = 500_000
 QUOTA = QuotaConfig(
@@ -102,13 +101,13 @@
 
 
 class QuotaState:
-    """Everything that a state is; `make` has factories by "planner" and "holder"."""
+    """Everything that a state is."""
 
-    def __init__(self, make: dict, drift: dict[str, int]) -> None:
+    def __init__(self, factories: QuotaFactories, drift: dict[str, int]) -> None:
         self.now = 10 * STEP_US
         self.step = 0
         self.lives = 0
-        self.make = make
+        self.factories = factories
         self.delayed: list[DelayedMessage] = []
         self.clock_rates = {name: 1 + QUOTA.drift * drift.get(name, drift.get(name[0], 0)) for name in NAMES}
         self.machines: dict[str, Any] = {}
@@ -122,12 +121,10 @@
         self.lives += 1
         chance = NoChance(self.lives * 100)
         if name in PLANNERS:
-            make = self.make.get("planner", Planner)
             address = QUOTA.planners[PLANNERS.index(name)]
-            self.machines[name] = make(address, "f", QUOTA, chance, self.clock(name))
+            self.machines[name] = self.factories.planner(address, "f", QUOTA, chance, self.clock(name))
         else:
-            make = self.make.get("holder", LeaseHolder)
-            self.machines[name] = make(name, "f", QUOTA, chance, self.clock(name))
+            self.machines[name] = self.factories.lease_holder(name, "f", QUOTA, chance, self.clock(name))
             self.allowances[name] = 0, 0
             self.report_demand(name, FIRST_DEMAND[name])
         self.stopped.pop(name, None)
@@ -293,7 +290,7 @@
 def explore(
     depth: int,
     most: int,
-    make: dict | None = None,
+    factories: QuotaFactories | None = None,
     begin: int = ELECTION_STEPS,
     share: tuple[int, int] = (0, 1),
     drift: int = 0,
@@ -304,7 +301,7 @@
     the `depth` steps after. `share` (k, n) plays the k-th of n parts of the first choices; `drift` is an
     index into `DRIFTS`.
     """
-    state = QuotaState(make or {}, DRIFTS[drift])
+    state = QuotaState(factories or QuotaFactories(), DRIFTS[drift])
     for _ in range(begin):
         state.play_step(None)
     return QuotaSearch(begin + depth, share).explore(state, (most,))
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -7,9 +7,7 @@
 from finchcart.fleet.inputs import DatagramReceived, Tick
 from finchcart.quota import messages
 from finchcart.quota.held_lease import NO_LEASE
-from finchcart.quota.lease_holder import LeaseHolder
 from finchcart.quota.limits import Limit, QuotaConfig
-from finchcart.quota.planner import Planner
 
 PLANNERS = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
 TWO, THREE, NODE = (parse_address(PLANNERS[1]), parse_address(PLANNERS[2]), ("10.0.0.9", 7400))
@@ -28,14 +26,14 @@
     return [messages.CODEC.decode("f", effect.data) for effect in effects if isinstance(effect, SendDatagram)]
 
 
-def started(make):
+def started(factories):
     """A planner that has just started."""
-    return make.get("planner", Planner)(PLANNERS[0], "f", SHARED, random.Random(1), 0)
+    return factories.planner(PLANNERS[0], "f", SHARED, random.Random(1), 0)
 
 
-def elected(make, accept_late=0):
+def elected(factories, accept_late=0):
     """A planner that leads, and when it proposed."""
-    leader = started(make)
+    leader = started(factories)
     now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
     leader.reduce(now, Tick())
     ballot = leader.election.candidature.ballot
@@ -54,9 +52,9 @@
     return next((each.leases[0] for each in answers if isinstance(each, messages.LeaseGrant)), None)
 
 
-def holding(make):
+def holding(factories):
     """A holder that has sent its first request."""
-    lease_holder = make.get("holder", LeaseHolder)("n1", "f", SHARED, random.Random(1), 0)
+    lease_holder = factories.lease_holder("n1", "f", SHARED, random.Random(1), 0)
     lease_holder.reduce(0, Tick())
     return lease_holder
 
--- a/tests/test_key_lease_defects.py
+++ b/tests/test_key_lease_defects.py
@@ -3,7 +3,7 @@
 import pytest
 
 from finchcart.fault_injection.key_leases.fault_run import KeyLeaseFaultRun
-from finchcart.fault_injection.key_leases.simulation import KeyLeaseSimulation
+from finchcart.fault_injection.key_leases.simulation import KeyLeaseFactories, KeyLeaseSimulation
 from finchcart.fault_injection.key_leases.state_space import KEY
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.key_leases.client import KeyLeaseClient
@@ -95,15 +95,15 @@
 
 
 DEFECTS = {
-    "a replica answers at once after its start": {"keeper": AnswersAtOnceAfterItsStart},
-    "a replica votes for the newest": {"keeper": VotesForTheNewest},
-    "a release by anyone frees a lease": {"keeper": AnyoneReleases},
-    "a lease is too short": {"keeper": LeaseIsTooShort},
-    "one vote is a quorum": {"holder": OneVoteIsAQuorum},
-    "votes for an earlier attempt count": {"holder": EarlierVotesCount},
-    "what ran is released": {"holder": ReleasesWhatRan},
-    "a failed run is reported as completed": {"holder": ReportsEveryRunAsCompleted},
-    "a key that runs here is asked for once more": {"holder": ForgetsThatItRuns},
+    "a replica answers at once after its start": KeyLeaseFactories(replica=AnswersAtOnceAfterItsStart),
+    "a replica votes for the newest": KeyLeaseFactories(replica=VotesForTheNewest),
+    "a release by anyone frees a lease": KeyLeaseFactories(replica=AnyoneReleases),
+    "a lease is too short": KeyLeaseFactories(replica=LeaseIsTooShort),
+    "one vote is a quorum": KeyLeaseFactories(client=OneVoteIsAQuorum),
+    "votes for an earlier attempt count": KeyLeaseFactories(client=EarlierVotesCount),
+    "what ran is released": KeyLeaseFactories(client=ReleasesWhatRan),
+    "a failed run is reported as completed": KeyLeaseFactories(client=ReportsEveryRunAsCompleted),
+    "a key that runs here is asked for once more": KeyLeaseFactories(client=ForgetsThatItRuns),
 }
 
 
@@ -111,7 +111,7 @@
 def test_a_planted_defect_is_found(name):
     for seed in range(30):
         try:
-            KeyLeaseFaultRun(seed, make=DEFECTS[name]).play(20)
+            KeyLeaseFaultRun(seed, factories=DEFECTS[name]).play(20)
         except InvariantError:
             return
     raise AssertionError("not found in 30 seeds")
@@ -120,8 +120,8 @@
 def test_a_planted_defect_is_found_by_hand_a_later_attempt_takes_over_what_ran():
     """The report of its end is still on its way, and its own table has forgotten the key."""
 
-    def play(make):
-        simulation = KeyLeaseSimulation(make=make)
+    def play(factories):
+        simulation = KeyLeaseSimulation(factories=factories)
         acquire(simulation, "h0")
         settle(simulation, 1)
         simulation.command("h0", KEY)
@@ -134,15 +134,15 @@
             simulation.command("h0", KEY)
 
     with pytest.raises(InvariantError):
-        play({"keeper": LaterAttemptTakesOver})
-    play({})
+        play(KeyLeaseFactories(replica=LaterAttemptTakesOver))
+    play(KeyLeaseFactories())
 
 
 def test_a_planted_defect_is_found_by_hand_a_run_is_commanded_however_late():
     """The holder is suspended between its lease and the command, the duplicate runs elsewhere."""
 
-    def play(make):
-        simulation = KeyLeaseSimulation(make=make)
+    def play(factories):
+        simulation = KeyLeaseSimulation(factories=factories)
         acquire(simulation, "h0")
         settle(simulation, 1)
         simulation.pass_time(2 * simulation.config.lease_duration)
@@ -152,5 +152,5 @@
         simulation.command("h0", KEY)
 
     with pytest.raises(InvariantError):
-        play({"holder": CommandsHoweverLate})
-    play({})
+        play(KeyLeaseFactories(client=CommandsHoweverLate))
+    play(KeyLeaseFactories())
--- a/tests/test_local_limits.py
+++ b/tests/test_local_limits.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from finchcart.fault_injection.quota.process import QuotaFactories
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.quota import local_limits
@@ -22,13 +23,13 @@
 
 
 def loose_run(
-    make=None, per="in_hand", cut=(), seconds=30, seed=1, holders=6, over=1.0, start=(), takes=300_000
+    factories=None, per="in_hand", cut=(), seconds=30, seed=1, holders=6, over=1.0, start=(), takes=300_000
 ):
     """Loose limits with demand that jumps; `cut`: the members of one side of a partition, from 10 to 25 s;
     `start`: those that start later; `takes`: microseconds of a call. Raises where it is beyond the bound."""
     limit = Limit("store", 48, mode="loose", per=per, burst=20 if per == "rate" else 0)
     quota = QuotaConfig(limits=(limit,), max_processes=holders + 2, partition_overshoot=over)
-    fleet = QuotaSimulation(seed, 0, holders, quota, make, mode="loose", per=per)
+    fleet = QuotaSimulation(seed, 0, holders, quota, factories, mode="loose", per=per)
     fleet.call_us = takes
     chance = random.Random(f"demand {seed}")
     for name in fleet.processes:
@@ -108,7 +109,7 @@
     self.recent_views.clear()
 
 
-def unsettled_demand(make, **more):
+def unsettled_demand(factories, **more):
     """The own want counts before others heard of it."""
 
     class Allocation(local_limits.LocalAllocation):
@@ -117,15 +118,15 @@
     before = local_limits.LocalAllocation
     local_limits.LocalAllocation = Allocation
     try:
-        return loose_run(make, **more)
+        return loose_run(factories, **more)
     finally:
         local_limits.LocalAllocation = before
 
 
-def takes_the_whole(make, **more):
+def takes_the_whole(factories, **more):
     before, QuotaConfig.partition_allowance = QuotaConfig.partition_allowance, takes_all
     try:
-        return loose_run(make, **more)
+        return loose_run(factories, **more)
     finally:
         QuotaConfig.partition_allowance = before
 
@@ -172,6 +173,6 @@
 @pytest.mark.parametrize("name", LOOSE)
 def test_a_planted_defect_of_loose_limits_is_found(name):
     play, methods, more, bound = LOOSE[name]
-    make = {"loose": type("Planted", (LocalLimits,), methods)}
-    assert worst(loose_run, make=None, **more) <= bound
-    assert worst(play, make=make, **more) > bound
+    factories = QuotaFactories(local_limits=type("Planted", (LocalLimits,), methods))
+    assert worst(loose_run, factories=None, **more) <= bound
+    assert worst(play, factories=factories, **more) > bound
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -3,6 +3,7 @@
 import dataclasses
 
 from finchcart.fault_injection.quota.fault_run import QuotaFaultRun
+from finchcart.fault_injection.quota.process import QuotaFactories
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fleet.inputs import DatagramReceived
 from finchcart.quota import messages
@@ -16,7 +17,7 @@
 
 def test_demand_that_alternates_between_two_moves_little():
     """The greater of the last two demands of each counts."""
-    leader, now = elected({})
+    leader, now = elected(QuotaFactories())
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 99 * SECOND
     held = {1: LeaseId(0, 0), 2: LeaseId(0, 0)}
@@ -57,7 +58,7 @@
 
 
 def test_a_message_of_another_fleet_on_the_same_address_is_dropped():
-    leader, now = elected({})
+    leader, now = elected(QuotaFactories())
     before = dict(leader.allocator.holders)
     demand = messages.LimitDemand("store", 0, 0, 0, 9, 0)
     data = messages.CODEC.encode("g", messages.LeaseRequest("n1", 1, 1, 1, False, [demand]))
@@ -68,7 +69,7 @@
 
 
 def test_a_limit_that_the_planners_lack_stays_at_its_floor():
-    leader, now = elected({})
+    leader, now = elected(QuotaFactories())
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     demand = messages.LimitDemand("other", 0, 0, 0, 9, 0)
@@ -83,7 +84,7 @@
 
 
 def test_a_new_configuration_removes_and_adds_limits_and_keeps_what_is_held_of_the_others():
-    lease_holder = holding({})
+    lease_holder = holding(QuotaFactories())
     grant(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
     assert not lease_holder.reduce(
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -3,6 +3,7 @@
 import pytest
 
 from finchcart.fault_injection.quota.fault_run import QuotaFaultRun
+from finchcart.fault_injection.quota.process import QuotaFactories
 from finchcart.fault_injection.quota.state_space import explore
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fleet.inputs import Tick
@@ -29,7 +30,7 @@
 
 
 def planner(**methods):
-    return {"planner": planted(Planner, methods)}
+    return QuotaFactories(planner=planted(Planner, methods))
 
 
 def election(**methods):
@@ -41,7 +42,7 @@
 
 
 def holder(**methods):
-    return {"holder": planted(LeaseHolder, methods)}
+    return QuotaFactories(lease_holder=planted(LeaseHolder, methods))
 
 
 def votes_at_once_after_its_start(self, address, quota, random, now):
@@ -126,15 +127,15 @@
     LeaseHolder.update_allowance(self, held)
 
 
-def accept_comes_late(make):
-    leader, proposed = elected(make, SHARED.leader_lease_duration // 2)
+def accept_comes_late(factories):
+    leader, proposed = elected(factories, SHARED.leader_lease_duration // 2)
     leads_until = leader.election.leads_until
     return [leads_until] if leads_until > proposed + SHARED.leader_lease_duration else []
 
 
-def holder_is_restarted(make):
+def holder_is_restarted(factories):
     """The process before may still use its lease: another gets none of that."""
-    leader, now = elected(make)
+    leader, now = elected(factories)
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     first = request_lease(leader, now, "n1", 1, 1).amount
@@ -144,23 +145,23 @@
     return [(first, second, other)] if first + other > 40 else []
 
 
-def earlier_term(make):
-    lease_holder = holding(make)
+def earlier_term(factories):
+    lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 10)
     return ["taken"] if grant(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
 
 
-def earlier_number(make):
+def earlier_number(factories):
     """A lease of less was taken, and reported: the one before, come late, is void."""
-    lease_holder = holding(make)
+    lease_holder = holding(factories)
     lease_holder.reduce(500_000, Tick())
     grant(lease_holder, 501_000, 5, 2, 8, 10)
     return ["taken"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
 
 
-def renewed_late(make):
+def renewed_late(factories):
     """A request that reported 30 reaches a new leader late; meanwhile 20 of it were given back."""
-    lease_holder = holding(make)
+    lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 30)
     lease_holder.reduce(500_000, Tick())  # reports 30
     lease_holder.reduce(1_000_000, Tick())
@@ -168,9 +169,9 @@
     return ["taken"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
 
 
-def counted_late(make):
+def counted_late(factories):
     """An answer that took 2 s leaves 1 s of a lease of 3."""
-    lease_holder = holding(make)
+    lease_holder = holding(factories)
     grant(lease_holder, 2 * SECOND, 5, 1, 1, 10)
     return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
 
@@ -178,10 +179,10 @@
 def seeds(count):
     """Plays so many seeded runs, up to the first breach."""
 
-    def play(make):
+    def play(factories):
         for seed in range(count):
             try:
-                QuotaFaultRun(seed, make).play(40)
+                QuotaFaultRun(seed, factories).play(40)
             except InvariantError as breach:
                 return [breach]
         return []
@@ -194,15 +195,15 @@
     return answers if any(isinstance(answer, messages.Promise) for answer in answers) else []
 
 
-def votes_after_its_start(make):
+def votes_after_its_start(factories):
     """An acceptor that restarts answers nothing while a lease that it voted for may last."""
-    acceptor = started(make)
+    acceptor = started(factories)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
     return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, got(prepare))))
 
 
-def lesser_ballot(make):
-    acceptor = started(make)
+def lesser_ballot(factories):
+    acceptor = started(factories)
     now = SHARED.startup_quiet_period + 1
     timing_digest = acceptor.election.timing_digest
     acceptor.reduce(now, got(messages.Prepare(Ballot(9, 7), timing_digest)))
@@ -231,9 +232,9 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_found(name):
-    play, make = DEFECTS[name]
-    assert not play({})
-    assert play(make)
+    play, factories = DEFECTS[name]
+    assert not play(QuotaFactories())
+    assert play(factories)
 
 
 def test_every_placing_of_one_fault_keeps_the_limit_and_the_search_can_fail():
