--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -45,7 +45,7 @@
 class PiggybackClient(Protocol):
     """A state machine whose gossip entries are piggybacked on a member's heartbeats."""
 
-    def reduce(self, now: int, event: tuple[Any, ...]) -> Sequence[FleetEffect]:
+    def reduce(self, now: int, event: Any) -> Sequence[FleetEffect]:
         """Take one input; return its effects."""
 
     def turn(self, now: int, member: "Member") -> Sequence[FleetEffect]:
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -24,7 +24,7 @@
     GaugesRead,
     InformationalNotice,
     RunAwaitingCall,
-    RunEnded,
+    RunEndedNotice,
     Subscribed,
     UnknownNotice,
     WorkerPoolMessage,
@@ -52,7 +52,7 @@
         self.notices = NoticeHandler(effect_buffer, self.cursor, self.commands, runs)
         self._restarts = RestartDetector(limits.pool_start_tolerance_us)
         self._handlers: dict[type[WorkerPoolMessage], Callable[..., None]] = {
-            RunEnded: self.notices.run_ended,
+            RunEndedNotice: self.notices.run_ended,
             RunAwaitingCall: self.notices.awaiting_call,
             CommandRejected: self.notices.command_rejected,
             InformationalNotice: self.notices.informational,
--- a/tests/dispatchers_double.py
+++ b/tests/dispatchers_double.py
@@ -11,7 +11,7 @@
     SubmitCall,
 )
 from finchcart.thrift import codec as thrift
-from finchcart.thrift.codec import STRING, STRUCT
+from finchcart.thrift.binary_protocol import I32, STRING, STRUCT, Reader
 
 MS = 1000
 LATE_US = 60 * MS  # an answer may be late by this
@@ -148,6 +148,6 @@
 
 def read_answer(data):
     """Kind, name, sequence number and arguments of an answer to a dispatcher."""
-    reader = thrift.Reader(data[4:])
-    head = reader.integer(thrift.I32) & 0xFF
-    return head, reader.value(STRING), reader.integer(thrift.I32), reader.value(STRUCT)
+    reader = Reader(data[4:])
+    head = reader.integer(I32) & 0xFF
+    return head, reader.value(STRING), reader.integer(I32), reader.value(STRUCT)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -119,8 +119,10 @@
     harness = MemoryFrontendHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
-    assert "ok" in play(harness, rng) and not harness.frontend.rpcs
-    assert ("health", False) in harness.frontend.said and harness.frontend.said[-1][0] != "health"
+    assert "ok" in play(harness, rng)
+    assert not harness.frontend.rpcs
+    assert ("health", False) in harness.frontend.said
+    assert harness.frontend.said[-1][0] != "health"
 
 
 def test_two_frontends_share_keys_and_one_name_is_one_rpc():
@@ -134,6 +136,7 @@
     harness.dispatchers.attempts["x"] = replace(first, body=b"other")
     odd = harness.dispatchers.submit(link, 1, "x")
     harness.step(MS)
-    assert harness.dispatchers.attempts[odd].outcome == "failed" and list(harness.pool.runs) == [name]
+    assert harness.dispatchers.attempts[odd].outcome == "failed"
+    assert list(harness.pool.runs) == [name]
     assert (link, 9) not in harness.frontend.rpcs  # a name in use was unfit, and kept nothing
     assert harness.core.lifecycle.find_running(name) is harness.core.lifecycle.rpcs[0]
