--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -5,6 +5,7 @@
 machine's word for a run.
 """
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 from typing import Any, NamedTuple
@@ -36,8 +37,16 @@
     data: bytes
 
 
+@dataclass(frozen=True)
+class KeyLeaseFactories:
+    """What makes the state machines, so that planted defects can be played."""
+
+    replica: Callable[..., KeyLeaseReplica] = KeyLeaseReplica
+    client: Callable[..., KeyLeaseClient] = KeyLeaseClient
+
+
 @dataclass
-class Run:
+class KeyLeaseRun:
     """A run of a key."""
 
     began: int  # in true time
@@ -49,8 +58,7 @@
 class KeyLeaseSimulation:
     """Replicas k0, k1, ... and clients h0, h1, ...
 
-    `make` has factories by "keeper" and "holder", so that planted defects can be played; `clock_rates` are
-    of the processes' clocks to true time.
+    `clock_rates` are of the processes' clocks to true time.
     """
 
     def __init__(
@@ -58,21 +66,21 @@
         replicas: int = 3,
         clients: int = 2,
         config: KeyLeaseConfig | None = None,
-        make: dict | None = None,
+        factories: KeyLeaseFactories | None = None,
         clock_rates: dict[str, float] | None = None,
     ) -> None:
         addresses = tuple(f"10.0.{REPLICA_NET}.{number + 1}:1" for number in range(replicas))
         self.config = KeyLeaseConfig(**{**(config or KeyLeaseConfig()).__dict__, "replicas": addresses})
-        self.make = make or {}
+        self.factories = factories or KeyLeaseFactories()
         self.now = 0
         self.lives = 0
         self.clock_rates = clock_rates or {}
         self.machines: dict[str, Any] = {}
         self.stopped: set[str] = set()
         self.in_flight: list[Datagram] = []
-        self.runs: dict[Key, list[Run]] = {}
+        self.runs: dict[Key, list[KeyLeaseRun]] = {}
         self.granted: dict[ClientKey, int] = {}  # not commanded yet -> by when it has to be
-        self.running: dict[ClientKey, Run] = {}
+        self.running: dict[ClientKey, KeyLeaseRun] = {}
         self.answers: dict[ClientKey, list[int]] = {}
         for number in range(replicas):
             self.start(f"k{number}", self.config.startup_quiet_period + SECOND)
@@ -91,11 +99,11 @@
         self.lives += 1
         self.stopped.discard(name)
         if is_replica(name):
-            make = self.make.get("keeper", KeyLeaseReplica)
-            self.machines[name] = make("f", self.config, self.clock(name) - before)
+            self.machines[name] = self.factories.replica("f", self.config, self.clock(name) - before)
             return
-        make = self.make.get("holder", KeyLeaseClient)
-        self.machines[name] = make(name, "f", self.config, Random(self.lives), self.clock(name))
+        self.machines[name] = self.factories.client(
+            name, "f", self.config, Random(self.lives), self.clock(name)
+        )
         for client_key in [client_key for client_key in self.granted if client_key[0] == name]:
             del self.granted[client_key]
         self.running = {client_key: run for client_key, run in self.running.items() if client_key[0] != name}
@@ -136,7 +144,7 @@
         if self.clock(name) >= by:
             self.feed(name, KeyLeaseRunCancelled(key))
             return
-        run = Run(self.now, name, self.machines[name].session)
+        run = KeyLeaseRun(self.now, name, self.machines[name].session)
         runs = self.runs.setdefault(key, [])
         for other in runs:
             if self.now - other.began < self.config.run_spacing_bound():
@@ -159,6 +167,10 @@
         datagram = self.in_flight[index] if keep else self.in_flight.pop(index)
         self.feed(datagram.target, DatagramReceived(self.address(datagram.origin), datagram.data))
 
+    def lose(self, index: int) -> None:
+        """Lose one of the messages under way."""
+        del self.in_flight[index]
+
     def pass_time(self, span: int) -> None:
         """Let so many microseconds pass and all processes tick."""
         self.now += span
