--- a/finchcart/fault_injection/consensus/fault_run.py
+++ b/finchcart/fault_injection/consensus/fault_run.py
@@ -11,6 +11,7 @@
 from finchcart.fault_injection.consensus.rounds import ConsensusRounds
 from finchcart.fault_injection.consensus.view import holds_nothing
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.membership.config import SECOND
 from finchcart.simulated_peers.store import StoreState
 
@@ -40,7 +41,7 @@
         self.run(self.now + JOIN_US, self.after_step)
         for _ in range(self.round_count):
             self.loss = self.chance.choice([0.0, 0.0, 0.1, 0.3])
-            rule = {"lose": self.loss, "double": self.loss, "swap": self.loss}
+            rule = LinkRuleChanges(lose=self.loss, double=self.loss, swap=self.loss)
             self.network.set_rule(self.now, None, None, rule)
             self.kind = RoundKind(self.chance.choice(self.kinds))
             self.rounds[self.kind](sorted(self.running()))
@@ -54,7 +55,7 @@
         self.floods = {}
         self.failing = set()
         self.levels = {}
-        self.liars = set()
+        self.faulty_reporters = set()
         for name, process in self.processes.items():
             if process.machine is None:
                 self.start(name)
--- a/finchcart/fault_injection/consensus/rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -1,6 +1,6 @@
 """Rounds of what may happen to nodes that share consensus, and what each must then hold.
 
-Owns the choice of who is hurt in a round, and the expectations. Each round begins with all nodes well and
+Owns the choice of whom a round disturbs, and the expectations. Each round begins with all nodes well and
 holding nothing; who plays it brings that back.
 """
 
@@ -19,6 +19,7 @@
     is_restricted,
     is_working,
 )
+from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.membership.config import SECOND
 from finchcart.simulated_peers.store import StoreState
 
@@ -52,8 +53,8 @@
             RoundKind.FLAPS: self.store_flaps,
             RoundKind.FLOOD: self.source_floods,
             RoundKind.MANY_SOURCES: self.many_sources_flood,
-            RoundKind.FEW_LIE: self.few_nodes_lie,
-            RoundKind.THIRD_LIES: self.third_of_nodes_lies,
+            RoundKind.FEW_LIE: self.few_faulty_reporters,
+            RoundKind.THIRD_LIES: self.third_of_nodes_faulty,
             RoundKind.RESUMED: self.resumed_after_recovery,
             RoundKind.HALVES: self.halves_cut_off,
             RoundKind.ONE_WAY_CUT: self.one_way_cut,
@@ -91,7 +92,7 @@
     # ---- the store
 
     def store_down(self, names: list[str]) -> None:
-        """The store is down for all for a while: few probe calls, and no flapping."""
+        """Break the store for all for a while: few probe calls, and no flapping."""
         self._break_store(names)
         probes_before = self.probe_calls
         began = self.now
@@ -111,25 +112,25 @@
                     self.fail(f"{name} changed its mind: {changes}")
 
     def store_down_for_a_zone(self, names: list[str]) -> None:
-        """The store is down for one zone alone: nobody holds that."""
+        """Break the store for one zone alone: no node may hold it to be down."""
         for name in names:
             if int(name[1:]) % 3 == 1:
                 self.store_states[name] = StoreState.DOWN
         self.never(is_down, names, QUIET_US, "the store is down for one zone alone")
 
     def store_down_for_a_node(self, names: list[str]) -> None:
-        """The store is down for one node alone: nobody holds that."""
+        """Break the store for one node alone: no node may hold it to be down."""
         self.store_states[self.chance.choice(names)] = StoreState.DOWN
         self.never(is_down, names, QUIET_US, "the store is down for one node alone")
 
     def store_slow_for_half(self, names: list[str]) -> None:
-        """The store is slow for half of the nodes: nobody holds it to be down."""
+        """Slow the store for half of the nodes: no node may hold it to be down."""
         for name in names[::2]:
             self.store_states[name] = StoreState.SLOW
         self.never(is_down, names, QUIET_US, "the store is slow for half")
 
     def store_flaps(self, names: list[str]) -> None:
-        """The store flaps: consensus changes more seldom."""
+        """Let the store flap: consensus must change less often."""
         for _ in range(FLAPS):
             self._set_store(StoreState.DOWN)
             self.run(self.now + FLAP_US, self.after_step)
@@ -143,7 +144,7 @@
     # ---- sources
 
     def source_floods(self, names: list[str]) -> None:
-        """A source floods one node after the other; before enough have seen it nobody blocks it."""
+        """Let a source flood one node after the other; it is blocked once enough have reported it."""
         subject = subjects.source_subject("10.1.2.3")
         blocked = partial(is_blocked, subject)
         needed = self.consensus_config.required_reports(len(names))
@@ -158,7 +159,7 @@
             self.fail("another source is shut out")
 
     def many_sources_flood(self, names: list[str]) -> None:
-        """Thousands of sources flood at once: bounded, and none of those that did nothing is blocked."""
+        """Let thousands of sources flood: tables stay bounded, and no other source is blocked."""
         rates = self.chance.choices([4, 4, FLOOD_RATE], k=MANY_SOURCES)
         self.floods = {
             subjects.source_subject(f"10.2.{number // 250}.{number % 250}"): (rate, set(names))
@@ -167,32 +168,32 @@
         self.never(partial(is_restricted, self.innocent), names, 3 * SECOND, "it did nothing")
         self.floods = {}
 
-    # ---- nodes that lie, fail or shed
+    # ---- nodes that report what is not so, fail or shed
 
-    def _lie(self, names: list[str], count: int) -> list[str]:
-        """Let so many nodes lie; return the others, who must not be moved."""
+    def _report_falsely(self, names: list[str], count: int) -> list[str]:
+        """Let so many nodes report what is not so; return the others, who must not be moved."""
 
         def is_moved(view: NodeView) -> bool:
             return is_down(view) or view.consensus.minimum_level > 0
 
-        self.liars = set(self.chance.sample(names, count))
-        honest = [name for name in names if name not in self.liars]
-        self.never(is_moved, honest, QUIET_US, f"{count} of {len(names)} lie")
+        self.faulty_reporters = set(self.chance.sample(names, count))
+        honest = [name for name in names if name not in self.faulty_reporters]
+        self.never(is_moved, honest, QUIET_US, f"{count} of {len(names)} report what is not so")
         return honest
 
-    def few_nodes_lie(self, names: list[str]) -> None:
-        """Fewer lie than are needed for anything."""
+    def few_faulty_reporters(self, names: list[str]) -> None:
+        """Let fewer nodes report what is not so than are needed for any verdict."""
         needed = self.consensus_config.required_reports(len(names))
-        honest = self._lie(names, self.chance.randrange(1, max(2, needed)))
+        honest = self._report_falsely(names, self.chance.randrange(1, max(2, needed)))
         if self._innocent_is_restricted(honest):
-            self.fail("liars shut a source out")
+            self.fail("faulty reporters shut a source out")
 
-    def third_of_nodes_lies(self, names: list[str]) -> None:
-        """A third can block a source, which is stated; nothing else."""
-        self._lie(names, len(names) // 3)
+    def third_of_nodes_faulty(self, names: list[str]) -> None:
+        """Let a third report what is not so: it can block a source, as documented, and nothing else."""
+        self._report_falsely(names, len(names) // 3)
 
     def nodes_fail_runs(self, names: list[str]) -> None:
-        """Some nodes fail their runs: they tell it of themselves, and no more at once than a part."""
+        """Let some nodes fail their runs: they eject themselves, up to the largest fraction at once."""
         most = int(self.consensus_config.max_ejected_fraction * len(names))
         count = self.chance.randrange(1, max(2, len(names) // 2))
         self.failing = set(self.chance.sample(names, count))
@@ -211,7 +212,7 @@
         self.failing = set()
 
     def shed_level(self, names: list[str]) -> None:
-        """Most reject the less critical: all are told of one level, but for the step."""
+        """Let most nodes shed less critical RPCs: all reach one level, up to its step."""
         level = self.chance.choice([0.3, 0.5, 0.8])
         for name in names[: len(names) // 2 + 2]:
             self.levels[name] = level
@@ -227,7 +228,7 @@
     # ---- nodes that stop, restart or are cut off
 
     def resumed_after_recovery(self, names: list[str]) -> None:
-        """A node stops while the store is held to be down, and goes on when that is over."""
+        """Suspend a node while the store is down, and resume it after the recovery."""
         self._break_store(names)
         stopped = self.chance.choice(names)
         self.stop(stopped)
@@ -240,7 +241,7 @@
         self.never(is_down, names, 5 * SECOND, "it brought back an old opinion")
 
     def halves_cut_off(self, names: list[str]) -> None:
-        """The store is down for one half and works for the other, and the halves are cut off."""
+        """Partition the nodes in halves, with the store down for one of them."""
         broken = names[::2]
         working = names[1::2]
         self.set_cut(broken, working)
@@ -257,11 +258,11 @@
         self._repair_store(names)
 
     def one_way_cut(self, names: list[str]) -> None:
-        """A few that see the store don't receive from the others, or the others not from them."""
+        """Cut a few nodes off from the others in one direction."""
         some = self.chance.sample(names, max(1, len(names) // 4))
         rest = [name for name in names if name not in some]
-        deaf = self.chance.random() < 0.5
-        origins, targets = (rest, some) if deaf else (some, rest)
+        inbound = self.chance.random() < 0.5
+        origins, targets = (rest, some) if inbound else (some, rest)
         self.set_cut(origins, targets, both=False)
         self.run(self.now + APART_US, self.after_step)
         self._set_store(StoreState.DOWN)
@@ -272,7 +273,7 @@
         self._repair_store(names)
 
     def all_restarted(self, names: list[str]) -> None:
-        """All nodes are restarted at once while the store is down."""
+        """Restart all nodes at once while the store is down."""
         self._break_store(names)
         for name in names:
             self.kill(name)
@@ -282,7 +283,7 @@
         self._repair_store(names, 1)
 
     def rolling_restart(self, names: list[str]) -> None:
-        """All nodes but one are restarted one after the other while the store is down."""
+        """Restart all nodes but one, one after the other, while the store is down."""
         self._break_store(names)
         for name in names[:-1]:
             self.kill(name)
@@ -295,7 +296,7 @@
     # ---- operators' overrides and late messages
 
     def overrides_on_both_sides(self, names: list[str]) -> None:
-        """An override is issued on one side of a cut, and changed or withdrawn on the other."""
+        """Issue an override on one side of a partition, and change or withdraw it on the other."""
         subject = subjects.source_subject("10.5.5.5")
         number = self.chance.randrange(10**6)
         blocked = partial(is_blocked, subject)
@@ -330,12 +331,12 @@
         return view.consensus.sources.get(subject) is None
 
     def delayed_messages(self, names: list[str]) -> None:
-        """Messages are up to 10 s late: no old observation passes for a new one (see `after_step`)."""
-        delayed = {"jitter": LATEST_US, "double": 0.5, "swap": 0.5}
+        """Delay messages by up to 10 s: no old observation passes for a new one (see `after_step`)."""
+        delayed = LinkRuleChanges(jitter=LATEST_US, double=0.5, swap=0.5)
         self.network.set_rule(self.now, None, None, delayed)
         self.store_states[names[0]] = StoreState.DOWN
         self.run(self.now + 15 * SECOND, self.after_step)
-        self.network.set_rule(self.now, None, None, {"jitter": 0, "double": 0.0, "swap": 0.0})
+        self.network.set_rule(self.now, None, None, LinkRuleChanges(jitter=0, double=0.0, swap=0.0))
         self._set_store(StoreState.OK)
         self.run(self.now + 20 * SECOND, self.after_step)
         self.never(is_down, names, 5 * SECOND, "an old opinion")
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -1,7 +1,7 @@
 """Nodes that share consensus, on the virtual clock: what happens to them, and what each holds to be so.
 
-Owns the truth (the state of the store at each node, which sources flood whom, which nodes lie) and what each
-node sees of it. It must never tell a node more than its core would see, nor read a consensus store to excuse
+Owns the truth (the state of the store at each node, which sources flood whom, which nodes report falsely)
+and what each node sees of it. It must never tell a node more than its core would see, nor read a consensus store to excuse
 what it did.
 """
 
@@ -69,7 +69,7 @@
         self.floods: dict[int, tuple[int, set[str]]] = {}  # source -> (rate a second, the nodes it floods)
         self.failing: set[str] = set()  # nodes that fail their runs
         self.levels: dict[str, float] = {}  # node -> shed level
-        self.liars: set[str] = set()
+        self.faulty_reporters: set[str] = set()  # nodes that report what is not so
         self.innocent = subjects.source_subject("10.9.9.9")  # a source that does nothing
         self.node_views = {name: NodeView() for name in names}
         self.written_at: dict[tuple, int] = {}  # key of a gossip entry -> when its writer wrote it
@@ -152,7 +152,7 @@
             runs=RunOutcomeCounts(RUNS_PER_LOOK, RUNS_PER_LOOK if name in self.failing else 0, RUN_US),
             level=self.levels.get(name, 0.0),
         )
-        if name in self.liars:
+        if name in self.faulty_reporters:
             accused = SourceCounts(bad_messages=self.consensus_config.max_bad_messages)
             return evidence._replace(
                 calls=CallCounts(failed=CALLS_PER_LOOK),
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -44,7 +44,7 @@
 CALM_US = 12 * SECOND  # and then all must come together again
 FORGOTTEN_US = 600 * SECOND
 CLOCK_SET_BACK_MS = -3_600_000
-MOST_HURT = 4  # so many are hurt at once, so that the rest is more than half of everybody's links
+MAX_DISTURBED = 4  # so many are disturbed at once, so that the rest is more than half of everybody's links
 FLAP_US = 700_000
 DISTURBED_LOSS = 0.4  # the loss that a disturbed link is taken to have
 
@@ -204,7 +204,7 @@
         ]
         now = fleet.now
         until = now + self.random.randrange(3, 15) * SECOND
-        if steady:  # a ring of cuts touches all: nobody is hurt besides
+        if steady:  # a ring of cuts touches all: no other is disturbed then
             self._inject(kind, steady, until)
         following = self._no_fault if self.faults_over else self._inject_fault
         fleet.schedule(now + self.random.randrange(1, 6) * SECOND // 2, following)
@@ -213,21 +213,21 @@
         """End the chain of faults."""
 
     def _inject(self, kind: MembershipFault, steady: list[str], until: int) -> None:
-        hurt = len(NAMES) - len(steady)
-        if kind in PROCESS_FAULTS and hurt < MOST_HURT:
-            self._hurt_process(kind, self.random.choice(steady), until)
+        disturbed_count = len(NAMES) - len(steady)
+        if kind in PROCESS_FAULTS and disturbed_count < MAX_DISTURBED:
+            self._inject_process_fault(kind, self.random.choice(steady), until)
         elif kind == MembershipFault.STARVE:
             process = self.fleet.processes[self.random.choice(steady)]
             process.tick_delay = self.random.randrange(50_000, 400_000)
             self.fleet.schedule(until, self._end_starvation, process.name)
         elif kind == MembershipFault.CUT:
-            self._cut(self.random.choice(CUT_KINDS), steady, until, hurt)
+            self._cut(self.random.choice(CUT_KINDS), steady, until, disturbed_count)
         elif kind == MembershipFault.LOSS and not self.loss:
             self._lose(until)
         elif kind == MembershipFault.FORGE:
             self._forge()
 
-    def _hurt_process(self, kind: MembershipFault, name: str, until: int) -> None:
+    def _inject_process_fault(self, kind: MembershipFault, name: str, until: int) -> None:
         fleet = self.fleet
         if kind == MembershipFault.STOP:
             until = fleet.now + self.random.randrange(8, 30) * SECOND
@@ -284,19 +284,19 @@
         for origin, target in pairs:
             self.fleet.network.set_rule(self.fleet.now, origin, target, reset)
 
-    def _cut(self, kind: CutKind, steady: list[str], until: int, hurt: int) -> None:
+    def _cut(self, kind: CutKind, steady: list[str], until: int, disturbed_count: int) -> None:
         pair = self.random.sample(steady, 2) if len(steady) > 1 else None
         zone_number = self.random.randrange(ZONES)
         if pair is None:
             return
         if kind in PAIR_CUTS:
-            if hurt <= 2:  # else one link fewer could put out who has just half left
+            if disturbed_count <= 2:  # else one link fewer could put out who has just half left
                 self._cut_pair(kind, *pair, until)
         elif kind == CutKind.RING:
-            if hurt == 0:
+            if disturbed_count == 0:
                 self._set_rule(list(zip(NAMES, NAMES[1:] + NAMES[:1], strict=True)), until, cut=True)
                 self._disturb(NAMES, until)
-        elif hurt <= 1:
+        elif disturbed_count <= 1:
             zone = [name for name in NAMES if int(name[1:]) % ZONES == zone_number]
             self._cut_off(kind, zone if kind in ZONE_CUTS else pair[:1], until)
 
--- a/finchcart/fault_injection/processes/process_shim.py
+++ b/finchcart/fault_injection/processes/process_shim.py
@@ -102,7 +102,7 @@
         RULE.pack_into(self._map, self._offset(call), *fields)
 
     def stop_failing(self, call: Call) -> None:
-        """The call works again; its counts stay."""
+        """Let the call work again; its counts stay."""
         struct.pack_into("6q", self._map, self._offset(call), 0, 0, 0, 0, 0, 0)
 
     def calls(self, call: Call) -> int:
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -10,6 +10,7 @@
 from finchcart.fault_injection.quota.process import QuotaFactories, QuotaProcess, SharingMode
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 
 ELECTION_US = 12 * SECOND  # by then a planner shares out
@@ -124,13 +125,13 @@
         ):
             running = self._running()
             if running:
-                self._hurt_process(kind, running)
+                self._inject_process_fault(kind, running)
         elif kind in (QuotaFault.CUT, QuotaFault.ONE_WAY_CUT, QuotaFault.LOSS, QuotaFault.DELAY):
-            self._hurt_network(kind, until)
+            self._inject_network_fault(kind, until)
         elif kind in (QuotaFault.DEMAND, QuotaFault.OVERSTATED_DEMAND, QuotaFault.REPLACE):
             self._change_nodes(kind)
         else:
-            self._hurt_planners(kind, until)
+            self._inject_planner_fault(kind, until)
         if self.now < end:
             self.schedule(self.now + self.random.randrange(200, 4000) * 1000, self._inject_fault, end)
 
@@ -140,11 +141,11 @@
     def _seconds_from_now(self, low: int, high: int) -> int:
         return self.now + self.random.randrange(low, high) * SECOND
 
-    def _hurt_process(self, kind: QuotaFault, running: list[str]) -> None:
+    def _inject_process_fault(self, kind: QuotaFault, running: list[str]) -> None:
         if kind == QuotaFault.STOP:
             name = self.random.choice(running)
             self.stop(name)
-            self.schedule(self._seconds_from_now(1, 30), self._wake, name, self.processes[name].life)
+            self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, self.processes[name].life)
         elif kind == QuotaFault.KILL:
             name = self.random.choice(running)
             self.kill(name)
@@ -159,13 +160,13 @@
         if not process.machine or process.stopped:
             return
         self.stop_before_write(name)
-        self.schedule(self._seconds_from_now(1, 30), self._wake, name, process.life)
+        self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, process.life)
         if kind == QuotaFault.NAME_ELSEWHERE:
             self.schedule(self.now + SECOND, self._start_elsewhere, name)
 
-    def _hurt_planners(self, kind: QuotaFault, until: int) -> None:
+    def _inject_planner_fault(self, kind: QuotaFault, until: int) -> None:
         if kind == QuotaFault.LEADER:
-            self._hurt_leader(until)
+            self._inject_leader_fault(until)
         elif kind == QuotaFault.ALL_PLANNERS:
             for name in self.planner_names:
                 self.kill(name)
@@ -177,7 +178,7 @@
             for number, name in enumerate(self.planner_names):
                 self.schedule(self.now + number * 700_000, self._restart, name, 100_000)
 
-    def _hurt_leader(self, until: int) -> None:
+    def _inject_leader_fault(self, until: int) -> None:
         running = self._running()
         leaders = [
             name
@@ -192,7 +193,7 @@
             self.schedule(until, self._start_again, leader)
         else:
             self.stop(leader)
-            self.schedule(until, self._wake, leader, self.processes[leader].life)
+            self.schedule(until, self._resume_life, leader, self.processes[leader].life)
 
     def _change_nodes(self, kind: QuotaFault) -> None:
         if kind == QuotaFault.DEMAND:
@@ -205,29 +206,33 @@
             for name in self.node_names[:-1]:
                 self.schedule(self._seconds_from_now(0, 4), self._restart, name, 200_000)
 
-    def _hurt_network(self, kind: QuotaFault, until: int) -> None:
+    def _inject_network_fault(self, kind: QuotaFault, until: int) -> None:
         if kind == QuotaFault.LOSS:
-            rule = {"lose": 0.3, "double": 0.3, "swap": 0.2}
-            self._set_rule([(None, None)], until, rule, dict.fromkeys(rule, 0.0))
+            rule = LinkRuleChanges(lose=0.3, double=0.3, swap=0.2)
+            reset = LinkRuleChanges(lose=0.0, double=0.0, swap=0.0)
+            self._set_rule([(None, None)], until, rule, reset)
         elif kind == QuotaFault.DELAY:
-            rule = {"delay": 1000, "jitter": self.random.choice([300_000, 3_000_000, 10_000_000])}
-            self._set_rule([(None, None)], until, rule, dict.fromkeys(rule, 0))
+            jitter = self.random.choice([300_000, 3_000_000, 10_000_000])
+            rule = LinkRuleChanges(delay=1000, jitter=jitter)
+            self._set_rule([(None, None)], until, rule, LinkRuleChanges(delay=0, jitter=0))
         else:
             some = self.random.sample(list(self.processes), self.random.randrange(1, len(self.processes)))
             rest = [name for name in self.processes if name not in some]
             pairs = [(origin, target) for origin in some for target in rest]
             if kind == QuotaFault.CUT:
                 pairs += [(target, origin) for origin in some for target in rest]
-            self._set_rule(pairs, until, {"cut": True}, {"cut": False})
+            self._set_rule(pairs, until, LinkRuleChanges(cut=True), LinkRuleChanges(cut=False))
 
-    def _set_rule(self, pairs: Pairs, until: int, rule: dict, reset: dict | None) -> None:
+    def _set_rule(
+        self, pairs: Pairs, until: int, rule: LinkRuleChanges, reset: LinkRuleChanges | None
+    ) -> None:
         """Change the rules of these links, and change them to `reset` then."""
         for origin, target in pairs:
             self.network.set_rule(self.now, origin, target, rule)
         if reset:
             self.schedule(until, self._set_rule, pairs, 0, reset, None)
 
-    def _wake(self, name: str, life: int) -> None:
+    def _resume_life(self, name: str, life: int) -> None:
         process = self.processes[name]
         if process.life == life and process.stopped:
             self.resume(name)
--- a/finchcart/fault_injection/scripted_runs/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -27,7 +27,7 @@
     BEGAN = "began"  # the process
     STATE = "state"  # `of` is `value` at `at`
     ISOLATED = "isolated"  # `at` holds itself to be, or not, by `value`
-    WOKE = "woke"
+    RESUMED = "woke"
 
 
 class Event(Struct):
@@ -81,7 +81,7 @@
     if "isolated" in fields:
         return Event(when, name, EventKind.ISOLATED, "", fields["isolated"], line)
     if "gap_ms" in fields:
-        return Event(when, name, EventKind.WOKE, "", str(fields["gap_ms"]), line)
+        return Event(when, name, EventKind.RESUMED, "", str(fields["gap_ms"]), line)
     return None
 
 
--- a/finchcart/fault_injection/scripted_runs/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -79,7 +79,7 @@
 def summary(facts: Facts, events: Iterable[Event], plan: Plan) -> str:
     """Return one paragraph of what the processes tell of themselves."""
     ordered = sum(len(action.names) for action in plan.actions if action.kind == "stop")
-    unexpected = max(0, sum(event.kind == EventKind.WOKE for event in events) - ordered)
+    unexpected = max(0, sum(event.kind == EventKind.RESUMED for event in events) - ordered)
     statistics = [each for each in facts["stats"].values() if each.get("late_ms") is not None]
 
     def worst(name: str) -> float:
--- a/finchcart/fault_injection/scripted_runs/virtual_run.py
+++ b/finchcart/fault_injection/scripted_runs/virtual_run.py
@@ -74,7 +74,7 @@
             line = f"{now} {name}: isolated {effect.is_isolated}, {effect.reason!r}"
             self.events.append(Event(now, name, EventKind.ISOLATED, "", effect.is_isolated, line))
         elif isinstance(effect, LogLine) and "gap_ms" in effect.fields:
-            self.events.append(Event(now, name, EventKind.WOKE, "", str(effect.fields["gap_ms"])))
+            self.events.append(Event(now, name, EventKind.RESUMED, "", str(effect.fields["gap_ms"])))
 
     def _start(self, name: str) -> None:
         self.events.append(Event(self.fleet.now, name, EventKind.BEGAN))
--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -90,7 +90,7 @@
 
 
 def count_on_a_late_kill() -> None:
-    """The earliest kill: the node counts on `stop_ms`."""
+    """Let the node take `stop_ms` for the earliest kill."""
     from finchcart import limits
 
     limits.KILL_DELAY_US = 1000 * limits.SECOND
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -98,7 +98,7 @@
 def _second_effects(
     lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
-    """What is not idempotent takes effect once in a window and in the life of a process."""
+    """Find what is not idempotent and took effect twice in a window and in the life of a process."""
     found = []
     by_name = {record.name: record for record in records}
     ran_by_effect: dict[tuple, list[ClientRpcRecord]] = defaultdict(list)
@@ -116,7 +116,7 @@
 
 
 def _wrong_answers(records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]) -> list[str]:
-    """A rejection says that nothing ran; a result is what a run of that request made."""
+    """Find rejections of what ran, and results that no run of that request made."""
     found = []
     started = {run.handle for run in runs}
     by_name = {record.name: record for record in records}
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -165,7 +165,7 @@
         return True
 
     def _key_and_body(self, method: MethodProfile, name: str) -> tuple[str, bytes]:
-        """A new key, or the one of an RPC that was sent not long ago, with its body."""
+        """Return a new key, or that of an RPC that was sent not long ago, with its body."""
         earlier = [record for record in self.records[-8:] if record.key and record.method is method]
         if earlier and self._random.random() < 0.3:
             record = self._random.choice(earlier)
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -183,7 +183,7 @@
         )
 
     def _store_overload(self) -> list[str]:
-        """The mean of the calls in hand over any second, against what all nodes together may use."""
+        """Compare the mean of the calls in hand over any second with what all nodes together may use."""
         limit = self.plan.calls_out * self.plan.nodes
         first = 0
         for at, used in self._store_load:
--- a/finchcart/fault_injection/virtual_time/simulated_network.py
+++ b/finchcart/fault_injection/virtual_time/simulated_network.py
@@ -6,16 +6,31 @@
 """
 
 from collections import Counter
-from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from heapq import heappop, heappush
 from random import Random
-from typing import NamedTuple
+from typing import NamedTuple, TypedDict
 
 COUNTS = ("taken", "lost", "cut", "doubled", "swapped", "spoilt", "delivered")
 Endpoints = tuple[str | None, str | None]  # of a directed link; (None, None): of all links
 
 
+class LinkRuleChanges(TypedDict, total=False):
+    """New values of some fields of a `LinkRule`."""
+
+    lose: float
+    burst: float
+    burst_length: int
+    delay: int
+    jitter: int
+    double: float
+    swap: float
+    swap_by: int
+    spoil: float
+    cut: bool
+    flap: int
+
+
 @dataclass(frozen=True)
 class LinkRule:
     """What happens to the datagrams of a directed link.
@@ -131,7 +146,7 @@
         return deliveries
 
     def set_rule(
-        self, now: int, origin: str | None, target: str | None, changes: Mapping[str, object]
+        self, now: int, origin: str | None, target: str | None, changes: LinkRuleChanges
     ) -> list[Delivery]:
         """Change fields of the rule of a directed link; of all links where both names are None."""
         deliveries = self.advance(now)
