--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -1,8 +1,8 @@
 """Nodes that share consensus, on the virtual clock: what happens to them, and what each holds to be so.
 
 Owns the truth (the state of the store at each node, which sources flood whom, which nodes report falsely)
-and what each node sees of it. It must never tell a node more than its core would see, nor read a consensus store to excuse
-what it did.
+and what each node sees of it. It must never tell a node more than its core would see, nor read a
+consensus store to excuse what it did.
 """
 
 from collections.abc import Callable, Iterable
