--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -24,7 +24,7 @@
 from finchcart.fault_injection.quota.fault_run import QuotaSeedResult, play_seed, seconds_to_follow_demand
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.quota.state_space import DRIFTS, explore
-from finchcart.quota.limits import SECOND, Limit, QuotaConfig
+from finchcart.quota.limits import SECOND, Limit, QuotaConfig, Unit
 
 MOST_PRINTED = 10  # breaches of seeds
 MOST_PRINTED_OF_SEARCH = 5
@@ -35,7 +35,7 @@
 COUNTED_S = 10
 
 
-def play_seeds(count: int, jobs: int, mode: str, per: str, drift: float | None) -> bool:
+def play_seeds(count: int, jobs: int, mode: str, per: Unit, drift: float | None) -> bool:
     """Play seeds and print what they came to; return whether one has a breach."""
     play = partial(play_seed, mode=mode, per=per, drift=drift and drift * QuotaConfig().drift)
     with ProcessPoolExecutor(jobs) as pool:
--- a/finchcart/fault_injection/consensus/rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -145,7 +145,7 @@
 
     def source_floods(self, names: list[str]) -> None:
         """Let a source flood one node after the other; it is blocked once enough have reported it."""
-        subject = subjects.source_subject("10.1.2.3")
+        subject = subjects.parse_subject("source", "10.1.2.3")
         blocked = partial(is_blocked, subject)
         needed = self.consensus_config.required_reports(len(names))
         for number, name in enumerate(self.chance.sample(names, needed)):
@@ -162,7 +162,7 @@
         """Let thousands of sources flood: tables stay bounded, and no other source is blocked."""
         rates = self.chance.choices([4, 4, FLOOD_RATE], k=MANY_SOURCES)
         self.floods = {
-            subjects.source_subject(f"10.2.{number // 250}.{number % 250}"): (rate, set(names))
+            subjects.parse_subject("source", f"10.2.{number // 250}.{number % 250}"): (rate, set(names))
             for number, rate in enumerate(rates)
         }
         self.never(partial(is_restricted, self.innocent), names, 3 * SECOND, "it did nothing")
@@ -297,7 +297,7 @@
 
     def overrides_on_both_sides(self, names: list[str]) -> None:
         """Issue an override on one side of a partition, and change or withdraw it on the other."""
-        subject = subjects.source_subject("10.5.5.5")
+        subject = subjects.parse_subject("source", "10.5.5.5")
         number = self.chance.randrange(10**6)
         blocked = partial(is_blocked, subject)
         if not self._override(names[0], number, subject, Restriction.BLOCKED, 90 * SECOND)["taken"]:
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -70,7 +70,7 @@
         self.failing: set[str] = set()  # nodes that fail their runs
         self.levels: dict[str, float] = {}  # node -> shed level
         self.faulty_reporters: set[str] = set()  # nodes that report what is not so
-        self.innocent = subjects.source_subject("10.9.9.9")  # a source that does nothing
+        self.innocent = subjects.parse_subject("source", "10.9.9.9")  # a source that does nothing
         self.node_views = {name: NodeView() for name in names}
         self.written_at: dict[tuple, int] = {}  # key of a gossip entry -> when its writer wrote it
         self.trace = xxhash.xxh3_64()
@@ -162,7 +162,7 @@
         return evidence
 
     def _flooding_sources(self, name: str) -> dict[int, SourceCounts]:
-        sources = {}
+        sources: dict[int, SourceCounts] = {}
         for subject, (rate, nodes) in self.floods.items():
             if len(sources) >= self.consensus_config.max_sources:
                 break  # as the core's own table of a look
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -52,7 +52,7 @@
     began: int  # in true time
     client: str
     session: int  # of the client's process
-    outcome: int | None = None  # how it ended
+    outcome: LeaseStatus | None = None  # how it ended
 
 
 class KeyLeaseSimulation:
@@ -156,7 +156,7 @@
         runs.append(run)
         self.running[name, key] = run
 
-    def end(self, name: str, key: Key, outcome: int = LeaseStatus.COMPLETED) -> None:
+    def end(self, name: str, key: Key, outcome: LeaseStatus = LeaseStatus.COMPLETED) -> None:
         """End a run."""
         self.running.pop((name, key)).outcome = outcome
         result = RESULT if outcome == LeaseStatus.COMPLETED else b""
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable, Sequence
 from random import Random
-from typing import NoReturn
+from typing import NoReturn, Unpack, cast
 
 import xxhash
 
@@ -27,6 +27,7 @@
     MembershipSimulation,
 )
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
+from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.fleet.inputs import DatagramReceived, Leave, Shutdown
 from finchcart.membership import messages
 from finchcart.membership.config import SECOND, MembershipConfig
@@ -117,7 +118,9 @@
     def check_invariants(self, fleet: MembershipSimulation) -> None:
         """Check the bounds and the rows of the member that acted last."""
         name = fleet.last_fed
-        member = fleet.processes[name].machine if name in NAMES else None
+        if name is None or name not in NAMES:
+            return
+        member = fleet.processes[name].machine
         if member is None:
             return
         self._check_bounds(name, member)
@@ -273,32 +276,36 @@
     def _end_loss(self) -> None:
         self.loss = 0.0
 
-    def _set_rule(self, pairs: Pairs, until: int, **changes: float) -> None:
+    def _set_rule(self, pairs: Pairs, until: int, **changes: Unpack[LinkRuleChanges]) -> None:
         """Change the rules of these links until then."""
         for origin, target in pairs:
             self.fleet.network.set_rule(self.fleet.now, origin, target, changes)
-        reset = {name: 0 if isinstance(value, int) else 0.0 for name, value in changes.items()}
+        reset = cast(
+            LinkRuleChanges,
+            {name: 0 if isinstance(value, int) else 0.0 for name, value in changes.items()},
+        )
         self.fleet.schedule(until, self._reset_rule, pairs, reset)
 
-    def _reset_rule(self, pairs: Pairs, reset: dict[str, float]) -> None:
+    def _reset_rule(self, pairs: Pairs, reset: LinkRuleChanges) -> None:
         for origin, target in pairs:
             self.fleet.network.set_rule(self.fleet.now, origin, target, reset)
 
     def _cut(self, kind: CutKind, steady: list[str], until: int, disturbed_count: int) -> None:
-        pair = self.random.sample(steady, 2) if len(steady) > 1 else None
+        pair = self.random.sample(steady, 2) if len(steady) > 1 else []
         zone_number = self.random.randrange(ZONES)
-        if pair is None:
+        if not pair:
             return
+        origin, target = pair
         if kind in PAIR_CUTS:
             if disturbed_count <= 2:  # else one link fewer could put out who has just half left
-                self._cut_pair(kind, *pair, until)
+                self._cut_pair(kind, origin, target, until)
         elif kind == CutKind.RING:
             if disturbed_count == 0:
                 self._set_rule(list(zip(NAMES, NAMES[1:] + NAMES[:1], strict=True)), until, cut=True)
                 self._disturb(NAMES, until)
         elif disturbed_count <= 1:
             zone = [name for name in NAMES if int(name[1:]) % ZONES == zone_number]
-            self._cut_off(kind, zone if kind in ZONE_CUTS else pair[:1], until)
+            self._cut_off(kind, zone if kind in ZONE_CUTS else [origin], until)
 
     def _cut_pair(self, kind: CutKind, origin: str, target: str, until: int) -> None:
         pairs = [(origin, target)]
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -11,7 +11,7 @@
 from finchcart.fault_injection.quota.simulation import QuotaSimulation
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
-from finchcart.quota.limits import SECOND, Limit, QuotaConfig
+from finchcart.quota.limits import SECOND, Limit, Mode, QuotaConfig, Unit
 
 ELECTION_US = 12 * SECOND  # by then a planner shares out
 STOPS_OVER_US = 30 * SECOND
@@ -21,7 +21,7 @@
 ELSEWHERE_US = 20 * SECOND
 MOST_DEMAND = 40
 
-Pairs = list[tuple[str | None, str | None]]
+Pairs = Sequence[tuple[str | None, str | None]]
 
 
 class QuotaFault(StrEnum):
@@ -74,9 +74,10 @@
         factories: QuotaFactories | None = None,
         kinds: Sequence[QuotaFault] = KINDS,
         drift: float | None = None,
-        **more: object,
+        mode: str = SharingMode.STRICT,
+        per: Unit = "in_hand",
     ) -> None:
-        super().__init__(seed, factories=factories, drift=drift, **more)
+        super().__init__(seed, factories=factories, drift=drift, mode=mode, per=per)
         self.kinds = kinds
         self.planner_names = [name for name, process in self.processes.items() if not process.is_node]
         self.node_names = [process.name for process in self.nodes]
@@ -276,7 +277,7 @@
 def play_seed(
     seed: int,
     mode: str = SharingMode.STRICT,
-    per: str = "in_hand",
+    per: Unit = "in_hand",
     seconds: int = 60,
     drift: float | None = None,
 ) -> QuotaSeedResult:
@@ -297,9 +298,9 @@
     Counted are seconds until nine tenths of what an oracle would give that node are in hand; None: not within
     20 s.
     """
-    loose = mode == SharingMode.LOOSE
-    kind = SharingMode.LOOSE if loose else SharingMode.STRICT
-    limit = Limit("store", 48, 0 if loose else 1, mode=str(kind))
+    limit_mode: Mode = "loose" if mode == SharingMode.LOOSE else "strict"
+    floor = 0 if limit_mode == "loose" else 1
+    limit = Limit("store", 48, floor, mode=limit_mode)
     quota = QuotaConfig(limits=(limit,), max_processes=holders + 4)
     fleet = QuotaSimulation(1, holders=holders, mode=mode, quota=quota)
     for name in fleet.processes:
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -24,7 +24,7 @@
 from finchcart.node.limiters import CallConcurrencyLimiter, RateLimiter
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.inputs import UsageReported
-from finchcart.quota.limits import SECOND, Limit, QuotaConfig
+from finchcart.quota.limits import SECOND, Limit, Mode, QuotaConfig, Unit
 
 TICK_US = 100_000
 LATENCY_US = 300
@@ -53,7 +53,7 @@
         factories: QuotaFactories | None = None,
         drift: float | None = None,
         mode: str = SharingMode.STRICT,
-        per: str = "in_hand",
+        per: Unit = "in_hand",
     ) -> None:
         super().__init__(seed, LATENCY_US)
         self.random = Random(f"shares {seed}")
@@ -75,19 +75,19 @@
         self.trace = xxhash.xxh3_64()
         self._init_statistics()
 
-    def _default_limit(self, holders: int, per: str) -> Limit:
+    def _default_limit(self, holders: int, per: Unit) -> Limit:
         floors = {SharingMode.STRICT: 1, SharingMode.STATIC: LIMIT_AMOUNT // holders if holders else 0}
         burst = 0 if per == "in_hand" else RATE_BURST
-        kind = SharingMode.LOOSE if self.mode == SharingMode.LOOSE else SharingMode.STRICT
+        mode: Mode = "loose" if self.mode == SharingMode.LOOSE else "strict"
         floor = floors.get(self.mode, 0)
-        return Limit("store", LIMIT_AMOUNT, floor, per=per, burst=burst, mode=str(kind))
+        return Limit("store", LIMIT_AMOUNT, floor, per=per, burst=burst, mode=mode)
 
     def _init_statistics(self) -> None:
         self.phase = "start"
         self.use: dict[str, list[float]] = {}  # phase -> [used, wanted], unit-microseconds
         self.in_hand = 0
         self.counted_at = self.now
-        self.worst = 0  # most in hand, or the fullest bucket
+        self.worst: float = 0  # most in hand, or the fullest bucket
         self.remainder = 0  # most that stopped processes wrote too late
         self.level = 0.0  # of a bucket that empties at the rate
         self.level_at = self.now
--- a/finchcart/fault_injection/quota/state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -155,7 +155,7 @@
         """Play one step; messages of the delayed link come later."""
         self.step += 1
         self.now += STEP_US
-        todo = [(name, Tick()) for name in self.machines]
+        todo: list[tuple[str, tuple]] = [(name, Tick()) for name in self.machines]
         for message in [message for message in self.delayed if message.step <= self.step]:
             todo.append((message.target, DatagramReceived(self.address(message.origin), message.data)))
         self.delayed = [message for message in self.delayed if message.step > self.step]
@@ -172,18 +172,18 @@
         self, name: str, machine_input: tuple, count: int, delay: Delay | None
     ) -> list[tuple[str, tuple]]:
         """Hand an input to a process; return the inputs of others that come of it in this step."""
-        following = []
+        following: list[tuple[str, tuple]] = []
         for effect in self.machines[name].reduce(self.clock(name, count), machine_input):
             if isinstance(effect, LimitAllowance):
                 self.allowances[name] = effect.amount, effect.until
                 self.check()
             elif isinstance(effect, SendDatagram):
                 target = self.name_at(effect.address)
-                if self._arrives_now(name, target, effect.data, delay):
+                if target is not None and self._arrives_now(name, target, effect.data, delay):
                     following.append((target, DatagramReceived(self.address(name), effect.data)))
         return following
 
-    def _arrives_now(self, origin: str, target: str | None, data: bytes, delay: Delay | None) -> bool:
+    def _arrives_now(self, origin: str, target: str, data: bytes, delay: Delay | None) -> bool:
         """Whether a message arrives in this step; what is delayed is put under way."""
         if delay is None or (origin, target) != (delay.origin, delay.target):
             return True
