--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -1,6 +1,6 @@
-"""What becomes of an RPC that arrives: it is queued, rejected, or shares the result of another.
+"""Admission of an arriving RPC: it is queued, rejected, or shares the result of another RPC.
 
-Owns the forecast of a new RPC: its objective, expected service time and priority. See "Intake: the loop" in
+This module sets an RPC's latency objective, expected service time and priority. See "Intake: the loop" in
 docs/design.md. Times are microseconds.
 """
 
@@ -15,12 +15,16 @@
 from finchcart.decisions.rpc import RpcEvents, RpcHandle
 from finchcart.decisions.run_starter import RunStarter
 
-RETRY_TIME_LOST = 4  # the age of a retry is not sent: its objective is shorter by this times the retry ratio
-MAX_RETRY_TIME_LOST = 0.5  # of the objective
+# A retry does not carry its age, so its objective is shortened by this factor times the retry ratio.
+RETRY_TIME_LOST = 4
+MAX_RETRY_TIME_LOST = 0.5  # fraction of the objective
 
 
 class Admission:
-    """Admits RPCs. Invariant: each `admit` queues, rejects or fails its RPC, or has it share a result."""
+    """Admission of RPCs.
+
+    Invariant: each call of `admit` queues, rejects or fails its RPC, or has the RPC share a result.
+    """
 
     def __init__(
         self,
@@ -33,7 +37,7 @@
         completion: Completion,
         starter: RunStarter,
     ) -> None:
-        """Admit RPCs to a node in this state; `events`: what their handles call."""
+        """Admit RPCs to the node with this state; `events` receives the events reported on their handles."""
         self._run_factor = settings.run_memory_factor
         self._methods_by_name = state.methods.by_name
         self._events = events
@@ -50,7 +54,7 @@
         self._starter = starter
 
     def admit(self, now: int, index: int, arrival: RpcArrival) -> RpcHandle:
-        """Queue, reject or fail an RPC that was read, or have it share a result; return its handle."""
+        """Queue, reject or fail an RPC that was read, or have the RPC share a result; return its handle."""
         self._callers.record(now, arrival.caller)
         method = self._methods_by_name[arrival.method]
         rpc = RpcHandle(self._events, now, index, method, arrival, self._run_factor)
@@ -70,7 +74,8 @@
             objective *= 1 - min(MAX_RETRY_TIME_LOST, RETRY_TIME_LOST * self._arrivals.retry_ratio)
         rpc.objective_at = min(rpc.due_at, rpc.reached_at + int(objective))
         rpc.expected_service_time = method.estimates.expected(rpc.service_time_hint)
-        # Not by criticality for the work: of two equal methods, the one with longer runs would be starved.
+        # Criticality is not divided by the expected work: of two methods of equal criticality, the one with
+        # longer runs would starve.
         rpc.priority = (-method.criticality, rpc.objective_at - rpc.expected_service_time)
 
     def _queue_or_reject(self, now: int, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -1,7 +1,7 @@
-"""Whether an RPC that arrives is rejected, and why.
+"""Checks that decide whether an arriving RPC is rejected, and for which reason.
 
-Owns the random numbers of the node. It must never change a limit or a probability. See "Intake: the loop" in
-docs/design.md. Times are microseconds.
+This module holds the node's random number generator. The checks must not change a limit or a probability.
+See "Intake: the loop" in docs/design.md. Times are microseconds.
 """
 
 from random import Random
@@ -12,21 +12,24 @@
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
 
-QUOTA_RESERVE = 20  # a twentieth of a fleet quota is reserved for each more critical rank
-FREE_CORE_PART = 0.8  # of the time left, that the expected service time may take on a free core
-IDLE_NODE_PART = 1.2  # the same where less than half of the cores are in use
-EXPLORATION_PROBABILITY = 0.1  # of running what does not fit: else a slow node never learns that it recovered
+QUOTA_RESERVE = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
+# With a free core, an RPC is admitted if its expected service time is below this fraction of the time left.
+FREE_CORE_PART = 0.8
+IDLE_NODE_PART = 1.2  # the same fraction while less than half of the cores are in use
+# Probability of running an RPC that is expected to be late: without these runs, the estimates of a slow node
+# would stay high after its recovery.
+EXPLORATION_PROBABILITY = 0.1
 
 
 class AdmissionChecks:
-    """The reasons against the admission of an RPC, in the order in which they are asked.
+    """Admission checks, in the order in which they are made.
 
-    Invariant: random numbers are drawn in the order of the checks, one for a rank by chance and one for an
-    exploration.
+    Invariant: random numbers are drawn in the order of the checks, one for the shed rank of an RPC that
+    carries none, and one for the decision to explore.
     """
 
     def __init__(self, settings: NodeSettings, state: NodeState, seed: int) -> None:
-        """Check against this state; `seed`: of all that is left to chance."""
+        """Check RPCs against this state; `seed` initializes the random number generator."""
         self._key_entry_kb = settings.key_entry_kb
         self._can_pause = settings.can_pause
         self._random = Random(seed).random
@@ -49,7 +52,7 @@
         return quota.available <= int(quota.capacity / QUOTA_RESERVE * ranks_above)
 
     def rejection_reason(self, now: int, rpc: RpcHandle, expected_wait: float) -> RejectionReason | None:
-        """Return why to reject an RPC that would wait so long for a core, or None."""
+        """Return the reason to reject an RPC that would wait `expected_wait` for a core, or None."""
         reason = self._why_not_served(now, rpc)
         if reason is not None:
             return reason
@@ -82,20 +85,27 @@
         return None
 
     def _lacks_dependency(self, method: Method) -> bool:
-        """Return whether it would run half and fail: no more are admitted than may probe the dependency."""
+        """Return whether a new RPC of the method would exceed the number of allowed probe calls.
+
+        Such an RPC would start to run and then fail, as no call could be made for it.
+        """
         capacity = self._gauges.call_capacity
         if not method.needs_call or capacity is None:
             return False
         return capacity <= sum(other.method.needs_call for other in self._table.active.values()) - 1
 
     def _relative_rank(self, rpc: RpcHandle) -> float:
-        """Return its rank among its like, 0 to 1: by its user, the same on all nodes, or by chance."""
+        """Return the shed rank of an RPC among RPCs of the same criticality, from 0 to 1.
+
+        The rank that an RPC carries depends on its user and is the same on all nodes; without one, the rank
+        is random.
+        """
         if rpc.shed_rank is None:
             return self._random()
         return rpc.shed_rank * self._rank_count - rpc.method.criticality_rank
 
     def _has_free_core(self, now: int, rpc: RpcHandle) -> bool:
-        """Return whether a core is free for it, and its run is expected to fit in the time left."""
+        """Return whether a core is free for the RPC, and its run is expected to fit in the time left."""
         on_cores = self._runs.on_cores
         cores = self._runs.cores
         if on_cores >= cores or self._queue.entries:
@@ -105,6 +115,6 @@
         return fits or not rpc.service_time_hint or self._random() < EXPLORATION_PROBABILITY
 
     def _misses_objective(self, starts_at: float, rpc: RpcHandle) -> bool:
-        if self._can_pause:  # the service time learned among runs that yield is too long
+        if self._can_pause:  # service times learned from runs that were paused are too long
             return self._deadlines.misses_objective(starts_at, rpc)
         return starts_at + rpc.expected_service_time * self._slowdown.factor > rpc.objective_at
--- a/finchcart/decisions/admission_control.py
+++ b/finchcart/decisions/admission_control.py
@@ -1,7 +1,7 @@
-"""The control loop of admission: how much of each method is admitted.
+"""Feedback control of the admission probability of each method.
 
-Owns `admission_probability` and `relative_latency` of the methods. It must never look at a single RPC. See
-"Intake: the loop" in docs/design.md. Times are microseconds.
+Only this module writes `admission_probability` and `relative_latency` of the methods. It must not depend on
+single RPCs. See "Intake: the loop" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.expected_wait import WaitForecast
@@ -9,20 +9,22 @@
 from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.pausing import Pausing
 
-BUSY_THRESHOLD = 0.9  # part of the cores, or of the host's time, in use, above which admission is cut
-SETPOINT_PART = 0.6  # of the latency objective: the loop's setpoint
-MIN_PROBABILITY = 0.05  # at the deepest cut
-MAX_CUT = 0.95  # a probability falls to no less than this of itself in an interval
-PROBABILITY_GROWTH = 0.015  # in an interval at the setpoint; the faster the further the latency is below it
-MIN_GROWTH_BASE = 0.2  # of the relative latency
-NEXT_RANK_PROBABILITY = 0.1  # a method is cut once those less critical are admitted with less than this
+BUSY_THRESHOLD = 0.9  # admission is cut above this utilization of the cores or of the host process
+SETPOINT_PART = 0.6  # setpoint of the control loop, as a fraction of the latency objective
+MIN_PROBABILITY = 0.05  # lower bound of an admission probability
+MAX_CUT = 0.95  # lower bound of the factor by which a cut multiplies a probability in one interval
+# Growth of a probability in one interval at the setpoint. The growth is divided by the relative latency, and
+# so is faster at lower latencies.
+PROBABILITY_GROWTH = 0.015
+MIN_GROWTH_BASE = 0.2  # lower bound of the relative latency in that division
+NEXT_RANK_PROBABILITY = 0.1  # a method is cut once all less critical ones have a probability below this
 
 
 class AdmissionControl:
-    """The control loop. Invariant: a probability stays from MIN_PROBABILITY to 1."""
+    """Controller of the admission probabilities. Invariant: each is between MIN_PROBABILITY and 1."""
 
     def __init__(self, state: NodeState, pausing: Pausing, wait: WaitForecast) -> None:
-        """Control the admission of this state's methods."""
+        """Control the admission probabilities of the methods of this state."""
         self._methods = state.methods
         self._runs = state.runs
         self._gauges = state.gauges
@@ -31,12 +33,12 @@
         self._wait = wait
 
     def update(self, now: int, ingress_delay: float) -> None:
-        """Turn the loop once; `ingress_delay`: that an RPC arriving now would meet before it is read."""
+        """Run one iteration; `ingress_delay` is the expected time until an RPC arriving now is read."""
         self._measure_latency(now, ingress_delay)
         self._adjust_probabilities()
 
     def _measure_latency(self, now: int, ingress_delay: float) -> None:
-        """Forecast the latency that an RPC arriving now would meet, over the setpoint."""
+        """Set each method's relative latency: the forecast for an RPC arriving now, over the setpoint."""
         for method in self._methods.all:
             priority = (-method.criticality, now + method.latency_objective)
             latency = ingress_delay + self._wait.expected_wait(priority)
@@ -44,7 +46,11 @@
             method.relative_latency = latency / (SETPOINT_PART * method.latency_objective)
 
     def _adjust_probabilities(self) -> None:
-        """Cut the less critical methods first, also for others' sake, and none that others yield to."""
+        """Adjust the probabilities by the relative latencies, the least critical methods first.
+
+        A method is also cut where only a more critical method is too slow. A method is not cut while runs of
+        less critical methods yield their cores to its runs.
+        """
         core_use = min(1.0, self._runs.on_cores / self._runs.cores)
         is_busy = max(self._gauges.core_use, core_use, self._gauges.input_busy) > BUSY_THRESHOLD
         for method in self._methods.all:
@@ -59,7 +65,7 @@
                 method.admission_probability = min(1.0, probability + growth)
 
     def _may_cut(self, method: Method) -> bool:
-        """Return whether the less critical methods are cut as far as they go, and none of them yields."""
+        """Return whether all less critical methods are already cut, and none of them yields to this one."""
         if any(self._pausing.yields(other, method.criticality) for other in method.less_critical):
             return False
         probability = max((other.admission_probability for other in method.less_critical), default=0)
--- a/finchcart/decisions/completion.py
+++ b/finchcart/decisions/completion.py
@@ -1,7 +1,7 @@
-"""The end of an RPC: its rejection or failure, and giving back what it held.
+"""Completion of an RPC: its rejection or failure, and the release of its resources.
 
-Owns the order in which an RPC is taken out of the other parts. It must never decide which RPC ends, nor start
-another. Times are microseconds.
+This module defines the order in which an RPC is removed from the other components. It must not decide which
+RPC is completed, and must not start another one. Times are microseconds.
 """
 
 from finchcart.decisions.node_state import NodeState
@@ -22,14 +22,14 @@
 
 
 class Completion:
-    """Ends RPCs.
+    """Rejects, fails, completes and releases RPCs.
 
-    Invariant: an RPC gets one final response at most, and none after it is COMPLETED; it is released once, as
-    soon as it is completed and its key is not stored any more.
+    Invariant: an RPC gets one final response at most, and none after it is COMPLETED. An RPC is released
+    exactly once, as soon as it is completed and its idempotency key is no longer stored.
     """
 
     def __init__(self, port: Port, state: NodeState, advice: RejectionAdvice) -> None:
-        """End RPCs of a node in this state."""
+        """Complete RPCs of the node with this state."""
         self._port = port
         self._table = state.table
         self._memory = state.memory
@@ -40,14 +40,17 @@
         self._advice = advice
 
     def reject(self, now: int, rpc: RpcHandle, reason: RejectionReason, expected_wait: float = 0) -> None:
-        """Reject an RPC that never ran; `expected_wait`: until it might have got a core here."""
+        """Reject an RPC that never ran; `expected_wait` is how long it would have waited for a core."""
         do_not_retry = self._advice.do_not_retry(now, rpc)
         retry_after = self._advice.retry_after(expected_wait)
         self._port.reject(rpc.index, reason, retry_after, do_not_retry)
         self.complete(now, rpc)
 
     def fail(self, now: int, rpc: RpcHandle) -> None:
-        """Send the response that it failed; a run goes on to its end, or is stopped where that is allowed."""
+        """Send the response that the RPC failed; stop its run where that is allowed.
+
+        A run that may not be stopped continues to its end.
+        """
         if rpc.response_pending:
             self._port.fail(rpc.index)
         rpc.response_sent = True
@@ -57,7 +60,7 @@
             self._port.stop(rpc.index)
 
     def drop_queued(self, now: int, rpc: RpcHandle, reason: RejectionReason) -> None:
-        """Take an RPC out of the queue for good; a paused one has run, and is failed instead of rejected."""
+        """Remove an RPC from the queue and reject it, or fail it where it was paused and so has run."""
         self._queue.remove(rpc)
         if rpc.has_run:
             self.fail(now, rpc)
@@ -65,7 +68,7 @@
             self.reject(now, rpc, reason)
 
     def complete(self, now: int, rpc: RpcHandle) -> None:
-        """Give back what an RPC held; the key of what never ran is of no use."""
+        """Complete an RPC and free its resources; if it never ran, also evict its idempotency key."""
         if rpc.state is CALLING:
             self._calls.end(now, rpc, Outcome.TIMEOUT)
         if rpc.state is not QUEUED and rpc.state is not SHARING:
@@ -83,6 +86,6 @@
             self.release(rpc)
 
     def release(self, rpc: RpcHandle) -> None:
-        """Release a completed RPC."""
+        """Forget a completed RPC and release its index."""
         self._table.remove(rpc)
         self._port.release(rpc.index)
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -1,7 +1,8 @@
-"""The decisions of a node, as its host calls them.
+"""Interface of the decision module that the host of a node calls.
 
-Owns the parts of one node and the time of its last maintenance. It must never decide itself: each call goes
-to the modules in the table of finchcart/decisions/__init__.py, in that order.
+The controller creates the components of one node and keeps the time of the last maintenance. It makes no
+decision itself: it passes each call to the modules that the table in finchcart/decisions/__init__.py lists,
+in the order given there.
 """
 
 from finchcart.decisions.admission import Admission
@@ -25,10 +26,13 @@
 
 
 class NodeController:
-    """The decisions of one node; its port is called inside these calls. Times are whole microseconds."""
+    """Decision module of one node.
+
+    The methods call the port before they return. Times are whole microseconds.
+    """
 
     def __init__(self, port: Port, settings: NodeSettings, seed: int) -> None:
-        """Begin without an RPC; `seed`: of all that is left to chance."""
+        """Create a node without RPCs; `seed` initializes the random number generator."""
         state = NodeState(port, settings)
         pausing = Pausing(port, settings, state)
         wait = WaitForecast(state, pausing)
@@ -48,11 +52,11 @@
 
     @property
     def own_shed_level(self) -> float:
-        """The shed level that this node alone would publish."""
+        """Shed level that follows from this node's load alone, without the fleet's minimum."""
         return self.control_loop.feedback.own_level
 
     def start(self, now: int) -> None:
-        """Begin to serve."""
+        """Start to serve: report the node healthy and set the first timer."""
         self._maintained_at = now
         self.state.warm_up.begin(now)
         self.state.calls.start(now)
@@ -61,11 +65,15 @@
         self._port.set_timer(MAINTENANCE_INTERVAL)
 
     def admit(self, now: int, index: int, arrival: RpcArrival) -> RpcHandle:
-        """Decide on an RPC that was read: return its handle, on which the host reports what happens to it."""
+        """Decide on an RPC that was read, and return the handle on which the host reports its events."""
         return self._admission.admit(now, index, arrival)
 
     def on_timer(self, now: int, gauges: Gauges) -> None:
-        """Take the gauges over, respond to what is overdue, and turn the control loop once."""
+        """Do the periodic maintenance.
+
+        Store the gauges, respond to overdue RPCs, run one iteration of the control loop, and start the calls
+        and runs that are now allowed.
+        """
         state = self.state
         elapsed = now - self._maintained_at
         self._maintained_at = now
@@ -85,9 +93,15 @@
         self._port.set_timer(MAINTENANCE_INTERVAL)
 
     def drain(self, now: int, termination_deadline: int) -> None:
-        """Begin the graceful shutdown: serve through the grace period, respond to all before the deadline."""
+        """Begin the graceful shutdown.
+
+        The node serves until the grace period ends, and responds to every RPC before the deadline.
+        """
         self.state.shutdown.begin(now, termination_deadline)
 
     def worker_pool_restarted(self, now: int, cold: bool) -> None:
-        """Count a new warm-up of what runs the RPCs; the ends of its runs are reported one by one."""
+        """Begin a new warm-up after a restart of the worker pool.
+
+        The host reports the end of each run that the restart interrupted on the handle of its RPC.
+        """
         self.state.warm_up.restart(now, cold)
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -1,8 +1,8 @@
-"""The calls that runs make to the dependency: which are made, wait, or are left out.
+"""Limits on the calls that runs make to the dependency: each call is made, delayed or skipped.
 
-Owns the runs that await a call, the calls in flight, those abandoned that still run downstream, and the token
-bucket of call time. It must never respond to an RPC: what follows from a failed call is up to rpc_events.py.
-See "Guards for the rules" in docs/design.md. Times are microseconds.
+This module keeps the runs that await a call, the calls in flight, the abandoned calls that the dependency
+still works on, and the token bucket of call time. It must not respond to an RPC: rpc_events.py decides what
+follows from a failed call. See "Guards for the rules" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.deadlines import BEST_CASE_PART, ResponseDeadlines
@@ -23,28 +23,29 @@
 from finchcart.decisions.token_bucket import TokenBucket
 from finchcart.decisions.units import MS
 
-# The token bucket: a token is a microsecond of call time. Parts of the node's share of the dependency.
-REFILL_PART = 0.8  # the mean over the window stays under the share
-BUCKET_PART = 0.2  # of the share over its window
-AMPLE_TOKENS_PART = 0.1  # above it, more calls may be in flight
+# Token bucket of call time: one token is one microsecond of a call. The first value is a fraction of the
+# node's share of the dependency, the others are fractions of the share times its window.
+REFILL_PART = 0.8  # refill rate; below 1, so that the mean over the window stays below the share
+BUCKET_PART = 0.2  # size of the bucket
+AMPLE_TOKENS_PART = 0.1  # with more tokens than this, more calls may be in flight
 
-# Calls in flight, as parts of the node's share.
+# Limits of the calls in flight, as fractions of the node's share.
 AMPLE_CALLS_PART = 0.8
 CAUTIOUS_CALLS_PART = 0.5
-SHORT_CALLS = 32  # calls are short where so many fit in the shortest latency objective
+SHORT_CALLS = 32  # calls count as short if this many mean calls fit in the shortest latency objective
 
 SHORTEST_CALL_BIN = 2 * MS
 PRIOR_CALL_TIME = 30 * MS
-DEGRADE_MARGIN = 1.5  # times the mean call that must fit in the time left, else the call is left out
-USUAL_CALL_QUANTILE = 0.95  # of the calls' times: no call is abandoned before it, whatever time is left
+DEGRADE_MARGIN = 1.5  # a call is skipped if less time is left than this factor times the mean call takes
+USUAL_CALL_QUANTILE = 0.95  # with time left or not, no call times out before this quantile of call times
 LONG_AGO = -(10**15)
 
 
 class DependencyCalls:
-    """The calls of all runs.
+    """Calls of all runs to the dependency.
 
-    Invariant: `awaiting` holds RPCs in the state AWAITING_CALL, each once; `in_flight` counts those that are
-    CALLING.
+    Invariant: `awaiting` holds RPCs in the state AWAITING_CALL, each once; `in_flight` is the number of RPCs
+    in the state CALLING.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         deadlines: ResponseDeadlines,
         shortest_objective: int,
     ) -> None:
-        """No call was made; `shortest_objective`: the latency objective of all methods that is shortest."""
+        """Begin without calls; `shortest_objective` is the shortest latency objective of all methods."""
         self._settings = settings
         self._port = port
         self._runs = runs
@@ -65,7 +66,7 @@
         self._slowdown = slowdown
         self._deadlines = deadlines
         self._shortest_objective = shortest_objective
-        # A tier decides for itself: no share of it is kept to.
+        # A dependency that is a tier does its own admission, so no share is enforced here.
         is_shared = settings.dependency is Dependency.SHARED
         self._share = settings.calls_limit if is_shared else UNLIMITED_CALLS
         self._window = settings.calls_window_us
@@ -73,13 +74,13 @@
         self._linger = DEFAULT_CALLS_LINGER_US if linger_us is None else linger_us
         self.awaiting: list[RpcHandle] = []
         self.in_flight = 0
-        self.abandoned: list[int] = []  # when each abandoned call ends downstream
-        self.unreachable_at = LONG_AGO  # when a call last did not reach the dependency
+        self.abandoned: list[int] = []  # when the dependency presumably ends each abandoned call
+        self.unreachable_at = LONG_AGO  # when a call last failed to reach the dependency
         self.call_time = Histogram(SHORTEST_CALL_BIN, PRIOR_CALL_TIME, HISTOGRAM_SAMPLES)
         self.bucket = TokenBucket(BUCKET_PART * self._share * self._window)
 
     def start(self, now: int) -> None:
-        """Count call time from `now`."""
+        """Refill the token bucket from `now` on."""
         self.bucket.start(now)
 
     def await_call(self, rpc: RpcHandle) -> None:
@@ -87,13 +88,13 @@
         self.awaiting.append(rpc)
 
     def withdraw(self, rpc: RpcHandle) -> None:
-        """Make no call for a run that is over."""
+        """Cancel the pending call of a run that has ended."""
         if rpc in self.awaiting:
             self.awaiting.remove(rpc)
 
     def make_calls(self, now: int) -> None:
-        """Make or leave out the calls that runs await, as far as the share of the dependency allows."""
-        # A dependency may come back cold: each node's share grows from when it was last unreachable.
+        """Make or skip the calls that runs await, as far as the limits allow."""
+        # The dependency may be cold after an outage: the share ramps up from when it was last unreachable.
         progress = self._settings.warm_up_progress(now - self.unreachable_at)
         share = self._share * progress
         size = BUCKET_PART * share * self._window
@@ -106,7 +107,7 @@
         capacity = self._gauges.call_capacity
         if capacity is None:
             limit = self._limit(share)
-        else:  # given by the fleet: all of it may be used
+        else:  # the fleet grants this capacity to this node alone, so the token bucket does not limit calls
             limit = min(capacity, max(1, int(capacity * progress)))
             self.bucket.fill()
             awaiting.sort(key=lambda rpc: rpc.priority)
@@ -114,11 +115,11 @@
             self._make_call(now, rpc, limit)
 
     def record_success(self, spent: int) -> None:
-        """Learn from a call that returned after `spent` microseconds."""
+        """Add the duration of a successful call, `spent` microseconds, to the histogram."""
         self.call_time.add(max(1, spent))
 
     def end(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
-        """Count out a call; one that was abandoned goes on downstream for a while."""
+        """Count the end of a call; the dependency is assumed to work on an abandoned call for a while."""
         rpc.state = AWAITING_CALL
         self.in_flight -= 1
         self.bucket.take(now - rpc.called_at)
@@ -129,7 +130,7 @@
             self.unreachable_at = now
 
     def degrade(self, now: int, rpc: RpcHandle) -> None:
-        """Leave out the call that a run awaits."""
+        """Resume a run without the call that it awaits."""
         self._port.degrade(rpc.index)
         self._runs.resume(now, rpc)
 
@@ -138,7 +139,7 @@
             self.abandoned.pop(0)
 
     def _limit(self, share: float) -> int:
-        """Return the limit of calls in flight: a slow dependency, or one short of tokens, gets fewer."""
+        """Return the limit of calls in flight, which is lower for a slow dependency or with few tokens."""
         ample_tokens = AMPLE_TOKENS_PART * self._share * self._window
         are_short = SHORT_CALLS * self.call_time.mean < self._shortest_objective
         is_ample = are_short and not self.abandoned and self.bucket.tokens > ample_tokens
@@ -158,12 +159,12 @@
             self._port.call(rpc.index, self._timeout(now, rpc, limit))
 
     def _lacks_time(self, now: int, rpc: RpcHandle) -> bool:
-        """Return whether the call and the rest of the run no longer fit in the objective."""
+        """Return whether the call and the rest of the run no longer fit in the time until the objective."""
         rest = BEST_CASE_PART * rpc.expected_service_time * self._slowdown.factor
         return rpc.objective_at - now < DEGRADE_MARGIN * self.call_time.mean + rest
 
     def _timeout(self, now: int, rpc: RpcHandle, limit: int) -> int:
-        """Return the timeout of a call, which leaves time for a degraded answer where one has a value."""
+        """Return the timeout of a call, which leaves time for a degraded response where that has a value."""
         timeout: float = rpc.due_at - now - self._deadlines.response_margin
         if rpc.method.degraded_value > 0:
             service_time = rpc.expected_service_time * self._slowdown.factor
--- a/finchcart/decisions/port.py
+++ b/finchcart/decisions/port.py
@@ -1,7 +1,6 @@
-"""The verbs by which the decision module acts; a host implements them.
+"""Interface through which the decision module acts; each host implements it.
 
-Owns the protocol alone. Times are whole microseconds on the host's one clock; an RPC is named by a small
-index that the host assigns.
+Times are whole microseconds on the host's clock. An RPC is identified by a small index that the host assigns.
 """
 
 from typing import Protocol
@@ -10,60 +9,65 @@
 
 
 class Port(Protocol):
-    """What the decision module can do. `index` names an RPC. Calls take effect in the order made."""
+    """Commands of the decision module to its host.
+
+    `index` identifies an RPC. The host must execute the commands in the order of the calls.
+    """
 
     def run(self, index: int) -> None:
         """Start a queued RPC, or resume a paused one."""
 
     def stop(self, index: int) -> None:
-        """Stop work on a core; this is not an answer.
+        """Stop a run that is on a core, without sending a response.
 
-        What was done is lost, or kept where `can_pause` is set and a response is pending. `run_ended` with
-        `Outcome.STOPPED` reports that it took effect; it may not, during a stall or a call.
+        The work done so far is discarded, unless `can_pause` is set and a response is pending: then it is
+        kept. The host confirms the stop by `run_ended` with `Outcome.STOPPED`. A stop during a stall or a
+        call may have no effect and is then not confirmed.
         """
 
     def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
-        """Send the final answer that it never ran here.
+        """Send the final response that the RPC was rejected and never ran on this node.
 
-        `reason` is for the host's statistics alone. The caller may come back after `retry_after` microseconds
-        (0: no advice); `do_not_retry` asks it not to try another node either.
+        The host uses `reason` for its statistics only. The response advises the caller to retry on this node
+        after `retry_after` microseconds at the earliest (0: no advice); `do_not_retry` asks the caller not
+        to retry on another node either.
         """
 
     def fail(self, index: int) -> None:
-        """Send the final answer that it failed, without saying whether it ran."""
+        """Send the final response that the RPC failed, without stating whether it ran."""
 
     def call(self, index: int, timeout: int) -> None:
-        """Make the call that a run awaits; it is abandoned after `timeout` microseconds."""
+        """Make the call that a run awaits, and abandon it after `timeout` microseconds."""
 
     def degrade(self, index: int) -> None:
-        """Leave out the call that a run awaits, for a degraded answer."""
+        """Resume a run without the call that it awaits, for a degraded response."""
 
     def answer_duplicate(self, index: int) -> None:
-        """Answer a duplicate from the result of the first RPC of its key, once that is known."""
+        """Respond to a duplicate with the result of the first RPC with its key, as soon as that is known."""
 
     def store_key(self, index: int, ttl: int) -> None:
-        """Keep the RPC's idempotency key for `ttl` microseconds, so that duplicates are recognized."""
+        """Store the RPC's idempotency key for `ttl` microseconds, so that duplicates are recognized."""
 
     def evict_key(self, index: int) -> None:
         """Remove the RPC's idempotency key."""
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """Set how health checks are answered from now on; `cached`: without doing work for each."""
+        """Set the response to health checks; `cached`: respond without doing any work for each check."""
 
     def set_shed_level(self, level: float) -> None:
-        """Publish the shed level (0 to 1) with all answers."""
+        """Publish the shed level (0 to 1) with all responses."""
 
     def set_credit(self, credit: float) -> None:
-        """Publish with all answers how many RPCs each caller may have open here."""
+        """Publish with all responses how many RPCs each caller may have open on this node."""
 
     def set_idle_timeout(self, timeout: int) -> None:
         """Close connections that are idle for `timeout` microseconds."""
 
     def set_timer(self, delay: int) -> None:
-        """Ask for `NodeController.on_timer(now, gauges)` after `delay` microseconds."""
+        """Have the host call `NodeController.on_timer(now, gauges)` after `delay` microseconds."""
 
     def log(self, text: str) -> None:
-        """Write one line for the operators."""
+        """Write one line to the operators' log."""
 
     def release(self, index: int) -> None:
-        """Release an RPC: the decision module will not name this index again."""
+        """Release the index of an RPC: the decision module does not use this index again."""
--- a/finchcart/decisions/rpc_events.py
+++ b/finchcart/decisions/rpc_events.py
@@ -1,7 +1,7 @@
-"""What follows from the events that a host reports on an RPC's handle.
+"""Handling of the events that a host reports on the handle of an RPC.
 
-Owns no state but `failed`, `failed_calls` and `caller_is_gone` of the RPC. Arrivals are admission.py's. Times
-are microseconds.
+This module has no state of its own; it writes the fields `failed`, `failed_calls` and `caller_is_gone` of an
+RPC, and `has_run` at the end of a run. Arrivals are handled by admission.py. Times are microseconds.
 """
 
 from finchcart.decisions.completion import Completion
@@ -12,16 +12,20 @@
 from finchcart.decisions.rpc import CALLING, COMPLETED, PAUSED, QUEUED, RUNNING, SHARING, RpcHandle
 from finchcart.decisions.run_starter import RunStarter
 
-MAX_CALL_ATTEMPTS = 2  # of one run
+MAX_CALL_ATTEMPTS = 2  # per run
 
 
 class RpcEventHandler:
-    """The events of all RPCs, see `RpcEvents`. Events of what is over are ignored, as they may cross."""
+    """Handler of the events of all RPCs; see `RpcEvents`.
+
+    An event that no longer fits the RPC's state is ignored: the host may have reported it before a command
+    of this module took effect.
+    """
 
     def __init__(
         self, port: Port, state: NodeState, pausing: Pausing, completion: Completion, starter: RunStarter
     ) -> None:
-        """Act on a node in this state."""
+        """Handle the events of the node with this state."""
         self._port = port
         self._queue = state.queue
         self._runs = state.runs
@@ -32,7 +36,7 @@
         self._starter = starter
 
     def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
-        """Queue a run that was paused, else complete the RPC; then start others."""
+        """Requeue a run that was paused, or else complete the RPC; then start queued RPCs."""
         if rpc.state is COMPLETED:
             return
         was_stopped = outcome is Outcome.STOPPED
@@ -44,12 +48,12 @@
         if rpc.state is not SHARING:
             self._record_run(rpc, outcome, spent)
         if lacks_response:
-            self._port.fail(rpc.index)  # it may have run: a response is pending, and never a rejection
+            self._port.fail(rpc.index)  # not a rejection, as the run may have had an effect
         self._completion.complete(now, rpc)
         self._starter.start_queued(now)
 
     def caller_gone(self, now: int, rpc: RpcHandle) -> None:
-        """Complete what does not run; stop a run where that is allowed."""
+        """Complete an RPC that is not running, or stop its run where that is allowed."""
         if rpc.state is COMPLETED or rpc.caller_is_gone:
             return
         rpc.caller_is_gone = True
@@ -61,7 +65,7 @@
             self._port.stop(rpc.index)
 
     def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
-        """Take a run off its core and have its call made; no call is made without a pending response."""
+        """Count a run as off its core and have its call made, unless no response is pending any more."""
         if rpc.state is not RUNNING:
             return
         self._runs.suspend(now, rpc)
@@ -71,7 +75,7 @@
         self._starter.start_queued(now)
 
     def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
-        """Let the run go on after a successful call; else retry it, leave it out, or fail the RPC."""
+        """Resume the run after a successful call; otherwise retry or skip the call, or fail the RPC."""
         if rpc.state is not CALLING:
             return
         self._calls.end(now, rpc, outcome)
@@ -85,7 +89,8 @@
 
     def _record_run(self, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
         rpc.failed = outcome is not Outcome.OK
-        rpc.has_run = outcome is not Outcome.NOT_STARTED  # else nothing is learned of it, nor its key kept
+        # Of a run that did not start, nothing is learned, and its key is evicted on completion.
+        rpc.has_run = outcome is not Outcome.NOT_STARTED
         if rpc.has_run:
             self._slowdown.record_work(rpc.expected_service_time)
         if not rpc.failed:
@@ -94,10 +99,10 @@
             rpc.method.estimates.learn(rpc.service_time_hint, service_time, max(1, run_duration))
 
     def _call_failed(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
-        """Retry the call, leave it out, or fail the RPC.
+        """Retry the call, skip it for a degraded response, or fail the RPC.
 
-        A call must not take effect twice, and a failing dependency gets no further load: it is retried once,
-        where the method is idempotent or the call never ran.
+        A call must not take effect twice, and retries must not overload a failing dependency. So a call is
+        retried once at most, and only where the method is idempotent or the call provably never ran.
         """
         rpc.failed_calls += 1
         can_degrade = rpc.method.degraded_value > 0
--- a/finchcart/decisions/run_starter.py
+++ b/finchcart/decisions/run_starter.py
@@ -1,6 +1,6 @@
-"""The start of queued RPCs, in order, as far as the limits allow.
+"""Start of queued RPCs, in the order of the queue, as far as the limits allow.
 
-Owns no state. It must never change the order of the queue or a limit.
+This module has no state. It must not change the order of the queue or a limit.
 """
 
 from finchcart.decisions.completion import Completion
@@ -12,10 +12,10 @@
 
 
 class RunStarter:
-    """Starts and resumes runs."""
+    """Starts queued RPCs and resumes paused ones."""
 
     def __init__(self, port: Port, state: NodeState, pausing: Pausing, completion: Completion) -> None:
-        """Start RPCs of this state's queue."""
+        """Start RPCs from the queue of this state."""
         self._port = port
         self._queue = state.queue
         self._runs = state.runs
@@ -26,7 +26,10 @@
         self._completion = completion
 
     def start_queued(self, now: int) -> None:
-        """Start queued RPCs and resume paused ones; drop those that miss their objective on busy cores."""
+        """Start queued RPCs and resume paused ones.
+
+        While at least half of the cores are busy, drop RPCs that cannot meet their objective any more.
+        """
         queue = self._queue.entries
         if not queue:
             return
