--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -1,12 +1,14 @@
-"""The core of a node: joins its parts, and hands each input to the part that it concerns.
+"""The core of a node: constructs the node's components and dispatches each input to its handler.
 
-Owns the order of what happens: `reduce(now, received)` takes one input and returns the effects that it asks
-for. It must never do I/O, take a lock, read a clock, know a frontend's protocol or decide about an RPC:
-decisions come from finchcart/decisions/controller.py through the port.
+The core is a state machine: `reduce(now, received)` processes one input and returns the effects that the host
+has to carry out, in order. The core must never do I/O, take a lock, read a clock, depend on a frontend's
+protocol or decide about an RPC: the decision module (finchcart/decisions/controller.py) decides, and acts
+through the port.
 
-In the order of an RPC's way: connection_dispatch.py, frontend.py, rpc_admission.py, controller_host.py
-(the decision module), rpc_lifecycle.py, port.py (what that can do), worker_pool/, store.py. The fleet:
-fleet.py. The end: shutdown.py and drain.py. Inputs and effects: inputs.py and effects.py.
+An RPC passes through these modules, in this order: connection_dispatch.py, frontend.py, rpc_admission.py,
+controller_host.py (which calls the decision module), rpc_lifecycle.py, port.py (the actions that the decision
+module can request), worker_pool/, store.py. fleet.py holds the state of the fleet; shutdown.py and drain.py
+end the node; inputs.py and effects.py define the inputs and effects.
 """
 
 from collections.abc import Callable, Mapping
@@ -41,7 +43,7 @@
 from finchcart.node.worker_pool.client import WorkerPoolClient
 from finchcart.protocol import connection_events
 
-if TYPE_CHECKING:  # none is imported where it is not configured
+if TYPE_CHECKING:  # at run time, these modules are imported only if they are configured
     from finchcart.node.key_leases import KeyLeaseGate
     from finchcart.node.limiter_set import LimiterSet
     from finchcart.node.observer import NodeObserver
@@ -50,19 +52,19 @@
 
 
 class Core:
-    """The state of one node; see `FrontendHost` for what frontends use. Times are whole microseconds.
+    """The state of one node; implements `FrontendHost` for the frontends. Times are whole microseconds.
 
     Arguments:
-        settings: see decisions/node_settings.py.
-        limits: sizes and times of the node.
-        seed: of the decision module.
-        name: by which the registry knows the node.
-        addresses: of its peers.
+        settings: the settings of the methods and of the decision module, see decisions/node_settings.py.
+        limits: the sizes and durations by which the node bounds itself.
+        seed: the seed of the decision module's random numbers.
+        name: the name under which the node registers at the registry.
+        addresses: the addresses of worker pool, store and registry.
         make_frontends: returns the frontends by name.
-        shadow: what is watched, see shadow.py; None: nothing.
-        limiters: of the fleet's limits; None: there are none.
-        observer: for the fleet's consensus; None: there is none.
-        make_key_leases: returns what gets key leases for runs; None: runs need none.
+        shadow: the settings of the shadow decision module, see shadow.py; None if there is none.
+        limiters: the limiters for the fleet's limits; None if the fleet has no limits.
+        observer: collects observations for the fleet's consensus; None if there is no consensus.
+        make_key_leases: returns the component that acquires key leases; None if runs need no lease.
     """
 
     def __init__(
@@ -152,13 +154,13 @@
         )
 
     def _connect_parts(self) -> None:
-        """Set what parts need of others that were made after them."""
+        """Pass each component the components that were constructed after it."""
         self.lifecycle.connect(self.pool, self.store)
         self._controllers.connect(self.lifecycle, self.port, self.store)
         self._drain.connect(self._controllers, self.shutdown, self.frontends, self.port)
 
     def _input_handlers(self) -> InputHandlers:
-        """Return what handles each type of input; called with the input's fields."""
+        """Return the handler for each type of input; a handler's arguments are the input's fields."""
         connections = self._connections
         handlers: InputHandlers = {
             inputs.MessagesReceived: connections.on_messages,
@@ -190,21 +192,21 @@
             handlers[inputs.KeyLeaseAnswered] = self.key_leases.answered
         return handlers
 
-    # ---- In and out
+    # ---- Inputs and timers
 
     def reduce(self, now: int, received: inputs.Input) -> list[Effect]:
-        """Handle one input, after all timers that are due; return the effects in order."""
+        """Run the timers that are due, then handle one input; return the effects in order."""
         effects = self.effect_buffer.begin(now)
         self._handlers[type(received)](*received)
         return effects
 
     def next_timer(self) -> int | None:
-        """Return when the next timer is due, or None."""
+        """Return when the next timer is due, or None if no timer is set."""
         return self.effect_buffer.next_timer()
 
     @property
     def controller(self) -> Controller | None:
-        """The decision module; None until the worker pool's first contact."""
+        """The decision module; None until the worker pool is first connected."""
         return self._controllers.controller
 
     def _on_start(self) -> None:
@@ -213,16 +215,16 @@
         self._statistics_log.start()
 
     def _on_timers_due(self) -> None:
-        """Do nothing but what the timers do."""
+        """Do nothing: `reduce` has already run the timers that were due."""
 
     def _on_addresses_changed(self, addresses: NodeAddresses) -> None:
-        """Use other addresses; what is under way at the old ones ends there where it can."""
+        """Switch to new addresses; work in progress at an old address completes there if it can."""
         pool_changed = addresses.pool != self.pool.address
         store_changed = addresses.store != self.store.address
         registry_changed = addresses.registry != self.registration.address
         changes = {"pool": pool_changed, "store": store_changed, "registry": registry_changed}
         names = ", ".join(name for name, is_changed in changes.items() if is_changed)
-        self.effect_buffer.emit(Log(f"configuration: {names or 'nothing'} readdressed"))
+        self.effect_buffer.emit(Log(f"configuration reloaded, addresses changed: {names or 'nothing'}"))
         if pool_changed:
             self.pool.change_address(addresses.pool)
         if store_changed:
@@ -231,36 +233,36 @@
             self.registration.change_address(addresses.registry)
 
     def _on_thread_died(self, thread: str) -> None:
-        raise RuntimeError(f"thread {thread} died")
+        raise RuntimeError(f"thread {thread} ended with an exception")
 
-    # ---- What frontends use: see FrontendHost
+    # ---- The interface for frontends: see FrontendHost
 
     @property
     def ready(self) -> bool:
-        """Whether RPCs can be accepted: the worker pool was there."""
+        """Whether RPCs can be accepted: true once the worker pool was first connected."""
         return self._controllers.controller is not None
 
     @property
     def shed_level(self) -> float | None:
-        """The shed level that is published with all answers; None: not known yet."""
+        """The shed level that is published with all answers; None until it is known."""
         return self.port.shed_level
 
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
-        """Return when an RPC of the batch at hand with that Unix time arrived, see `FrontendHost`."""
+        """Return when an RPC of the current batch arrived, by its timestamp; see `FrontendHost`."""
         return self._arrivals.read_arrival(stamp, late_read_us)
 
     def unix_now(self) -> int:
-        """Return the Unix time in microseconds, for texts."""
+        """Return the Unix time in microseconds, for messages and log lines."""
         return self._arrivals.unix_now()
 
     def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
-        """Take over an RPC that was read to the end, see `FrontendHost`."""
+        """Take over an RPC that was read completely, see `FrontendHost`."""
         self.admission.accept(rpc, attributes)
 
     def abandon(self, rpc: NodeRpc) -> None:
-        """Handle the loss of an accepted RPC's caller."""
+        """Handle the disconnect of an accepted RPC's caller."""
         self.lifecycle.abandon(rpc)
 
     def record_invalid_traffic(self, connection: int) -> None:
-        """Record a message that can't be read, or a connection without any."""
+        """Record an undecodable message, or a connection that sent no message at all."""
         self.fleet.record_invalid_traffic(connection)
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -1,6 +1,6 @@
-"""The types of one RPC: what a frontend hands over, what the core keeps of it, and how it is answered.
+"""Types for one RPC: the attributes that a frontend reads, the state in the core, and the final answer.
 
-Owns types alone; it must never hold a table of RPCs nor decide about one.
+This module contains only types. It must never hold a table of RPCs nor decide about an RPC.
 """
 
 from enum import Enum
@@ -9,34 +9,34 @@
 from finchcart.node.controller_interface import ControlledRpc
 from finchcart.node.key_entry import KeyEntry
 
-NOT_ACCEPTED = -1  # the index of an RPC that was not accepted yet
+NOT_ACCEPTED = -1  # the index of an RPC that the core has not accepted yet
 
 
 class FinalOutcome(Enum):
     """The three kinds of final answer."""
 
-    OK = "ok"  # with the run's result, unchanged
-    REJECTED = "rejected"  # it never ran here
-    FAILED = "failed"  # without a statement whether it ran
+    OK = "ok"  # carries the run's result, unchanged
+    REJECTED = "rejected"  # the RPC never ran on this node
+    FAILED = "failed"  # leaves open whether the RPC ran
 
 
 class RpcAttributes(NamedTuple):
-    """What a frontend read of an RPC besides its name, method and body. Times are whole microseconds."""
+    """What a frontend reads of an RPC besides its name, method and body. Times are whole microseconds."""
 
-    arrived_at: int  # when it reached this machine
-    caller: str | int  # who is admitted and limited by it: a dispatcher's number
+    arrived_at: int  # when the RPC reached this machine
+    caller: str | int  # the caller that admission and limits count the RPC for: a dispatcher's number
     idempotency_key: str | None = None
     is_retry: bool = False
-    service_time_hint_us: int = 0  # how long its run may take; 0: no hint
+    service_time_hint_us: int = 0  # the expected duration of the run; 0 means no hint
     memory_kb: float = 1.0
-    shed_rank: float | None = None  # 0 to 1, where its user stands among those that may be shed
-    expires_at: int = 0  # 0: by its method's deadline
+    shed_rank: float | None = None  # 0 to 1: the rank of the RPC's user among the users that may be shed
+    expires_at: int = 0  # 0 means that the method's deadline applies
     connection: int | None = None
-    arrival_uncertainty_us: int = 0  # it may have reached the machine later than `arrived_at` by this
+    arrival_uncertainty_us: int = 0  # the RPC arrived at most this much later than `arrived_at`
 
 
 class AnswerReceiver(Protocol):
-    """The frontend that an RPC came from, as far as the core needs it to answer."""
+    """The interface by which the core sends an RPC's final answer to the RPC's frontend."""
 
     def send_final_answer(
         self, rpc: "NodeRpc", outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
@@ -44,32 +44,33 @@
         """Send the one final answer of an RPC that was accepted and not abandoned.
 
         Arguments:
-            rpc: as it was handed over.
-            outcome: which kind of answer.
-            result: of the run, unchanged, with `FinalOutcome.OK`.
-            retry_after_us: with `REJECTED`: when the caller may come back, 0 for no advice.
-            do_not_retry: with `REJECTED`: whether it is asked not to try another node either.
+            rpc: the same object that the frontend passed to `accept`.
+            outcome: the kind of answer.
+            result: the run's result, unchanged, if the outcome is `FinalOutcome.OK`.
+            retry_after_us: if the outcome is `REJECTED`: the delay after which the caller may retry; 0 for no
+                advice.
+            do_not_retry: if the outcome is `REJECTED`: whether the caller is asked not to retry at any node.
         """
 
 
 class InFlightCounter(Protocol):
-    """A limiter that counts an RPC from its admission until it is completed."""
+    """A limiter that counts an RPC from the RPC's admission until its completion."""
 
     count: int
 
 
 class AwaitedCall(NamedTuple):
-    """The call that a run awaits."""
+    """The call to the dependency that a run awaits."""
 
-    cursor: int  # of the worker pool's notice
+    cursor: int  # the cursor of the worker pool's notice, which the reply to the worker pool repeats
     body: bytes
 
 
 class NodeRpc:
-    """One RPC, as the core and its frontend hold it.
+    """The state of one RPC, shared by the core and the RPC's frontend.
 
-    `name` is unique among the open ones and the worker pool's name for the run; `reference` is the frontend's
-    own and never looked at by the core.
+    `name` is unique among the open RPCs and identifies the run to the worker pool. `reference` belongs to the
+    frontend; the core never reads it.
     """
 
     __slots__ = (
@@ -103,21 +104,21 @@
         self.method = method
         self.body = body
         self.index = NOT_ACCEPTED
-        self.key_entry: KeyEntry | None = None  # of its idempotency key
-        self.handle: ControlledRpc | None = None  # of the decision module; None until it is admitted there
+        self.key_entry: KeyEntry | None = None  # the entry of its idempotency key
+        self.handle: ControlledRpc | None = None  # returned by the decision module's `admit`; None before
         self.response_pending = True
         self.arrival_uncertainty_us = 0
-        self.started = False  # the decision module had it run
-        self.completed = False  # its run or its wait is over
+        self.started = False  # set when the decision module starts the run
+        self.completed = False  # set when its run, or its wait as a duplicate, is over
         self.awaited_call: AwaitedCall | None = None
-        self.call_connection: int | None = None  # that carries its call
+        self.call_connection: int | None = None  # the store connection that carries its call
         self.calls_made = 0
         self.call_started_at = 0
-        self.joined_at: int | None = None  # since when it waits for the first RPC of its key
-        self.call_time_cut = False  # the time of its call was cut short by this node's own allowance
-        self.counted_by: tuple[InFlightCounter, ...] | None = None  # until it is completed
+        self.joined_at: int | None = None  # when it began to wait for the first RPC of its key
+        self.call_time_cut = False  # a limit of this node shortened the timeout of its call
+        self.counted_by: tuple[InFlightCounter, ...] | None = None  # the limiters that count it as in flight
 
     @property
     def is_running(self) -> bool:
-        """Whether it was started and is not completed."""
+        """Whether the RPC was started and is not completed."""
         return self.started and not self.completed
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -1,7 +1,7 @@
-"""The open RPCs: their runs, their calls and their final answers, until the decision module releases them.
+"""Tracks the open RPCs with their runs, calls and final answers, until the decision module releases them.
 
-Owns the open RPCs. It must never do I/O, know a frontend's protocol or decide about an RPC: decisions come
-from the decision module through port.py. How an RPC is admitted: rpc_admission.py.
+`RpcLifecycle` owns the table of open RPCs. It must never do I/O, depend on a frontend's protocol or decide
+about an RPC: the decision module decides and acts through port.py. rpc_admission.py admits RPCs.
 """
 
 from collections.abc import Mapping
@@ -18,14 +18,14 @@
 from finchcart.node.store import StoreClient
 from finchcart.node.worker_pool.client import WorkerPoolClient
 
-if TYPE_CHECKING:  # not imported where no fleet is configured
+if TYPE_CHECKING:  # at run time, this module is imported only if key leases are configured
     from finchcart.node.key_leases import KeyLeaseGate
 
 
 class RpcLifecycle:
-    """The open RPCs by index, and the indices by the worker pool's names. Times are whole microseconds.
+    """The open RPCs by index, and their indices by name. Times are whole microseconds.
 
-    Bounds: the decision module's memory and limits; an entry ends with `release`.
+    The decision module bounds the number of open RPCs by its memory and limits; `release` removes an entry.
     """
 
     pool: WorkerPoolClient  # set by `connect`
@@ -49,22 +49,22 @@
         self._next_index = 0
 
     def connect(self, pool: WorkerPoolClient, store: StoreClient) -> None:
-        """Set where runs and calls go: called once, before the first input."""
+        """Set the clients for runs and calls; called once, before the first input."""
         self.pool = pool
         self.store = store
 
     def open(self, rpc: NodeRpc) -> None:
-        """Give an accepted RPC its index, and keep it until `release`."""
+        """Assign an index to an accepted RPC, and keep the RPC until `release`."""
         rpc.index = self._next_index
         self._next_index += 1
         self.rpcs[rpc.index] = rpc
         self.index_by_name[rpc.name] = rpc.index
 
     def release(self, index: int) -> None:
-        """Forget an RPC."""
+        """Remove an RPC from the open RPCs."""
         rpc = self.rpcs.pop(index)
         if self.key_leases:
-            self.key_leases.release(index)  # where it ran, that was reported
+            self.key_leases.release(index)  # no effect if the RPC ran: its lease was settled in `run_ended`
         if self.index_by_name.get(rpc.name) == index:
             del self.index_by_name[rpc.name]
 
@@ -78,7 +78,7 @@
         retry_after_us: int = 0,
         do_not_retry: bool = False,
     ) -> None:
-        """Send the final answer where it is still pending; see `AnswerReceiver.send_final_answer`."""
+        """Send the final answer if it is still pending; see `AnswerReceiver.send_final_answer`."""
         if rpc.response_pending:
             rpc.response_pending = False
             self.effect_buffer.statistics.count(f"RPCs {outcome.value}")
@@ -86,7 +86,7 @@
             rpc.frontend.send_final_answer(rpc, outcome, result, retry_after_us, do_not_retry)
 
     def abandon(self, rpc: NodeRpc) -> None:
-        """Handle the loss of an RPC's caller: no response is pending, and the frontend is not notified."""
+        """Handle the disconnect of an RPC's caller: no answer is sent, and the frontend isn't notified."""
         rpc.response_pending = False
         self.effect_buffer.statistics.count("RPCs abandoned")
         self.store.drop(rpc)
@@ -97,7 +97,7 @@
             self.release(rpc.index)
 
     def release_limits(self, rpc: NodeRpc) -> None:
-        """Have no limiter count the RPC any more, where nothing of it runs."""
+        """Stop counting the RPC in its limiters, unless its run is still in progress."""
         if rpc.counted_by and not rpc.is_running:
             for limiter in rpc.counted_by:
                 limiter.count -= 1
@@ -107,7 +107,7 @@
         """Return whether any final answer is pending."""
         return any(rpc.response_pending for rpc in self.rpcs.values())
 
-    # ---- Runs: see RunListener
+    # ---- Runs: the implementation of RunListener
 
     def find_running(self, name: str) -> NodeRpc | None:
         """Return the RPC of that name whose run is not completed, or None."""
@@ -120,15 +120,15 @@
         return [rpc for rpc in self.rpcs.values() if rpc.is_running]
 
     def longest_run_us(self, rpc: NodeRpc) -> int:
-        """Return how long an unconfirmed run counts: nobody waits for it longer than its deadline."""
+        """Return how long an unconfirmed run counts as running: nobody waits for it beyond its deadline."""
         return self.methods[rpc.method].deadline_us
 
     def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
-        """Answer a run that ended and may have been started once more, without a wait for that."""
+        """Answer an RPC whose run ended, without waiting for a second run that may have been started."""
         self.answer(rpc, FinalOutcome.OK if outcome is Outcome.OK else FinalOutcome.FAILED, result)
 
     def run_ended(self, rpc: NodeRpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
-        """Handle the end of a run, or of a duplicate's wait: answer, then report to the decision module."""
+        """Handle the end of a run, or of a duplicate's wait: answer, then notify the decision module."""
         succeeded = outcome is Outcome.OK
         rpc.completed = True
         rpc.awaited_call = None
@@ -150,7 +150,7 @@
         _handle_of(rpc).run_ended(self.effect_buffer.now, outcome, spent_us)
 
     def run_not_started(self, index: int) -> None:
-        """Handle a run that was not commanded, as its key lease had expired: it never ran."""
+        """Handle a run that was not started because its key lease had expired."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.is_running:
             self.run_ended(rpc, Outcome.NOT_STARTED, 0, b"")
@@ -160,7 +160,7 @@
         self.run_ended(rpc, Outcome.STOPPED, 0, b"")
 
     def duplicate_ready(self, index: int) -> None:
-        """Answer a duplicate as the first RPC of its key, which is completed."""
+        """Give a duplicate the same answer as the first RPC of its key, which has completed."""
         rpc = self.rpcs.get(index)
         if rpc is None or rpc.completed or rpc.joined_at is None or rpc.key_entry is None:
             return
@@ -181,13 +181,13 @@
     # ---- Calls
 
     def awaiting_call(self, rpc: NodeRpc, cursor: int, body: bytes) -> None:
-        """Handle a run that awaits a call: the decision module has it made, or left out."""
+        """Handle a run that awaits a call: the decision module either makes or skips the call."""
         rpc.awaited_call = AwaitedCall(cursor, body)
         self.fleet.call_awaited()
         _handle_of(rpc).awaiting_call(self.effect_buffer.now)
 
     def call_ended(self, rpc: NodeRpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
-        """Handle the end of a call; its run goes on with the reply."""
+        """Handle the end of a call; if the call succeeded, send the reply to its run."""
         if outcome is Outcome.OK and rpc.awaited_call:
             cursor = rpc.awaited_call.cursor
             rpc.awaited_call = None
@@ -197,13 +197,13 @@
         _handle_of(rpc).call_ended(self.effect_buffer.now, outcome, spent_us)
 
     def call_not_made(self, index: int) -> None:
-        """Handle a call that was not made, for want of capacity or of an address: it never ran."""
+        """Handle a call that was not made because there was no capacity or no address for it."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.awaited_call and rpc.call_connection is None:
             _handle_of(rpc).call_ended(self.effect_buffer.now, Outcome.REJECTED, 0)
 
 
 def _handle_of(rpc: NodeRpc) -> ControlledRpc:
-    """Return the handle of an admitted RPC: nothing of any other one runs."""
-    assert rpc.handle is not None, f"RPC {rpc.index}: not admitted"
+    """Return the decision module's handle of an RPC; only admitted RPCs have one, and only they run."""
+    assert rpc.handle is not None, f"RPC {rpc.index}: the decision module has not admitted it"
     return rpc.handle
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -102,7 +102,7 @@
     status, log = testbed.terminate()
     assert status == 0
     assert "configuration rejected" in log
-    assert "pool, store, registry readdressed" in log
+    assert "addresses changed: pool, store, registry" in log
 
 
 @pytest.mark.parametrize(
