--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -1,7 +1,6 @@
-"""What a drain does to the parts of a node.
+"""Carries out a drain: notifies the frontends, the key leases and the decision module, in this order.
 
-Owns the order in which frontends, key leases and the decision module are notified. It must never choose the
-moment: shutdown.py does.
+This module must never choose the time of a step: shutdown.py does.
 """
 
 from collections.abc import Mapping
@@ -18,14 +17,14 @@
 from finchcart.node.shutdown import ShutdownSchedule
 from finchcart.node.statistics_log import StatisticsLog
 
-if TYPE_CHECKING:  # not imported where no key leases are configured
+if TYPE_CHECKING:  # at run time, this module is imported only if key leases are configured
     from finchcart.node.key_leases import KeyLeaseGate
 
 
 class NodeDrain:
-    """Carries a drain out; see `ShutdownHost`. Bounds: one timer while there is no worker pool."""
+    """The steps of a drain; implements `ShutdownHost`. One timer, while there is no worker pool."""
 
-    controllers: ControllerHost  # set by `connect`, as the three below
+    controllers: ControllerHost  # `connect` sets this attribute and the three below
     shutdown: ShutdownSchedule
     frontends: Mapping[str, Frontend]
     port: CorePort
@@ -51,14 +50,14 @@
         frontends: Mapping[str, Frontend],
         port: CorePort,
     ) -> None:
-        """Set what is drained: called once, before the first input."""
+        """Set the components that a drain acts on; called once, before the first input."""
         self.controllers = controllers
         self.shutdown = shutdown
         self.frontends = frontends
         self.port = port
 
     def on_notice(self, received_at: int | None = None) -> None:
-        """Handle the notice to leave; grace and kill count from when it came, not from its turn."""
+        """Begin the drain; grace period and kill time count from `received_at`, not from now."""
         now = self.effect_buffer.now
         times = self.shutdown.drain(min(received_at or now, now))
         if times is None:
@@ -74,37 +73,37 @@
             self._end_without_worker_pool()
 
     def is_busy(self) -> bool:
-        """Return whether a connection is in use or a response pending."""
+        """Return whether a connection would be cut by the end of the node, or a response is pending."""
         return not self._is_idle() or self._lifecycle.any_response_pending()
 
     def announce_close(self) -> None:
-        """Announce to all connections that they will be closed."""
+        """Announce the close to all open connections."""
         for frontend in self.frontends.values():
             frontend.announce_close()
 
     def announce_close_of_new(self) -> None:
-        """Announce to all connections, also to those made from now on, that they will be closed."""
+        """Announce the close to all open connections, and from now on to each new one."""
         for frontend in self.frontends.values():
             frontend.announce_close_of_new()
 
     def close_now(self) -> None:
-        """Close all connections as soon as nothing is open on them."""
+        """Close each connection as soon as no RPC is open on it."""
         for frontend in self.frontends.values():
             frontend.close_now()
 
     def before_end(self) -> None:
-        """Write the last lines: what was left out of the log, what was counted, and what is open still."""
+        """Log the suppressed faults, the statistics, and the number of responses that are still pending."""
         self.effect_buffer.fault_log.summarize_all()
         self._statistics_log.write()
         pending = sum(rpc.response_pending for rpc in self._lifecycle.rpcs.values())
         connections = "no open connection" if self._is_idle() else "open connections"
-        self.effect_buffer.emit(Log(f"end: {pending} responses pending, {connections}"))
+        self.effect_buffer.emit(Log(f"node ends: {pending} responses pending, {connections}"))
 
     def _is_idle(self) -> bool:
         return all(frontend.is_idle() for frontend in self.frontends.values())
 
     def _end_without_worker_pool(self) -> None:
-        """Reject what comes, close connections as they idle, and end as ever."""
+        """Close idle connections, and end the node once the grace period is over and it is idle."""
         if self.controllers.controller is not None:
             return
         for frontend in self.frontends.values():
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -1,7 +1,8 @@
-"""The idempotency cache: which key was seen when, and the results that duplicates may share.
+"""The idempotency cache: detects duplicates by idempotency key, and keeps results to answer duplicates with.
 
-Owns the entry of each idempotency key, which RPC holds it and how that ended. It must never let a result
-go to an RPC with another body, nor lose an entry whose RPC may have run.
+`IdempotencyCache` owns the entry of each idempotency key: the RPC that holds the key, and its result. A
+result must never go to an RPC with another body, and an entry whose RPC may have run must not be removed
+before its window is over.
 """
 
 from hashlib import blake2b
@@ -16,7 +17,7 @@
 
 
 def digest_of(body: bytes) -> bytes:
-    """Return by what two bodies are compared."""
+    """Return the digest by which the bodies of RPCs are compared."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -27,10 +28,11 @@
 
 
 class IdempotencyCache:
-    """Entries by key, and the results kept.
+    """The entries by key, and the cached results.
 
-    Bounds: entries by the decision module's memory, and each leaves once nothing that reached the machine in
-    its window can still be read: `late_read_us` after it; results by `max_result_bytes`, the oldest first.
+    The decision module's memory bounds the number of entries. An entry expires `late_read_us` after its
+    window, when no RPC that arrived within the window can still be read. `max_result_bytes` bounds the cached
+    results; the oldest are dropped first.
     """
 
     def __init__(self, effect_buffer: EffectBuffer, late_read_us: int, max_result_bytes: int) -> None:
@@ -38,7 +40,7 @@
         self.late_read_us = late_read_us
         self.max_result_bytes = max_result_bytes
         self.entries: dict[IdempotencyKey, KeyEntry] = {}
-        self.with_result: dict[KeyEntry, None] = {}  # entries whose results are kept, the oldest first
+        self.with_result: dict[KeyEntry, None] = {}  # entries with a cached result, oldest first
         self.result_bytes = 0
 
     def is_payload_mismatch(self, key: IdempotencyKey, digest: bytes) -> bool:
@@ -49,9 +51,10 @@
     def entry_for(
         self, key: IdempotencyKey, index: int, digest: bytes, arrived_at: int
     ) -> tuple[KeyEntry, bool]:
-        """Return the entry that an RPC belongs to, and whether it is a duplicate.
+        """Return the entry that an RPC belongs to, and whether the RPC is a duplicate.
 
-        That counts from when it reached the machine (`arrived_at`), not from when it is read.
+        An RPC belongs to the window in which it arrived at the machine (`arrived_at`), however late it is
+        read.
         """
         entry = self.entries.get(key)
         if (
@@ -63,15 +66,15 @@
         return KeyEntry(key, index, digest), False
 
     def store(self, rpc: NodeRpc, ttl_us: int) -> None:
-        """Keep the RPC's key for `ttl_us`."""
+        """Store the RPC's key for `ttl_us`, its window."""
         entry = entry_of(rpc)
         if entry.index != rpc.index:
             rpc.key_entry = entry = KeyEntry(entry.key, rpc.index, entry.digest)
         previous = self.entries.get(entry.key)
         if previous is not None and previous is not entry:
             self._drop_result(previous)
-            # Guards against an RPC that is read late, after this one was evicted: it may be a duplicate of
-            # what ran in the window before.
+            # If this RPC is evicted, an RPC that is read late may still be a duplicate of the one that ran in
+            # the previous window.
             entry.previous = previous if previous.ran else previous.previous
             previous.previous = None
         entry.expires_at = self.effect_buffer.now + ttl_us
@@ -79,7 +82,7 @@
         self.effect_buffer.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
 
     def evict(self, entry: KeyEntry) -> None:
-        """Remove a key whose RPC never ran; its duplicates fail."""
+        """Remove the entry of an RPC that never ran; its duplicates fail."""
         if self.entries.get(entry.key) is entry:
             previous = entry.previous
             entry.previous = None
@@ -91,7 +94,7 @@
         self._notify_waiting(entry)
 
     def join_in_flight(self, rpc: NodeRpc) -> None:
-        """Have a duplicate wait for the end of the first RPC of its key: `DuplicateReady` follows."""
+        """Have a duplicate wait for the first RPC of its key; `DuplicateReady` follows at its end."""
         entry = entry_of(rpc)
         if entry.result is NoResult.PENDING:
             entry.waiting.append(rpc.index)
@@ -99,7 +102,7 @@
             self.effect_buffer.emit(Defer(DuplicateReady(rpc.index)))
 
     def complete(self, entry: KeyEntry, result: bytes | NoResult) -> None:
-        """Handle the end of the RPC that holds the entry: with its result, or `NoResult.FAILED`."""
+        """Handle the end of the RPC that holds the entry; `result` is `NoResult.FAILED` if there is none."""
         entry.result = result
         if not isinstance(result, NoResult):
             self.with_result[entry] = None
--- a/finchcart/node/rpc_admission.py
+++ b/finchcart/node/rpc_admission.py
@@ -1,7 +1,7 @@
-"""From a frontend's hand-over of an RPC to the decision module's `admit`.
+"""Prepares each RPC that a frontend hands over, and passes it to the decision module's `admit`.
 
-Owns the recognition of duplicates, the wait for a key lease and the quota of the fleet that goes with an RPC.
-It must never decide about an RPC: the decision module does.
+The preparation detects duplicates by idempotency key, waits for a key lease where one is required, and adds
+the fleet's quota for the RPC. This module must never decide about an RPC: the decision module does.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,17 +18,17 @@
 from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.node.rpc_lifecycle import RpcLifecycle
 
-if TYPE_CHECKING:  # none is imported where no fleet is configured
+if TYPE_CHECKING:  # at run time, these modules are imported only if they are configured
     from finchcart.node.key_leases import KeyLeaseGate
     from finchcart.node.limiter_set import RpcLimiter
 
-KEY_LEASE_MARGIN_US = 200_000  # before an RPC is due its key lease is no longer awaited
+KEY_LEASE_MARGIN_US = 200_000  # the wait for a key lease ends this long before the RPC's deadline
 NO_MAJORITY_RETRY_AFTER_US = 200_000
-UNKNOWN_INDEX = -1  # of the first RPC of a key, where that is no longer known here
+UNKNOWN_INDEX = -1  # stands for the first RPC of a key if that RPC is no longer open
 
 
 class RpcAdmission:
-    """Takes RPCs over from frontends. Times are whole microseconds."""
+    """Accepts RPCs from frontends and passes them to the decision module. Times are whole microseconds."""
 
     controller: Controller  # set by `start`
 
@@ -49,24 +49,24 @@
         self._key_leases = key_leases
 
     def start(self, controller: Controller) -> None:
-        """Set the decision module: no RPC is accepted before."""
+        """Set the decision module; frontends call `accept` only after this."""
         self.controller = controller
 
     def accept(self, rpc: NodeRpc, attributes: RpcAttributes) -> None:
-        """Take over an RPC that was read to the end, see `FrontendHost.accept`."""
+        """Take over an RPC that was read completely, see `FrontendHost.accept`."""
         key = attributes.idempotency_key
         rpc.arrival_uncertainty_us = attributes.arrival_uncertainty_us
         lifecycle = self._lifecycle
         if rpc.name in lifecycle.index_by_name:
-            raise InvalidRpcError(f"name {rpc.name!r}: in use by an open RPC")
+            raise InvalidRpcError(f"name {rpc.name!r}: already used by an open RPC")
         if key is None:
             lifecycle.open(rpc)
             self._admit(rpc, attributes)
             return
         digest = digest_of(rpc.body)
         if self._idempotency.is_payload_mismatch((rpc.method, key), digest):
-            # Guards against a result that is shared with what is no retry of the same RPC.
-            raise InvalidRpcError("body: not that of the other tries with this key")
+            # An RPC with another body is no retry, and must not get the result of the earlier RPC.
+            raise InvalidRpcError("body: differs from the body of an earlier RPC with this idempotency key")
         lifecycle.open(rpc)
         rpc.key_entry, is_duplicate = self._idempotency.entry_for(
             (rpc.method, key), rpc.index, digest, attributes.arrived_at
@@ -84,12 +84,12 @@
     def key_lease_resolved(
         self, rpc: NodeRpc, attributes: RpcAttributes, outcome: KeyLeaseOutcome, result: bytes
     ) -> None:
-        """Handle the answer to a request for a key lease: admit the RPC, or answer what ended elsewhere."""
+        """Handle the outcome of a key lease request: admit, reject or answer the RPC."""
         lifecycle = self._lifecycle
         if outcome is KeyLeaseOutcome.GRANTED:
             self._admit(rpc, attributes)
         elif outcome is KeyLeaseOutcome.NO_MAJORITY and rpc.response_pending:
-            # It never ran: rejected.
+            # The RPC never ran, so an empty quota makes the decision module reject it with a retry delay.
             self._admit(rpc, attributes, quota=FleetQuota(0, 0, NO_MAJORITY_RETRY_AFTER_US))
         else:
             rpc.completed = True
@@ -107,7 +107,7 @@
         duplicate_of: int | None = None,
         quota: FleetQuota | None = None,
     ) -> None:
-        """Hand an RPC to the decision module; `quota` goes before what the fleet leaves."""
+        """Pass an RPC to the decision module; `quota`, if given, overrides the fleet's quota."""
         now = self.effect_buffer.now
         limiters: Sequence[RpcLimiter] = ()
         if self._fleet.limits_rpcs and duplicate_of is None:
--- a/finchcart/node/shutdown.py
+++ b/finchcart/node/shutdown.py
@@ -1,7 +1,8 @@
-"""The phases of a node's life, and the moments at which a drain goes on to the next one.
+"""The schedule of a node's shutdown: its phases, and when a drain moves from one phase to the next.
 
-Owns the phase, the notice to leave and the timers up to the end. It must never end a node with a response
-pending, but for a kill that is due, nor listen again once it stopped.
+`ShutdownSchedule` owns the phase, the time of the termination notice and the timers of the drain. It must
+never end a node while a response is pending, except when the process is about to be killed, and must never
+resume listening.
 """
 
 from enum import Enum
@@ -13,15 +14,16 @@
 
 
 class NodePhase(Enum):
-    """The phases of a node's life, in order; one may be left out.
+    """The phases of a node, in order; a phase may be skipped.
 
-    Whether RPCs are accepted is `Core.ready`: the worker pool may be ready as late as while draining.
+    `Core.ready`, not the phase, tells whether RPCs are accepted: the worker pool may become ready during a
+    drain.
     """
 
-    STARTING = "starting"  # no contact with the worker pool yet
+    STARTING = "starting"  # the worker pool has not been connected yet
     SERVING = "serving"
-    DRAINING = "draining"  # the notice to leave has come
-    NOT_LISTENING = "not listening"  # nothing is open or pending, and no further connection is accepted
+    DRAINING = "draining"  # the node has received its termination notice
+    NOT_LISTENING = "not listening"  # no further connection is accepted
     ENDED = "ended"
 
 
@@ -30,49 +32,49 @@
 
     notice_at: int
     grace_ends_at: int
-    kill_at: int  # by `limits.kill_margin_us` earlier than the kill can come
+    kill_at: int  # `limits.kill_margin_us` before the earliest time at which the process may be killed
 
 
 class ShutdownHost(Protocol):
-    """What the schedule queries, and calls when a moment of the drain has come."""
+    """The interface of the component that carries out the steps of the schedule."""
 
     def is_busy(self) -> bool:
-        """Return whether a connection is in use or a response pending."""
+        """Return whether a connection would be cut by the end of the node, or a response is pending."""
 
     def announce_close(self) -> None:
-        """Announce to all connections that they will be closed."""
+        """Announce the close to all open connections."""
 
     def announce_close_of_new(self) -> None:
-        """Announce the same to all, also to connections that are made from now on."""
+        """Announce the close to all open connections, and from now on to each new one."""
 
     def close_now(self) -> None:
-        """Close all connections as soon as nothing is open on them."""
+        """Close each connection as soon as no RPC is open on it."""
 
     def before_end(self) -> None:
         """Write the last log lines: the node ends now."""
 
 
 class ShutdownSchedule:
-    """The phase of the node, and its drain. Times are whole microseconds. Bounds: three timers of a drain."""
+    """The phase of the node and the timers of its drain, at most three. Times are whole microseconds."""
 
     def __init__(
         self, effect_buffer: EffectBuffer, limits: Limits, drain_grace_us: int, host: ShutdownHost
     ) -> None:
         self.effect_buffer = effect_buffer
         self.phase = NodePhase.STARTING
-        self.times: DrainTimes | None = None  # None: no notice to leave yet
+        self.times: DrainTimes | None = None  # None until the termination notice
         self._limits = limits
         self._drain_grace_us = drain_grace_us
         self._host = host
         self._idle_since: int | None = None
 
     def worker_pool_ready(self) -> None:
-        """Handle the worker pool's first contact."""
+        """Handle the first connection to the worker pool."""
         if self.phase is NodePhase.STARTING:
             self.phase = NodePhase.SERVING
 
     def drain(self, notice_at: int) -> DrainTimes | None:
-        """Begin the drain; return its times, or None where it had begun before."""
+        """Begin the drain; return its times, or None if it has already begun."""
         if self.times is not None:
             return None
         self.phase = NodePhase.DRAINING
@@ -82,12 +84,15 @@
         self.times = DrainTimes(notice_at, grace_ends_at, kill_at)
         schedule = self.effect_buffer.schedule
         schedule(min(grace_ends_at, kill_at - limits.finish_period_us), self._host.announce_close)
-        schedule(kill_at - limits.finish_period_us, self._finish)
+        schedule(kill_at - limits.finish_period_us, self._begin_finish_period)
         schedule(kill_at, self._close_and_end, kill_at)
         return self.times
 
     def end_if_idle(self) -> None:
-        """End the node once its grace is over and nothing has been open for a while."""
+        """End the node once the grace period is over and the node was idle for `quiet_period_us`.
+
+        The node first stops listening, and ends when it is still idle `final_check_delay_us` later.
+        """
         now = self.effect_buffer.now
         if self.times is None or now < self.times.grace_ends_at:
             return
@@ -97,17 +102,17 @@
         elif self._idle_since is None:
             self._idle_since = now
         elif now - self._idle_since >= limits.quiet_period_us:
-            # Guards against an RPC on a connection that is being accepted: first no new ones, then the end.
+            # Stops listening before the end, so that no RPC is lost on a connection that is being accepted.
             if self.phase is NodePhase.DRAINING:
                 self._stop_listening()
             else:
                 self._end()
             self._idle_since = now - limits.quiet_period_us + limits.final_check_delay_us
 
-    def _finish(self) -> None:
-        """Accept nobody any more, and give all dispatchers the time that is left to close.
+    def _begin_finish_period(self) -> None:
+        """Stop listening, and announce the close to all connections so that dispatchers close them in time.
 
-        One that was notified before would come back else, with a new connection to close and more to answer.
+        A dispatcher that was notified before could otherwise reconnect and send more RPCs.
         """
         if self.phase is NodePhase.DRAINING:
             self._stop_listening()
@@ -122,9 +127,10 @@
         self.effect_buffer.emit(StopListening())
 
     def _end_unless_busy(self, kill_at: int) -> None:
-        """Guards against an end over requests that were not read, for a part of the margin before the kill.
+        """End the node; while it is busy, wait for a part of the margin before the kill.
 
-        A node that is short of processor time reads late, and what it reads now is answered immediately.
+        A node that is short of processor time reads requests late; the wait lets it answer those that are
+        still unread.
         """
         limits = self._limits
         last_moment = kill_at + limits.kill_margin_us - limits.exit_time_us
