--- a/finchcart/node/connection_dispatch.py
+++ b/finchcart/node/connection_dispatch.py
@@ -1,6 +1,7 @@
-"""What happens to a connection, handed to its owner: a frontend, the worker pool's or the store's client.
+"""Passes each connection event to the connection's owner: a frontend, the worker pool client or store client.
 
-Owns no state but the use of the table of owners (effect_buffer.py). It must never look into a message.
+`ConnectionDispatcher` adds owners to, and removes them from, the table in effect_buffer.py. It must never
+inspect a message.
 """
 
 from collections.abc import Mapping, Sequence
@@ -17,7 +18,7 @@
 
 
 class ConnectionDispatcher:
-    """Handles the inputs of connections; those of a connection without an owner are ignored."""
+    """Handles the inputs that concern connections; ignores inputs of a connection without an owner."""
 
     def __init__(
         self,
@@ -35,7 +36,7 @@
         self._load = load
 
     def on_opened(self, connection: int, frontend: str, host: str | None = None) -> None:
-        """Handle a connection that a peer made to a frontend."""
+        """Handle a connection that a peer opened to a frontend."""
         owner = self._frontends[frontend]
         self._owners[connection] = owner
         self._fleet.connection_opened(connection, host)
@@ -45,7 +46,7 @@
         self, connection: int, messages: Sequence[Message], received_at: int, not_before: int
     ) -> None:
         """Handle a batch of messages."""
-        # Attributes in place of calls: this is on the way of each RPC.
+        # Sets attributes directly instead of calling methods, because this code runs for each RPC.
         arrivals = self._arrivals
         arrivals.received_at = received_at
         arrivals.not_before = not_before
@@ -60,43 +61,43 @@
             owner.batch_completed(connection)
 
     def on_refused(self, connection: int, reason: str) -> None:
-        """Handle a connection of the node's own that was never established."""
+        """Handle the failure to establish a connection that the node opened."""
         owner = self._owners.get(connection)
         if owner:
             owner.connection_refused(connection, reason)
 
     def on_ended(self, connection: int, fault: ProtocolError | None) -> None:
-        """Handle the end of what is read."""
+        """Handle the end of a connection's incoming stream."""
         owner = self._owners.get(connection)
         if owner:
             owner.connection_ended(connection, fault)
 
     def on_write_blocked(self, connection: int) -> None:
-        """Handle a peer that does not read."""
+        """Handle a blocked write: the peer is not reading."""
         owner = self._owners.get(connection)
         if owner:
             owner.write_blocked(connection)
 
     def on_write_resumed(self, connection: int) -> None:
-        """Handle a peer that reads again."""
+        """Handle the end of a blocked write: the peer is reading again."""
         owner = self._owners.get(connection)
         if owner:
             owner.write_resumed(connection)
 
     def on_close_due(self, connection: int) -> None:
-        """Handle a frontend's deferred attempt to close."""
+        """Handle a frontend's deferred attempt to close a connection."""
         frontend = self._frontend_of(connection)
         if frontend:
             frontend.close_due(connection)
 
     def on_close_attempted(self, connection: int, closed: bool) -> None:
-        """Handle the result of a frontend's attempt to close."""
+        """Handle the result of a frontend's attempt to close a connection."""
         frontend = self._frontend_of(connection)
         if frontend:
             frontend.close_attempted(connection, closed)
 
     def on_closed(self, connection: int) -> None:
-        """Handle a connection that is gone: forget it."""
+        """Handle the final close of a connection: remove its owner."""
         self._effect_buffer.emit(Drop(connection))
         self._fleet.connection_closed(connection)
         owner = self._owners.pop(connection, None)
@@ -104,4 +105,4 @@
             owner.connection_closed(connection)
 
     def _frontend_of(self, connection: int) -> Frontend | None:
-        return cast("Frontend | None", self._owners.get(connection))  # others do not close in this way
+        return cast("Frontend | None", self._owners.get(connection))  # only frontends use these inputs
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -1,10 +1,9 @@
-"""One event-loop turn of a node: its time, the effects emitted in it, timers and connection numbers.
+"""The state that all components of a node share: current time, emitted effects, timers, connection owners.
 
-Owns the clock value of the turn, the list of effects, the heap of timers, the numbers of connections that the
-node opens and who is notified of what happens on each connection. All parts of a node share one
-`EffectBuffer`; it must never know what they do with it.
-
-The types of effects: effects.py.
+`EffectBuffer` owns the time at which the current input is processed, the effects that were emitted for that
+input, the heap of timers, the numbers of the connections that the node opens, and the owner of each
+connection, which handles the connection's events. `EffectBuffer` must not depend on the components that use
+it. effects.py defines the types of effects.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,50 +17,54 @@
 from finchcart.node.statistics import Statistics
 
 MessageT = TypeVar("MessageT", contravariant=True)
-Timer = tuple[int, int, Callable[..., None], tuple[object, ...]]  # when, number, callback, its arguments
+Timer = tuple[
+    int, int, Callable[..., None], tuple[object, ...]
+]  # due time, serial number, callback, arguments
 
 
 class ConnectionOwner(Protocol[MessageT]):
-    """What is notified of a connection, whose codec reads messages of one protocol."""
+    """The component that handles the events of a connection, whose codec decodes `MessageT`."""
 
     def message_received(self, connection: int, message: MessageT) -> None:
-        """Handle one message of the connection's codec; `batch_completed` follows the last of a batch."""
+        """Handle one decoded message; `batch_completed` is called after the last message of a batch."""
 
     def batch_completed(self, connection: int) -> None:
-        """Handle the end of a batch: the next read may be requested."""
+        """Handle the end of a batch of messages; the owner may now request the next read."""
 
     def write_blocked(self, connection: int) -> None:
-        """Handle a peer that does not read what is sent."""
+        """Handle a blocked write: the peer is not reading."""
 
     def write_resumed(self, connection: int) -> None:
-        """Handle a peer that reads again: all that was pending is written."""
+        """Handle the end of a blocked write: all pending data is written."""
 
     def connection_refused(self, connection: int, reason: str) -> None:
-        """Handle a connection of the node's own that was never established."""
+        """Handle the failure to establish a connection that the node opened."""
 
     def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
-        """Handle the end of what is read; `fault` is None where the peer closed."""
+        """Handle the end of the incoming stream; `fault` is None if the peer closed it."""
 
     def connection_closed(self, connection: int) -> None:
-        """Handle a connection that is gone."""
+        """Handle the final close of a connection."""
 
 
-AnyOwner = ConnectionOwner[Any]  # each connection's codec reads what its owner handles
+AnyOwner = ConnectionOwner[Any]  # a connection's codec always decodes the messages that its owner handles
 
 
 def own_connections_first(inputs: Iterable[Input]) -> list[Input]:
-    """Return the inputs of one turn, work under way first: those of the node's own connections.
+    """Sort the inputs of one event-loop turn: those of connections that the node opened come first.
 
-    Guards against an end that overtakes what was read before it: the order on each connection is kept.
+    These connections, to the worker pool and the store, carry the progress of RPCs that the node has already
+    accepted. The order of the inputs of each connection is kept, so that the end of a connection never
+    overtakes messages that were read before it.
     """
-    return sorted(inputs, key=lambda what: getattr(what, "connection", 0) >= 0)
+    return sorted(inputs, key=lambda received: getattr(received, "connection", 0) >= 0)
 
 
 class EffectBuffer:
-    """The turn under way. Times are whole microseconds; `log_interval_us`: see `FaultLog`.
+    """Time, effects, timers and connection owners. Times are whole microseconds.
 
-    Bounds: the timers are what the parts of a node schedule, each of which bounds its own; one owner a
-    connection, until that is closed.
+    Each component bounds the number of timers that it schedules. A connection has one owner until it is
+    closed. `log_interval_us` is the interval of the `FaultLog`.
     """
 
     def __init__(self, log_interval_us: int) -> None:
@@ -75,7 +78,7 @@
         self.fault_log = FaultLog(log_interval_us, self._log, self.schedule_after)
 
     def begin(self, now: int) -> list[Effect]:
-        """Begin a turn: run all timers that are due, and return the list that effects are added to."""
+        """Begin to process an input: run all timers that are due, and return the input's list of effects."""
         self.now = now = max(now, self.now)
         effects: list[Effect] = []
         self.effects = effects
@@ -86,20 +89,20 @@
         return effects
 
     def next_timer(self) -> int | None:
-        """Return when the next timer is due, or None."""
+        """Return when the next timer is due, or None if no timer is set."""
         return self.timers[0][0] if self.timers else None
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect to those of this turn."""
+        """Append an effect to the effects of the current input."""
         self.effects.append(effect)
 
     def schedule(self, when: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Have `callback(*arguments)` called at the beginning of the first turn from `when` on."""
+        """Schedule `callback(*arguments)` to run before the first input that is processed from `when` on."""
         self._timers_made += 1
         heappush(self.timers, (when, self._timers_made, callback, arguments))
 
     def connect(self, kind: str, address: tuple[str, int], owner: AnyOwner) -> int:
-        """Open a connection with the codec of that kind for `owner`; return its number."""
+        """Open a connection for `owner`, with the codec that `kind` names; return the connection's number."""
         self._connections_made += 1
         connection = -self._connections_made
         self.connection_owners[connection] = owner
@@ -107,13 +110,13 @@
         return connection
 
     def schedule_after(self, delay: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Have `callback(*arguments)` called at the beginning of the first turn after `delay`."""
+        """Schedule `callback(*arguments)` to run before the first input that is processed after `delay`."""
         self.schedule(self.now + delay, callback, *arguments)
 
-    def log_fault(self, party: str, cause: str, text: str) -> None:
-        """Log a fault of a party, or count its cause where there are many; see `FaultLog`."""
-        self.statistics.count(f"{party}: {cause}")
-        self.fault_log.record(party, cause, text)
+    def log_fault(self, origin: str, cause: str, text: str) -> None:
+        """Log a fault of a peer or component and count it by cause; `FaultLog` limits the log lines."""
+        self.statistics.count(f"{origin}: {cause}")
+        self.fault_log.record(origin, cause, text)
 
     def _log(self, text: str) -> None:
         self.emit(Log(text))
--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -1,7 +1,7 @@
-"""The effects of the core: everything that it can ask its host to do, one type each.
+"""The effects of the core: one type for each kind of action that the core requests from its host.
 
-Owns no state. The core emits effects, in the order in which they are to be carried out; a host carries them
-out and never decides. Connections are named by number; times are whole microseconds.
+The core emits effects in the order in which the host has to carry them out. The host makes no decisions.
+Connections are identified by number; times are whole microseconds.
 """
 
 from collections.abc import Sequence
@@ -9,26 +9,26 @@
 
 from finchcart.node.inputs import Input
 
-if TYPE_CHECKING:  # not imported where no fleet is configured
+if TYPE_CHECKING:  # at run time, these modules are imported only if a fleet is configured
     from finchcart.consensus.evidence import Evidence
     from finchcart.key_leases.inputs import KeyToLease
 
 
 class Read(NamedTuple):
-    """Deliver one batch more from a connection."""
+    """Read one more batch of messages from a connection."""
 
     connection: int
 
 
 class Send(NamedTuple):
-    """Write on a connection; what one turn sends on it may go out in one write."""
+    """Send data on a connection; all sends of one event-loop turn may be combined into one write."""
 
     connection: int
     data: bytes
 
 
 class SendBefore(NamedTuple):
-    """Write on a connection until `deadline` on the boot clock, or break the connection."""
+    """Send data on a connection by `deadline` on the boot clock; if that fails, break the connection."""
 
     connection: int
     data: bytes
@@ -36,25 +36,25 @@
 
 
 class Close(NamedTuple):
-    """Close a connection once all is written."""
+    """Close a connection once all sent data is written."""
 
     connection: int
 
 
 class CloseIfIdle(NamedTuple):
-    """Close a connection if nothing is under way on it; `CloseAttempted` has the result."""
+    """Close a connection if it is not in use; the input `CloseAttempted` reports the result."""
 
     connection: int
 
 
 class Drop(NamedTuple):
-    """Close a connection immediately, whatever is under way."""
+    """Close a connection immediately and discard unsent data."""
 
     connection: int
 
 
 class Connect(NamedTuple):
-    """Open a connection; `kind` names its codec."""
+    """Open a connection to a peer; `kind` names the codec."""
 
     connection: int
     kind: str
@@ -69,13 +69,13 @@
 
 
 class Defer(NamedTuple):
-    """Process this input after those that wait already."""
+    """Process this input after the inputs that are already queued."""
 
     input: Input
 
 
 class Log(NamedTuple):
-    """One line for the operators."""
+    """Write one line to the log."""
 
     text: str
 
@@ -85,11 +85,11 @@
 
 
 class End(NamedTuple):
-    """End the process: nothing is open or pending any more, or the kill is due."""
+    """End the process: the node is idle, or is about to be killed."""
 
 
 class PublishUsage(NamedTuple):
-    """What this node uses and wants of one of the fleet's limits."""
+    """Publish this node's usage of and demand for one of the fleet's limits."""
 
     limit: str
     in_use: int
@@ -98,33 +98,33 @@
 
 
 class PublishEvidence(NamedTuple):
-    """Observations for the fleet's consensus."""
+    """Publish observations for the fleet's consensus."""
 
     evidence: "Evidence"
 
 
 class RequestKeyLeases(NamedTuple):
-    """Request these key leases of a majority of the fleet's replicas."""
+    """Request these key leases from a majority of the fleet's replicas."""
 
     keys: "Sequence[KeyToLease]"
 
 
 class ReportRunEnded(NamedTuple):
-    """The run of a leased key is over."""
+    """Report the end of the run that a key lease was held for."""
 
     key: bytes
     succeeded: bool
-    result: bytes  # empty where it did not succeed
+    result: bytes  # empty if the run did not succeed
 
 
 class ReleaseKeyLease(NamedTuple):
-    """A leased key won't be run."""
+    """Release a key lease whose RPC will not run."""
 
     key: bytes
 
 
 class AbandonKeyLeaseRequest(NamedTuple):
-    """Nobody waits for the key lease any more."""
+    """Withdraw the request for a key lease that no RPC waits for any more."""
 
     key: bytes
 
@@ -133,7 +133,7 @@
 
 
 class KeyLeaseCommand(NamedTuple):
-    """A command to the key lease client."""
+    """Pass a command to the key lease client."""
 
     command: KeyLeaseAction
 
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -1,8 +1,8 @@
-"""The inputs of the core: everything that can happen to a node, one type each.
+"""The inputs of the core: one type for each kind of event that the core handles.
 
-Owns no state. Readers, signal handlers and timers create inputs; `Core.reduce` handles one at a time.
-Connections that others open have numbers from 1 up, those that the node opens from -1 down. Times are whole
-microseconds.
+Readers of connections, signal handlers and timers create inputs; `Core.reduce` handles them one at a time.
+Connections that peers open are numbered 1, 2, 3 and so on; connections that the node opens are numbered -1,
+-2, -3 and so on. Times are whole microseconds.
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,20 +23,20 @@
 
 
 class Start(NamedTuple):
-    """The process is up: the first input."""
+    """The process has started; always the first input."""
 
 
 class MessagesReceived(NamedTuple):
-    """A batch of decoded messages."""
+    """A batch of decoded messages from one connection."""
 
     connection: int
     messages: Sequence[Message]
     received_at: int
-    not_before: int = 0  # the messages reached the machine at this moment at the earliest
+    not_before: int = 0  # the earliest time at which the messages can have reached the machine
 
 
 class CloseDue(NamedTuple):
-    """A frontend's deferred attempt to close a connection, after what was received before it."""
+    """A frontend's deferred attempt to close a connection, due after the inputs that came before it."""
 
     connection: int
 
@@ -45,29 +45,29 @@
     """The result of the effect `CloseIfIdle`, delivered before any other input."""
 
     connection: int
-    closed: bool  # False: something was under way, and the connection is as before
+    closed: bool  # False if the connection was in use; it then stays open, unchanged
 
 
 class Drain(NamedTuple):
-    """The notice to leave."""
+    """The termination notice: the node is to drain and end."""
 
-    received_at: int | None = None  # None: now
+    received_at: int | None = None  # None means the time at which the core handles the input
 
 
 class ReloadConfig(NamedTuple):
-    """The order to read the configuration again; becomes `AddressesChanged` before the core sees it."""
+    """A request to reload the configuration; the event loop turns it into `AddressesChanged`."""
 
     received_at: int
 
 
 class AddressesChanged(NamedTuple):
-    """The addresses of worker pool, store and registry, from a configuration that was read again."""
+    """The addresses of worker pool, store and registry after a reload of the configuration."""
 
     addresses: NodeAddresses
 
 
 class ThreadDied(NamedTuple):
-    """A thread of the node ended by an exception."""
+    """A thread of the node ended with an exception."""
 
     thread: str
 
@@ -83,7 +83,7 @@
 
 
 class FleetMemberChanged(NamedTuple):
-    """The state of a member of the fleet changed."""
+    """A member of the fleet changed its state."""
 
     name: str
     state: FleetMemberState
@@ -91,86 +91,86 @@
 
 
 class FleetIsolationChanged(NamedTuple):
-    """Whether this node is cut off from most of the fleet."""
+    """This node became isolated from most of the fleet, or is no longer isolated."""
 
     isolated: bool
 
 
 class AllocationGranted(NamedTuple):
-    """What this node may use of one of the fleet's limits."""
+    """The share of one of the fleet's limits that is allocated to this node."""
 
     limit: str
-    floor: int | None  # None: the limit is removed
-    amount: int  # beyond the floor
-    until: int  # on the boot clock
+    floor: int | None  # None means that the limit was removed
+    amount: int  # allocated in addition to the floor
+    until: int  # when the amount expires, on the boot clock
 
 
 class ConsensusChanged(NamedTuple):
-    """What the fleet holds to be so, all of it; numbers of states: finchcart/consensus/subjects.py."""
+    """The complete state that the fleet agrees on; finchcart/consensus/subjects.py numbers the states."""
 
     dependency_state: int
-    ejected: bool  # this node is to report itself unhealthy
+    ejected: bool  # whether this node must report itself as unhealthy
     min_shed_level: float
-    source_states: Mapping[int, int]  # by subject
+    source_states: Mapping[int, int]  # state by subject
 
 
 class KeyLeaseOutcome(Enum):
-    """How a request for a key lease ended."""
+    """The outcome of a request for a key lease."""
 
     GRANTED = "granted"  # this node may run the RPC
-    HELD_ELSEWHERE = "held elsewhere"  # it runs elsewhere, and did not end in time
-    ENDED = "ended"  # it ran elsewhere, with this result
-    FAILED = "failed"  # it may have run elsewhere, and failed
-    NO_MAJORITY = "no majority"  # it never ran here
-    PAYLOAD_MISMATCH = "payload mismatch"  # the key is in use for another body
+    HELD_ELSEWHERE = "held elsewhere"  # another node runs an RPC of the key, which did not end in time
+    ENDED = "ended"  # an RPC of the key ran on another node and succeeded; its result is known
+    FAILED = "failed"  # an RPC of the key may have run on another node, and failed
+    NO_MAJORITY = "no majority"  # no lease was obtained; the RPC never ran on this node
+    PAYLOAD_MISMATCH = "payload mismatch"  # the key is in use for an RPC with another body
 
 
 class KeyLeaseAnswered(NamedTuple):
-    """The request for a key lease is answered."""
+    """A request for a key lease was answered."""
 
     key: bytes
     outcome: KeyLeaseOutcome
-    result: bytes  # of a run elsewhere
-    run_by: int | None  # with GRANTED, on the boot clock: the run is commanded until then or not at all
+    result: bytes  # the result of the run on another node, with ENDED
+    run_by: int | None  # with GRANTED: the run must be started before this time of the boot clock, or never
 
 
 class WallClockRead(NamedTuple):
-    """A reading of the wall clock, where its offset to the node's clock has changed."""
+    """A reading of the wall clock, sent when its offset to the node's clock has changed."""
 
     unix_us: int
 
 
 class TimersDue(NamedTuple):
-    """Nothing but the timers that are due."""
+    """An input without content: the core only runs the timers that are due."""
 
 
 class LoadMeasured(NamedTuple):
-    """The part of the last span in which inputs were processed."""
+    """How long the event loop processed inputs in the last measurement interval."""
 
-    busy_us: int
-    span_us: int
+    busy_us: int  # time spent on inputs within the interval
+    span_us: int  # duration of the interval
 
 
 class DuplicateReady(NamedTuple):
-    """The first RPC of a duplicate's key has completed."""
+    """The RPC whose completion a duplicate awaits has completed; `rpc_index` is the duplicate's."""
 
     rpc_index: int
 
 
 class CallNotMade(NamedTuple):
-    """A call was not made, for want of capacity or of an address: it never ran."""
+    """A call was not made because there was no capacity or no address for it."""
 
     rpc_index: int
 
 
 class RunNotStarted(NamedTuple):
-    """A run was not commanded, as its key lease had expired: it never ran."""
+    """A run was not started because its key lease had expired."""
 
     rpc_index: int
 
 
 class KeyLeasesRequested(NamedTuple):
-    """The key leases requested in one batch are to be sent in one message."""
+    """The key lease requests that have accumulated in this batch are due to be sent in one message."""
 
 
 FleetInput = (
