--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -74,8 +74,8 @@
         A reply that may have been lost can't be written again, but its call can be left out.
         """
         data = worker_pool_codec.encode_reply(rpc.name, body)
-        safe_data = worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
-        self.commands.send(rpc, data, safe_data)
+        resend_data = worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
+        self.commands.send(rpc, data, resend_data)
 
     def degrade(self, rpc: NodeRpc, cursor: int) -> None:
         """Have a run go on without the call that it awaits."""
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -26,10 +26,10 @@
     rpc: NodeRpc
     ticket: int  # of the last poll before it
     data: bytes
-    safe_data: bytes | None  # what may be written where `data` may have been read; None: nothing may
+    resend_data: bytes | None  # what may be written where `data` may have been read; None: nothing may
     written: bool
     is_start: bool
-    is_copy: bool = False  # written again: a start may start a run once more that is over by then
+    is_resent: bool = False  # written again: a start may start a run once more that is over by then
 
 
 class Settlement(Enum):
@@ -62,15 +62,15 @@
         self,
         rpc: NodeRpc,
         data: bytes,
-        safe_data: bytes | None,
+        resend_data: bytes | None,
         is_start: bool = False,
-        is_copy: bool = False,
+        is_resent: bool = False,
     ) -> None:
         """Write a command, or keep it until it can be written; see `UnconfirmedCommand`."""
         connection = self._connection
         bound = connection.state is ConnectionState.BOUND
         self.unconfirmed[rpc.index] = UnconfirmedCommand(
-            rpc, self._polls.last_ticket, data, safe_data, bound, is_start, is_copy
+            rpc, self._polls.last_ticket, data, resend_data, bound, is_start, is_resent
         )
         if bound:
             connection.send(data)
@@ -83,7 +83,7 @@
     def may_start_again(self, rpc: NodeRpc) -> bool:
         """Return whether a second copy of the RPC's start may be read after the end of its run."""
         command = self.unconfirmed.get(rpc.index)
-        return command is not None and command.is_start and command.is_copy
+        return command is not None and command.is_start and command.is_resent
 
     # ---- Answered polls
 
@@ -133,16 +133,16 @@
     def _settle_command(self, command: UnconfirmedCommand) -> Settlement:
         rpc = command.rpc
         if not command.written:
-            self.send(rpc, command.data, command.safe_data, command.is_start)
+            self.send(rpc, command.data, command.resend_data, command.is_start)
             return Settlement.WRITTEN
         # Guards against a second effect, and a reply that meets a later call: what the worker pool did read
         # may have gone on since, so only what does no harm twice is written again.
-        if command.safe_data is None:
+        if command.resend_data is None:
             # Reported as stopped, the cores and memory of a run that goes on would be given to another.
             del self.unconfirmed[rpc.index]
             self.presume_running(rpc)
             return Settlement.UNCONFIRMED
-        self.send(rpc, command.safe_data, command.safe_data, command.is_start, is_copy=True)
+        self.send(rpc, command.resend_data, command.resend_data, command.is_start, is_resent=True)
         return Settlement.WRITTEN_AGAIN
 
     # ---- Runs that may be in progress
