--- a/finchcart/node/worker_pool/__init__.py
+++ b/finchcart/node/worker_pool/__init__.py
@@ -1,5 +1,6 @@
-"""The worker pool's client: its connection, commands, notices and gauges.
+"""The client of the worker pool: its connection, commands, notices and gauges.
 
-Owns all that the node knows of its worker pool. It must never decide about an RPC: it sends the commands that
-it is given, and reports what the worker pool sends. Begin with client.py, which joins the other modules.
+This package owns everything that the node knows about its worker pool. It must never decide about an RPC: it
+sends the commands that the core passes to it, and reports the messages of the worker pool. `WorkerPoolClient`
+in client.py combines the other modules; read it first.
 """
--- a/finchcart/node/worker_pool/client.py
+++ b/finchcart/node/worker_pool/client.py
@@ -1,7 +1,7 @@
-"""The node's client of its worker pool: joins connection, commands, notices and gauges.
+"""The client of the worker pool, which combines the connection, the commands, the notices and the gauges.
 
-Owns the order in which the parts handle a message. It must never decide about an RPC, nor take a restarted
-worker pool for the one before.
+`WorkerPoolClient` owns the order in which these parts handle a message. It must never decide about an RPC,
+and it must never mistake a restarted worker pool for the previous process.
 """
 
 from collections.abc import Callable, Sequence
@@ -32,7 +32,7 @@
 
 
 class WorkerPoolClient:
-    """The worker pool as the node sees it. Times are whole microseconds."""
+    """The client of the one worker pool of a node. Times are whole microseconds."""
 
     def __init__(
         self,
@@ -64,52 +64,53 @@
     # ---- Commands
 
     def run(self, rpc: NodeRpc, idempotent: bool) -> None:
-        """Start the run of an RPC; one that is not idempotent is never started twice."""
+        """Start the run of an RPC; the run of an RPC that is not idempotent is never started twice."""
         data = worker_pool_codec.encode_start(rpc.name, rpc.method, rpc.body)
         self.commands.send(rpc, data, data if idempotent else None, is_start=True)
 
     def reply(self, rpc: NodeRpc, cursor: int, body: bytes, can_degrade: bool) -> None:
-        """Send a run the reply that it awaits; `cursor` is of the notice that it does.
+        """Send a run the reply to the call that the run awaits.
 
-        A reply that may have been lost can't be written again, but its call can be left out.
+        A reply that may have been lost is never sent again. If `can_degrade` is true, the run is then told to
+        continue without the call. `cursor` is the number of the notice that reported the call.
         """
         data = worker_pool_codec.encode_reply(rpc.name, body)
         resend_data = worker_pool_codec.encode_degrade(rpc.name, cursor) if can_degrade else None
         self.commands.send(rpc, data, resend_data)
 
     def degrade(self, rpc: NodeRpc, cursor: int) -> None:
-        """Have a run go on without the call that it awaits."""
+        """Tell a run to continue without the call that it awaits."""
         data = worker_pool_codec.encode_degrade(rpc.name, cursor)
         self.commands.send(rpc, data, data)
 
     def confirm(self, rpc: NodeRpc) -> None:
-        """Forget the RPC's last command: its run is over."""
+        """Forget the last command of an RPC, because its run is over."""
         self.commands.confirm(rpc)
 
     def request_gauges(self) -> None:
-        """Handle the due timer of the decision module, see `GaugePolls.on_timer`."""
+        """Handle a due timer of the decision module; see `GaugePolls.on_timer`."""
         self.polls.on_timer()
 
     # ---- The connection
 
     @property
     def address(self) -> tuple[str, int]:
-        """The worker pool's address."""
+        """The address of the worker pool."""
         return self.connection.address
 
     def connect(self) -> None:
-        """Open the connection where there is none."""
+        """Open the connection unless there is one."""
         self.connection.connect()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Use another address, once all commands on the old connection are known to be read."""
-        if self.connection.readdress(address):
-            self.connection.leave_after(self.polls.poll())
+        """Connect to another address once the worker pool has read all commands on the old connection."""
+        if self.connection.change_address(address):
+            self.connection.reconnect_after_poll(self.polls.poll())
 
-    # ---- What comes on the connection: see PoolConnectionOwner
+    # ---- Events of the connection: see PoolConnectionOwner
 
     def message_received(self, connection: int, message: WorkerPoolMessage) -> None:
-        """Handle a message by its type."""
+        """Pass a message to the handler of its type."""
         if connection == self.connection.number:
             self._handlers[type(message)](*message)
 
@@ -119,24 +120,24 @@
             self.effect_buffer.emit(Read(connection))
 
     def connection_refused(self, connection: int, reason: str) -> None:
-        """Connect again after a backoff."""
+        """Reconnect after a backoff."""
         if connection == self.connection.number:
             self._lose_connection(reason)
 
     def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
-        """Connect again."""
+        """Reconnect after a backoff, and skip a notice that failed to decode twice."""
         if connection != self.connection.number:
             return
         if fault is not None and self.connection.state is ConnectionState.BOUND:
-            # Guards against a notice that can't be read and comes again right after each bind. Once it may
-            # have been damaged on its way; the second time it is passed over, and its run answered in time.
+            # A notice that can't be decoded is sent again after each subscription and would break every
+            # connection. The first failure may be damage in transit; at the second one the notice is skipped.
             is_settling = self.commands.settlement_ticket is not None
             if self.cursor.is_unreadable_again() and is_settling:
                 self.notices.unreadable()
         self._lose_connection(str(fault or ""))
 
     def connection_closed(self, connection: int) -> None:
-        """Do nothing: it was dropped before."""
+        """Do nothing, because the connection was dropped before."""
 
     def write_blocked(self, connection: int) -> None:
         """Request no gauges until the worker pool reads again."""
@@ -144,12 +145,12 @@
             self.connection.write_blocked = True
 
     def write_resumed(self, connection: int) -> None:
-        """Request gauges again: all is written."""
+        """Request gauges again, because all pending data is written."""
         if connection == self.connection.number:
             self.connection.write_blocked = False
 
     def disconnected(self) -> None:
-        """Forget the settlement under way."""
+        """Cancel the settlement in progress."""
         self.commands.cancel_settlement()
 
     def _lose_connection(self, reason: str) -> None:
@@ -163,7 +164,7 @@
         self.effect_buffer.log_fault(PARTY, state, f"{text}, cursor {self.cursor.position}, {pending}")
         connection.lose()
 
-    # ---- Messages that are no notices of runs
+    # ---- Messages other than notices of runs
 
     def _on_subscribed(self, cold: bool, uptime_us: int) -> None:
         effect_buffer = self.effect_buffer
@@ -186,4 +187,4 @@
         self.polls.answered(ticket, values)
 
     def _on_unknown(self) -> None:
-        """Ignore an event of a later protocol."""
+        """Ignore an event of a later protocol version."""
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -1,8 +1,9 @@
-"""Commands that the worker pool may not have read, and what becomes of them after a new connection.
+"""Commands that the worker pool may not have read, and their settlement after a reconnection.
 
-Owns each command until a notice or an answered poll confirms it, and the runs whose command may have been
-lost (unconfirmed_runs.py). It must never write a command again that could do harm if the first copy was read,
-nor report a run as over that may be running.
+`CommandJournal` owns each command until a notice or the answer to a poll confirms that the worker pool has
+read the command. It also owns the runs whose command may have been lost; see unconfirmed_runs.py. It must
+never send a command again if a second copy could do harm, and must never report a run as ended that may be
+running.
 """
 
 from collections import Counter
@@ -24,27 +25,28 @@
     """A command that the worker pool may not have read."""
 
     rpc: NodeRpc
-    ticket: int  # of the last poll before it
+    ticket: int  # number of the last poll before the command
     data: bytes
-    resend_data: bytes | None  # what may be written where `data` may have been read; None: nothing may
+    resend_data: bytes | None  # sent in place of `data` if `data` may have been read; None: nothing is sent
     written: bool
     is_start: bool
-    is_resent: bool = False  # written again: a start may start a run once more that is over by then
+    is_resent: bool = False  # a start that is sent again may start a second run after the first one ended
 
 
 class Settlement(Enum):
-    """What was done about an unconfirmed command after a new connection; the values stand in log lines."""
+    """The treatment of an unconfirmed command after a reconnection. The values appear in log lines."""
 
-    WRITTEN = "written"  # for the first time
+    WRITTEN = "written"  # the command had not been written before
     WRITTEN_AGAIN = "written again"
-    UNCONFIRMED = "unconfirmed"  # it may have been read, and must not be written again
+    UNCONFIRMED = "unconfirmed"  # the command may have been read, and must not be written again
 
 
 class CommandJournal:
-    """The last unconfirmed command of each running RPC, by its index.
+    """The last unconfirmed command of each running RPC, by the index of the RPC.
 
-    Bounds: one command and one unconfirmed run a running RPC; a command leaves by a notice, a later poll or
-    the settlement after a new connection.
+    Settlement is the step after a reconnection that decides for each unconfirmed command whether to write the
+    command again. Bounds: one command and one unconfirmed run for each running RPC. A command is removed by a
+    notice of its run, by the answer to a later poll, or by the settlement.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
         self.effect_buffer = effect_buffer
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}
         self.unconfirmed_runs = UnconfirmedRuns(effect_buffer, self._presume_ended)
-        self.settlement_ticket: str | None = None  # of the poll after a new connection
+        self.settlement_ticket: str | None = None  # of the poll whose answer starts the settlement
         self._connection = connection
         self._polls = polls
         self._runs = runs
@@ -66,7 +68,7 @@
         is_start: bool = False,
         is_resent: bool = False,
     ) -> None:
-        """Write a command, or keep it until it can be written; see `UnconfirmedCommand`."""
+        """Write a command, or keep it until a connection is bound; see `UnconfirmedCommand`."""
         connection = self._connection
         bound = connection.state is ConnectionState.BOUND
         self.unconfirmed[rpc.index] = UnconfirmedCommand(
@@ -76,21 +78,21 @@
             connection.send(data)
 
     def confirm(self, rpc: NodeRpc) -> None:
-        """Forget the RPC's last command: the worker pool has read it, or need not any more."""
+        """Forget the last command of an RPC, which the worker pool has read or need not read any more."""
         self.unconfirmed.pop(rpc.index, None)
         self.unconfirmed_runs.discard(rpc)
 
     def may_start_again(self, rpc: NodeRpc) -> bool:
-        """Return whether a second copy of the RPC's start may be read after the end of its run."""
+        """Return whether the worker pool may read a second start command of the RPC after its run ended."""
         command = self.unconfirmed.get(rpc.index)
         return command is not None and command.is_start and command.is_resent
 
     # ---- Answered polls
 
     def poll_answered(self, ticket: str) -> None:
-        """Handle the answer of a poll: what was written before it was read.
+        """Handle the answer to a poll, which confirms all commands that were written before the poll.
 
-        Also where the answer is too late for its timer.
+        An answer that is too late for its timer confirms them as well.
         """
         if ticket == self.settlement_ticket:
             self.settlement_ticket = None
@@ -99,22 +101,23 @@
             self.confirm_before(int(ticket))
 
     def confirm_before(self, ticket: int) -> None:
-        """Forget the commands that were written before the poll of this number."""
+        """Forget the commands that were written before the poll with this ticket."""
         self.unconfirmed = {
             index: command for index, command in self.unconfirmed.items() if command.ticket >= ticket
         }
 
-    # ---- Settlement after a new connection
+    # ---- Settlement after a reconnection
 
     def begin_settlement(self) -> None:
-        """Poll on a new connection: what is unconfirmed is settled once all notices before it are read.
+        """Send the poll whose answer starts the settlement.
 
-        So nothing that ended is started again.
+        The answer arrives after all earlier notices, so the settlement never starts a run again whose end was
+        already reported.
         """
         self.settlement_ticket = self._polls.poll()
 
     def cancel_settlement(self) -> None:
-        """Forget the settlement under way: the connection is lost, and the next one has its own."""
+        """Cancel the settlement, because the connection is lost and the next connection begins a new one."""
         self.settlement_ticket = None
 
     def _settle(self, ticket: int) -> None:
@@ -122,23 +125,24 @@
         for index in list(self.unconfirmed):
             command = self.unconfirmed.get(index)
             if command is None or command.ticket >= ticket:
-                continue  # ended or sent another since, by the end of one before it
+                continue  # settling an earlier command ended this run or sent a newer command for it
             settled[self._settle_command(command)] += 1
         if settled:
             counts = ", ".join(f"{count} {settlement.value}" for settlement, count in settled.items())
-            text = f"connection {self._connection.number}: commands: {counts}"
+            text = f"connection {self._connection.number}: commands settled after reconnection: {counts}"
             self.effect_buffer.log_fault(PARTY, "commands settled", text)
-            self._polls.poll()  # its answer confirms what was written again
+            self._polls.poll()  # the answer confirms the commands that were written again
 
     def _settle_command(self, command: UnconfirmedCommand) -> Settlement:
         rpc = command.rpc
         if not command.written:
             self.send(rpc, command.data, command.resend_data, command.is_start)
             return Settlement.WRITTEN
-        # Guards against a second effect, and a reply that meets a later call: what the worker pool did read
-        # may have gone on since, so only what does no harm twice is written again.
+        # The worker pool may have read the command, and the run may have continued since. A second start
+        # could repeat an effect, and a second reply could answer a later call: only `resend_data` is safe.
         if command.resend_data is None:
-            # Reported as stopped, the cores and memory of a run that goes on would be given to another.
+            # If the run were reported as stopped while it continues, its cores and memory would be assigned
+            # to another run.
             del self.unconfirmed[rpc.index]
             self.presume_running(rpc)
             return Settlement.UNCONFIRMED
@@ -148,11 +152,11 @@
     # ---- Runs that may be in progress
 
     def presume_running(self, rpc: NodeRpc, first_end: RunEnd | None = None) -> None:
-        """Count the RPC's run as running until a notice, or for as long as the settings let it run."""
+        """Count the run of an RPC as running until a notice arrives or its time limit has passed."""
         self.unconfirmed_runs.add(rpc, self._runs.longest_run_us(rpc), first_end)
 
     def presume_all_running(self) -> None:
-        """Count every run so: the notice of its end may be the one that cannot be read."""
+        """Presume every run to be running, because an unreadable notice may report the end of any of them."""
         for rpc in self._runs.running_rpcs():
             self.presume_running(rpc)
 
--- a/finchcart/node/worker_pool/connection.py
+++ b/finchcart/node/worker_pool/connection.py
@@ -1,11 +1,12 @@
-"""The one connection to the worker pool: its state machine, and the backoff between attempts.
+"""The one connection to the worker pool: its state machine, and the backoff between attempts to connect.
 
-Owns the connection's number and state, the worker pool's address and the backoff. It must never hold a
-command or a notice: what a lost connection may have lost is command_journal.py's to settle.
+`PoolConnection` owns the number and the state of the connection, the address of the worker pool and the
+backoff. It must never hold a command or a notice: command_journal.py settles the commands that a lost
+connection may have lost.
 
-    DISCONNECTED --connect--> BINDING --bound--> BOUND --change_address--> READDRESSING
-         ^                       |                 |                            |
-         +------- disconnect ----+-----------------+----------------------------+
+    DISCONNECTED --connect--> BINDING --bound--> BOUND --change_address--> CHANGING_ADDRESS
+         ^                       |                 |                              |
+         +------- disconnect ----+-----------------+------------------------------+
 """
 
 from enum import Enum
@@ -22,23 +23,23 @@
 
 
 class ConnectionState(Enum):
-    """The states of the connection; the values stand in log lines."""
+    """The states of the connection. The values appear in log lines and in names of statistics counters."""
 
     DISCONNECTED = "disconnected"
-    BINDING = "binding"  # requested notices from the cursor on; no command is written
+    BINDING = "binding"  # has requested the notices after the cursor; writes no commands yet
     BOUND = "bound"
-    READDRESSING = "moving"  # to another address, once all commands are known to be read
+    CHANGING_ADDRESS = "moving"  # reconnects to a new address once all commands are read
 
 
 class PoolConnectionOwner(ConnectionOwner[WorkerPoolMessage], Protocol):
-    """What is notified of the connection and its messages."""
+    """The listener for events and messages of the connection."""
 
     def disconnected(self) -> None:
         """Handle the loss or the planned end of the connection."""
 
 
 class ReconnectBackoff:
-    """The time to wait before the next connection. Times are whole microseconds."""
+    """The exponential backoff before the next attempt to connect. Times are whole microseconds."""
 
     __slots__ = ("_first_us", "_longest_us", "_quick_losses", "_steady_us")
 
@@ -46,12 +47,14 @@
         self._steady_us = limits.pool_steady_time_us
         self._first_us = limits.pool_retry_interval_us
         self._longest_us = limits.pool_longest_pause_us
-        self._quick_losses = 0  # connections lost one after the other before they were steady
+        self._quick_losses = 0  # connections in a row that were bound for less than `_steady_us`
 
     def after_loss(self, bound_for_us: int | None) -> int:
-        """Return how long to wait; `bound_for_us`: the connection was bound for so long, None: it was not.
+        """Return the time to wait before the next attempt to connect.
 
-        No time after a steady connection; else exponential, so that nothing spins.
+        The wait is 0 after a connection that was bound for long enough. Otherwise it grows exponentially, so
+        that the node does not reconnect in a busy loop. `bound_for_us` is the time for which the lost
+        connection was bound; None: it was never bound.
         """
         if bound_for_us is not None and bound_for_us >= self._steady_us:
             self._quick_losses = 0
@@ -62,7 +65,10 @@
 
 
 class PoolConnection:
-    """The connection and its state. Bounds: one connection, one timer for the next attempt or address."""
+    """The connection and its state.
+
+    Bounds: one connection, and one timer for the next attempt to connect or for the change of the address.
+    """
 
     def __init__(
         self,
@@ -78,20 +84,20 @@
         self.number: int | None = None
         self.write_blocked = False
         self.bind_requested_at = 0
-        self._move_timeout_us = limits.pool_move_timeout_us
+        self._address_change_timeout_us = limits.pool_move_timeout_us
         self._cursor = cursor
         self._owner = owner
         self._backoff = ReconnectBackoff(limits)
         self._bound_at = 0
-        self._move_ticket: str | None = None  # of the poll before the connection is left for another address
+        self._address_change_ticket: str | None = None  # of the poll whose answer starts the reconnection
 
     def send(self, data: bytes) -> None:
-        """Write where there is a connection; what is lost with one is settled once the next is bound."""
+        """Write data if there is a connection; commands that are lost with it are settled later."""
         if self.number is not None:
             self.effect_buffer.emit(Send(self.number, data))
 
     def connect(self) -> None:
-        """Open the connection where there is none, and request the notices from the cursor on."""
+        """Open the connection unless there is one, and request the notices after the cursor."""
         if self.number is not None:
             return
         self.number = self.effect_buffer.connect("pool", self.address, self._owner)
@@ -106,35 +112,39 @@
         self._bound_at = self.effect_buffer.now
 
     def lose(self) -> None:
-        """Give up a connection that failed, and connect again after the backoff."""
+        """Drop a connection that failed, and reconnect after the backoff."""
         is_bound = self.state is ConnectionState.BOUND
         backoff_us = self._backoff.after_loss(self.effect_buffer.now - self._bound_at if is_bound else None)
         self._disconnect()
         self.effect_buffer.schedule(self.effect_buffer.now + backoff_us, self.connect)
 
-    # ---- Another address
+    # ---- Change of the address
+
+    def change_address(self, address: tuple[str, int]) -> bool:
+        """Set the address, and reconnect at once if no commands can be in transit.
 
-    def readdress(self, address: tuple[str, int]) -> bool:
-        """Use another address; return whether `leave_after` has to follow: commands may be on their way."""
+        Return whether commands may be in transit. The caller must then send a poll and pass its ticket to
+        `reconnect_after_poll`.
+        """
         self.address = address
         if self.number is None:
             return False
         if self.state is ConnectionState.BOUND:
-            self.state = ConnectionState.READDRESSING
+            self.state = ConnectionState.CHANGING_ADDRESS
             return True
         self._reconnect(self.number)
         return False
 
-    def leave_after(self, ticket: str) -> None:
-        """Leave for the new address once the poll of this ticket is answered, or after a time limit."""
-        self._move_ticket = ticket
+    def reconnect_after_poll(self, ticket: str) -> None:
+        """Reconnect to the new address once the poll with this ticket is answered, or after a timeout."""
+        self._address_change_ticket = ticket
         self.effect_buffer.schedule(
-            self.effect_buffer.now + self._move_timeout_us, self._reconnect, self.number
+            self.effect_buffer.now + self._address_change_timeout_us, self._reconnect, self.number
         )
 
     def poll_answered(self, ticket: str) -> None:
-        """Leave for the new address where that poll was awaited: all commands before it were read."""
-        if ticket == self._move_ticket:
+        """Reconnect to the new address if this poll confirms that all commands were read."""
+        if ticket == self._address_change_ticket:
             self._reconnect(self.number)
 
     def _reconnect(self, number: int | None) -> None:
@@ -149,6 +159,6 @@
         self.number = None
         self.state = ConnectionState.DISCONNECTED
         self.write_blocked = False
-        self._move_ticket = None
+        self._address_change_ticket = None
         self._owner.disconnected()
         self.effect_buffer.emit(Drop(number))
--- a/finchcart/node/worker_pool/gauge_polls.py
+++ b/finchcart/node/worker_pool/gauge_polls.py
@@ -1,8 +1,8 @@
-"""Polls of the worker pool's gauges: for the decision module's timers, and as marks between commands.
+"""Polls of the gauges of the worker pool, for the timers of the decision module and to confirm commands.
 
-Owns the number of the last poll and the timers that wait for an answer. An answered poll also proves that the
-worker pool has read all that was written before it: command_journal.py. It must never hold up a timer for
-longer than the time limit.
+`GaugePolls` owns the number of the last poll and the timers that wait for an answer. The answer to a poll
+also proves that the worker pool has read all commands that were written before the poll; command_journal.py
+relies on this. `GaugePolls` must never delay a timer for longer than the time limit of a poll.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,7 +15,10 @@
 
 
 class GaugePolls:
-    """The polls under way, by ticket. Bounds: one a timer, answered or expired after the time limit."""
+    """The pending polls by ticket.
+
+    Bounds: one poll for each timer, which is removed by its answer or at its time limit.
+    """
 
     def __init__(
         self,
@@ -27,23 +30,24 @@
     ) -> None:
         self.effect_buffer = effect_buffer
         self.last_ticket = 0
-        self.pending_timers: set[str] = set()  # tickets of the polls that a timer waits for
+        self.pending_timers: set[str] = set()  # tickets of the polls whose answer a timer waits for
         self._timeout_us = limits.gauges_timeout_us
         self._gauge_names = gauge_names
         self._connection = connection
         self._listener = listener
 
     def poll(self) -> str:
-        """Request the gauges; return the ticket that the answer carries."""
+        """Request the gauges; return the ticket that identifies the answer."""
         self.last_ticket += 1
         ticket = str(self.last_ticket)
         self._connection.send(worker_pool_codec.encode_gauges_request(ticket))
         return ticket
 
     def on_timer(self) -> None:
-        """Handle the due timer of the decision module.
+        """Handle a due timer of the decision module.
 
-        It is reported with the gauges, or without them where they do not come in time.
+        The listener receives the timer with the values of the gauges, or without them if they do not arrive
+        in time.
         """
         if self._connection.state is ConnectionState.BOUND and not self._connection.write_blocked:
             ticket = self.poll()
@@ -53,7 +57,7 @@
             self._listener.timer_due({})
 
     def answered(self, ticket: str, values: Sequence[float]) -> None:
-        """Handle the gauges' values, in the order of their names."""
+        """Handle the values of the gauges, which are in the order of the configured names."""
         self._complete(ticket, dict(zip(self._gauge_names, values, strict=False)))
 
     def _complete(self, ticket: str, readings: Mapping[str, float]) -> None:
--- a/finchcart/node/worker_pool/notices.py
+++ b/finchcart/node/worker_pool/notices.py
@@ -1,7 +1,8 @@
-"""The worker pool's notices of runs, each handled once.
+"""The handling of the notices of runs that the worker pool sends.
 
-Owns no state but the cursor's use: a notice that was handled before is ignored. It must never report the end
-of a run that may have been started a second time as the end of both.
+`NoticeHandler` ignores notices that were handled before, by the number that `NoticeCursor` keeps, and has no
+other state. If a run may have been started twice, `NoticeHandler` must never report the end of the first run
+as the end of both.
 """
 
 from finchcart.decisions.outcome import Outcome
@@ -13,7 +14,7 @@
 
 
 class NoticeHandler:
-    """Hands each new notice to what is notified of runs."""
+    """Passes each new notice to the listener for runs."""
 
     def __init__(
         self, effect_buffer: EffectBuffer, cursor: NoticeCursor, commands: CommandJournal, runs: RunListener
@@ -34,7 +35,8 @@
             self._runs.run_ended(rpc, *first_end)
             return
         if outcome is not Outcome.NOT_STARTED and commands.may_start_again(rpc):
-            # Guards against a run that nobody counts: the start written again may be read after this end.
+            # The worker pool may read the second start after this end and run the RPC again. The RPC is
+            # answered now, and its run stays counted until the second run has ended or timed out.
             commands.confirm(rpc)
             commands.presume_running(rpc, RunEnd(outcome, spent_us, result))
             self._runs.answer_before_end(rpc, outcome, result)
@@ -49,22 +51,22 @@
             self._runs.awaiting_call(rpc, number, body)
 
     def command_rejected(self, was_start: bool, name: str) -> None:
-        """Handle a command that the worker pool did not carry out."""
+        """Handle a command that the worker pool rejected."""
         rpc = self._runs.find_running(name)
         if rpc is None:
             return
-        text = f"{'start' if was_start else 'command'} of {name} not carried out"
+        text = f"{'start' if was_start else 'later'} command for run {name} not carried out"
         self.effect_buffer.log_fault(PARTY, "not carried out", text)
         if was_start:
             self._runs.run_ended(rpc, Outcome.NOT_STARTED, 0, b"")
         else:
-            self._commands.presume_running(rpc)  # the refusal of a later command does not end the run
+            self._commands.presume_running(rpc)  # the rejection of a later command does not end the run
 
     def informational(self, number: int) -> None:
-        """Handle a notice of which only the number counts."""
+        """Handle a notice whose content the node does not use; only its number matters."""
         self._cursor.advance(number)
 
     def unreadable(self) -> None:
-        """Pass over a notice that cannot be read: it may be the end of any run, which then never comes."""
+        """Skip a notice that cannot be decoded; it may have reported the end of any run."""
         self._cursor.skip()
         self._commands.presume_all_running()
--- a/finchcart/node/worker_pool/restart_detector.py
+++ b/finchcart/node/worker_pool/restart_detector.py
@@ -1,44 +1,45 @@
-"""Whether a worker pool that answers is the process that answered before, or a restarted one.
+"""Detection of restarts of the worker pool by its stated uptime.
 
-Owns the latest known start of the worker pool. It must never take a message that is late for a restart: the
-runs of a restarted worker pool are lost.
+`RestartDetector` owns the latest known start time of the worker pool. It must never mistake a delayed message
+for a restart, because the node counts all runs of a restarted worker pool as lost.
 """
 
 from enum import Enum
 
 
 class PoolContact(Enum):
-    """What a new connection to the worker pool means."""
+    """Which process of the worker pool a new connection reached."""
 
     FIRST = "first"
-    SAME = "same"  # the same process as before
-    RESTARTED = "restarted"  # another process: all runs are lost
+    SAME = "same"  # the process of the previous connection
+    RESTARTED = "restarted"  # a new process, which lost all runs
 
 
 class RestartDetector:
-    """Compare the worker pool's age with its last known start. Times are whole microseconds."""
+    """Compares the stated uptime with the last known start time. Times are whole microseconds."""
 
     def __init__(self, tolerance_us: int) -> None:
         self._tolerance_us = tolerance_us
-        self._started_by: int | None = None  # the worker pool had started by then
+        self._started_by: int | None = None  # upper bound of the start time of the worker pool
 
     def observe(self, now: int, requested_at: int, uptime_us: int) -> PoolContact:
-        """Return what a `Subscribed` message means.
+        """Return which process of the worker pool sent a `Subscribed` message.
 
         Arguments:
-            now: when it was read.
-            requested_at: when it was requested.
-            uptime_us: the time since the worker pool's start, as the message states it.
+            now: time at which the message was read.
+            requested_at: time at which the message was requested.
+            uptime_us: uptime of the worker pool as stated in the message.
         """
         previous_start = self._started_by
         if previous_start is None:
             self._started_by = now - uptime_us
             return PoolContact.FIRST
-        # Guards against runs answered as lost while they continue: the message may come late or be read
-        # late. It was written after its request, so a restart began after the previous start even so.
+        # The message may arrive late or be read late, so `now - uptime_us` may lie far after the real start
+        # of the same process, and a restart inferred from it would report runs as lost that continue. The
+        # message was written after its request, so `requested_at - uptime_us` is a lower bound of the start.
         if requested_at - uptime_us > previous_start + self._tolerance_us:
             self._started_by = now - uptime_us
             return PoolContact.RESTARTED
         if now - requested_at < self._tolerance_us:
-            self._started_by = now - uptime_us  # precise: follows where the two clocks drift apart
+            self._started_by = now - uptime_us  # follows the drift between the two clocks
         return PoolContact.SAME
--- a/finchcart/node/worker_pool/unconfirmed_runs.py
+++ b/finchcart/node/worker_pool/unconfirmed_runs.py
@@ -1,8 +1,9 @@
-"""Runs whose command or notice may have been lost: counted as running until something proves that they ended.
+"""Runs whose command or notice may have been lost, and which the node counts as running for now.
 
-Owns for how long each counts, and how its first run ended where a second one may have been started. It must
-never let a run go that may be running: what ends one is a notice of the worker pool, its restart, or the time
-that the settings let a run take.
+`UnconfirmedRuns` owns the time for which each of them counts as running, and the end of the first run of an
+RPC if a second run may have been started. It must never forget a run that may be in progress: an unconfirmed
+run ends by a notice of the worker pool, by a restart of the worker pool, or when the longest time that the
+settings allow for a run has passed.
 """
 
 from collections.abc import Callable
@@ -14,7 +15,7 @@
 
 
 class RunEnd(NamedTuple):
-    """How a run ended."""
+    """The end of a run, as the worker pool reported it."""
 
     outcome: Outcome
     spent_us: int
@@ -25,21 +26,23 @@
     """A run that may be in progress."""
 
     rpc: NodeRpc
-    first_end: RunEnd | None  # None: nothing is known of it
+    first_end: RunEnd | None  # end of the first of two runs; None: no end was reported
+    # Distinguishes entries of the same index, so that an old timer does not expire a new entry.
     number: int
 
 
 class UnconfirmedRuns:
-    """The unconfirmed runs by index of their RPC. Times are whole microseconds.
+    """The unconfirmed runs by the index of their RPC. Times are whole microseconds.
 
-    `on_expired(rpc, first_end)` is called where no notice of one came in time. Bounds: the runs that the
-    decision module allows at once; each leaves by a notice or after its time.
+    `on_expired(rpc, first_end)` is called for a run if no notice of it arrived within its time limit. Bounds:
+    at most as many runs as the decision module allows at once; each is removed by a notice or at its time
+    limit.
     """
 
     def __init__(
         self, effect_buffer: EffectBuffer, on_expired: Callable[[NodeRpc, RunEnd | None], None]
     ) -> None:
-        self._turn = effect_buffer
+        self._effect_buffer = effect_buffer
         self._on_expired = on_expired
         self._runs: dict[int, UnconfirmedRun] = {}
         self._added = 0
@@ -48,25 +51,25 @@
         return index in self._runs
 
     def add(self, rpc: NodeRpc, limit_us: int, first_end: RunEnd | None = None) -> None:
-        """Count the RPC's run as running for `limit_us` from now on, unless it is counted already."""
+        """Count the run of an RPC as running for `limit_us` from now on, unless it is already counted."""
         if rpc.index in self._runs:
             return
         self._added += 1
         self._runs[rpc.index] = UnconfirmedRun(rpc, first_end, self._added)
-        self._turn.statistics.count("unconfirmed runs")
-        self._turn.schedule_after(limit_us, self._expire, rpc.index, self._added)
+        self._effect_buffer.statistics.count("unconfirmed runs")
+        self._effect_buffer.schedule_after(limit_us, self._expire, rpc.index, self._added)
 
     def first_end(self, rpc: NodeRpc) -> RunEnd | None:
-        """Return how the RPC's first run ended, where a second one may be in progress."""
+        """Return the end of the first run of an RPC if a second run may be in progress, else None."""
         run = self._runs.get(rpc.index)
         return run.first_end if run else None
 
     def discard(self, rpc: NodeRpc) -> None:
-        """Forget the RPC's run: a notice of it came, or it is over."""
+        """Forget the run of an RPC, because a notice of the run arrived or the run has ended."""
         self._runs.pop(rpc.index, None)
 
     def clear(self) -> None:
-        """Forget all: none of them runs any more."""
+        """Forget all runs, because a restart of the worker pool ended them."""
         self._runs.clear()
 
     def _expire(self, index: int, number: int) -> None:
