--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -110,7 +110,7 @@
         connection = self._connections.get(number)
         messages: list[Message] = []
         if connection:
-            connection.count_taken(frames)
+            connection.count_processed(frames)
             try:
                 for frame in frames:
                     messages.append(connection.codec.decode(frame))
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -1,12 +1,13 @@
-"""One TCP connection of a node, with its threads.
+"""A TCP connection of a node, with its reader thread and its writer thread.
 
-Owns its socket. Each connection has a reader thread with a small stack on a blocking socket, which delivers
-one batch of frames for each request. What the kernel accepts immediately is written without a further thread;
-a connection whose peer does not read gets a writer thread until all is written. Threads must never touch the
-node's state: what they read goes to the one queue as an input of the core.
+A `Connection` owns its socket. Its reader thread has a small stack, blocks on the socket, and delivers one
+batch of frames for each batch that is requested. The calling thread writes data that the kernel accepts
+immediately; a writer thread exists only while the peer reads too slowly, until all pending data is written.
+These threads must never touch the node's state: they report through the core's input queue.
 
-Reading: reader.py. Writing to a peer that is behind: writer.py. The end of one that the node closes:
-discarding.py. Which events may cross here, and the result of each: docs/design/crossings.md.
+Reading is in reader.py, writing to a slow peer in writer.py, and discarding what a peer still sends after the
+node has closed its direction in discarding.py. Which events may occur concurrently here, and the result of
+each combination: docs/design/crossings.md.
 """
 
 import errno
@@ -47,23 +48,26 @@
 
 
 class ReadEnd(NamedTuple):
-    """Why a connection is not read any more. Neither: the peer closed, or the connection broke."""
+    """Why the reader stopped. With neither field set, the peer closed or the connection broke."""
 
-    fault: ProtocolError | None = None  # what could not be read
-    close_ordered: bool = False
+    fault: ProtocolError | None = None  # the peer sent bytes that cannot be decoded
+    close_requested: bool = False
 
     @property
     def peer_may_send(self) -> bool:
-        """Whether the peer may go on sending."""
-        return self.fault is not None or self.close_ordered
+        """Whether the peer may still send data."""
+        return self.fault is not None or self.close_requested
 
 
 class Connection:
-    """One connection; accepted where `sock` is given, else opened to `address`.
+    """A connection: an accepted one if `sock` is given, otherwise one that is opened to `address`.
 
-    `request_batch`, `send`, `close`, `close_if_idle` and `drop` never block. `on_closed()` is called once its
-    descriptor is free again. Raises OSError where its reader thread cannot be started; with
-    `thread_starter` that holds only for a connection that is to be opened.
+    `request_batch`, `send`, `close`, `close_if_idle` and `drop` never block. `on_closed()` is called once the
+    connection's file descriptor is free again.
+
+    Raises:
+        OSError: the reader thread cannot be started. With `thread_starter`, an accepted connection does not
+            raise it: its reader thread is started later.
     """
 
     def __init__(
@@ -82,14 +86,14 @@
         self.codec = codec
         self.sock = sock
         self.is_open = False
-        self._bytes_taken = 0  # by the one thread that feeds the core
+        self._bytes_processed = 0  # handed to the core; used only by the thread that feeds the core
         self._inputs = inputs
         self._buffers = buffers
         self._limits = limits
         self._address = address
         self._on_closed = on_closed
-        self._requests: SimpleQueue[bool] = SimpleQueue()  # True: one batch; False: the close is ordered
-        self._lock = threading.Lock()  # never held over a wait
+        self._requests: SimpleQueue[bool] = SimpleQueue()  # True requests a batch, False a close
+        self._lock = threading.Lock()  # never held during a blocking call
         self._write_deadline: int | None = None
         self._is_closing = False
         self._is_dropped = False
@@ -97,37 +101,41 @@
         self.reader = FrameReader(number, codec.find_frame_end, buffers, max_frames)
         self._writes = PendingWrites(number, inputs, self._lock, self._half_close_if_closing, thread_starter)
         if sock:
-            # Before the reader runs, which may be late: what is sent until then goes out.
+            # Set here and not in the reader thread, which may start late: data can be sent from now on.
             self._set_open(sock)
         self._start_reader(thread_starter)
 
     def _start_reader(self, thread_starter: DeferredThreadStarter | None) -> None:
-        """Start the reader, or have it started later; raise OSError where nobody does that."""
+        """Start the reader thread, or defer its start; raise OSError if the start cannot be deferred."""
         name = f"read {self.number}"
         try:
             start_thread(self._run, name)
         except OSError:
             if thread_starter is None or self._address:
-                raise  # one that is to be opened counts as refused, and is tried again
+                raise  # the caller reports a connection that was to be opened as refused, and it is retried
             thread_starter.start(DeferredThread(self._run, name, self._abandon_reader))
 
     def _abandon_reader(self) -> None:
-        """End a connection that was never read: report its end, and close the socket."""
+        """Report the end of a connection whose reader thread never started, and close its socket."""
         self._inputs.put(ConnectionEnded(self.number, None))
         self._finish(ReadEnd())
 
-    # ---- Called by the one thread that carries out effects
+    # ---- Called by the one thread that executes effects
 
     def request_batch(self) -> None:
-        """Have the reader deliver one batch more."""
+        """Request one more batch from the reader thread."""
         self._requests.put(True)
 
-    def count_taken(self, frames: Sequence[bytes]) -> None:
-        """Record that the core is about to see these frames."""
-        self._bytes_taken += sum(map(len, frames))
+    def count_processed(self, frames: Sequence[bytes]) -> None:
+        """Count frames that are about to be handed to the core."""
+        self._bytes_processed += sum(map(len, frames))
 
     def send(self, data: bytes, deadline: int | None = None) -> None:
-        """Write, by a thread if need be. Data that misses `deadline` (boot clock) breaks the connection."""
+        """Write data, in the writer thread if the kernel does not accept all of it immediately.
+
+        If `deadline` (on the boot clock) has passed, or passes before the connection is established, the data
+        is not sent and the connection is broken.
+        """
         with self._lock:
             self._write_deadline = deadline
             if deadline is not None and boot_clock() > deadline:
@@ -140,9 +148,9 @@
                 try:
                     data = data[sock.send(data, socket.MSG_DONTWAIT) :]
                 except OSError as error:
-                    # The peer does not read, or the system has no memory for it now: a writer continues.
+                    # If the peer does not read or the system is short of memory, a writer thread continues.
                     if not is_transient(error):
-                        shut_down(sock, socket.SHUT_RDWR)  # broken: the reader notices and reports it
+                        shut_down(sock, socket.SHUT_RDWR)  # the reader thread reports the broken connection
                         return
                 if not data:
                     return
@@ -152,7 +160,7 @@
                 self._writes.start(sock)
 
     def close(self) -> None:
-        """Close once all that was sent is written."""
+        """Close the connection once all pending data is written."""
         with self._lock:
             self._is_closing = True
             if self.is_open and self.sock and not self._writes.thread:
@@ -160,45 +168,45 @@
         self._requests.put(False)
 
     def close_if_idle(self) -> bool:
-        """Close if nothing is on its way in either direction; return whether it did.
+        """Close the connection if no data is in transit in either direction; return whether it was closed.
 
-        Guards against a close that overtakes what was sent before it: a request that is in the system's
-        buffer, in the reader's hands, or read and not yet seen by the core; an answer that is not written.
+        Prevents the loss of a request that is in the kernel's buffer, in the reader thread, or in the queue
+        to the core, and the loss of an answer that is not written yet.
         """
         with self._lock:
             sock = self.sock if self.is_open else None
             if sock is None or self._writes.parts or self._writes.thread:
                 return False
             try:
-                if self._has_unseen_bytes(sock):
+                if self._has_unprocessed_bytes(sock):
                     return False
             except OSError as error:
                 if is_transient(error):
-                    return False  # a look that failed says nothing of what waits
+                    return False  # the check failed, so there may be unprocessed bytes
             self._is_closing = True
             shut_down(sock, socket.SHUT_WR)
         self._requests.put(False)
         return True
 
-    def _has_unseen_bytes(self, sock: socket.socket) -> bool:
-        """Return whether the peer sent what the core has not seen.
+    def _has_unprocessed_bytes(self, sock: socket.socket) -> bool:
+        """Return whether the peer sent bytes that were not handed to the core yet.
 
-        What the system received is one count and what the core has seen another, so that no thread which is
-        late between the two can hide a request. For a system that does not count, its buffer is looked into,
-        and then what the reader has taken out of it.
+        Compares the kernel's count of received bytes with the count of bytes handed to the core, so that a
+        delay in a thread between the two cannot hide a request. On a system without that count, checks the
+        kernel's receive buffer first and then the bytes that the reader thread has read.
 
         Raises:
-            OSError: the look failed.
+            OSError: the check failed.
         """
-        if received_bytes(sock) > self._bytes_taken:
+        if received_bytes(sock) > self._bytes_processed:
             return True
-        with suppress(BlockingIOError):  # nothing waits
+        with suppress(BlockingIOError):  # the receive buffer is empty
             if sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        return self.reader.bytes_read != self._bytes_taken
+        return self.reader.bytes_read != self._bytes_processed
 
     def drop(self) -> None:
-        """Close immediately, and lose what is on its way."""
+        """Close the connection immediately; data in transit is lost."""
         with self._lock:
             self._is_dropped = True
             self._is_closing = True
@@ -206,7 +214,7 @@
                 shut_down(self.sock, socket.SHUT_RDWR)
         self._requests.put(False)
 
-    # ---- The reader thread, which also owns the end of the socket
+    # ---- Called by the reader thread, which also closes the socket
 
     def _run(self) -> None:
         end = ReadEnd()
@@ -217,12 +225,12 @@
                 self._inputs.put(ConnectionRefused(self.number, error.strerror or str(error)))
             else:
                 self._inputs.put(ConnectionEnded(self.number, None))
-            self._await_close_order()
+            self._await_close_request()
         else:
-            end = self._read_to_end(sock)
-            if not end.close_ordered:
+            end = self._read_until_end(sock)
+            if not end.close_requested:
                 self._inputs.put(ConnectionEnded(self.number, end.fault))
-                self._await_close_order()
+                self._await_close_request()
             if end.peer_may_send and not self._is_dropped:
                 with self._buffers.borrow() as buffer:
                     discard_to_end(sock, buffer, self._limits, self._is_writing)
@@ -231,16 +239,18 @@
     def _is_writing(self) -> bool:
         return self._writes.thread is not None
 
-    def _await_close_order(self) -> None:
+    def _await_close_request(self) -> None:
         while self._requests.get():
             pass
 
     def _establish(self) -> socket.socket:
-        """Connect unless the connection was accepted, and write what waited for it."""
+        """Connect, unless the connection was accepted, and write the data that was sent before."""
         sock = self.sock or self._connect()
         if self._write_deadline is not None and boot_clock() > self._write_deadline:
-            # Guards against a call that outlives the lease that it was made under.
-            raise ConnectionAbortedError(errno.ECONNABORTED, "too late for its grant")
+            # A call must not reach the store after the lease that permits it has expired.
+            raise ConnectionAbortedError(
+                errno.ECONNABORTED, "write deadline passed before the connection was established"
+            )
         with self._lock:
             if not self.is_open:
                 self._set_open(sock)
@@ -252,20 +262,21 @@
 
     def _connect(self) -> socket.socket:
         if self._address is None:
-            raise OSError(errno.EDESTADDRREQ, "neither a socket nor an address was given")
+            raise OSError(errno.EDESTADDRREQ, "expected a socket or an address, got neither")
         timeout_s = self._limits.connect_timeout_us / MICROSECONDS_PER_SECOND
         sock = self.sock = socket.create_connection(self._address, timeout_s)
         sock.settimeout(None)
         if self._is_dropped:
-            raise ConnectionAbortedError(errno.ECONNABORTED, "given up")
+            raise ConnectionAbortedError(errno.ECONNABORTED, "connection dropped while connecting")
         if sock.getsockname() == sock.getpeername():
-            # Guards against a connection to itself, where nobody listens on a port given by chance.
-            raise ConnectionRefusedError(errno.ECONNREFUSED, "connected to itself")
+            # TCP simultaneous open: a socket connects to itself if nothing listens on the destination port
+            # and the kernel assigns that port to the socket as its local port.
+            raise ConnectionRefusedError(errno.ECONNREFUSED, "socket connected to itself")
         return sock
 
     def _set_open(self, sock: socket.socket) -> None:
-        """Send small writes without delay, and end a write that makes no progress."""
-        # An option that can't be set for a moment costs speed, and the connection is served without it.
+        """Mark the connection as open; disable Nagle's algorithm and set the send timeout."""
+        # If an option cannot be set, for example for lack of memory, the connection works without it.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(OSError):
@@ -273,28 +284,31 @@
         self.is_open = True
 
     def _half_close_if_closing(self, sock: socket.socket) -> None:
-        """End the writing direction; the lock is held, and nothing is pending."""
+        """Shut down the write direction if the connection is closing.
+
+        Called with the lock held, when no data is pending.
+        """
         if self._is_closing:
             shut_down(sock, socket.SHUT_WR)
 
-    def _read_to_end(self, sock: socket.socket) -> ReadEnd:
-        """Deliver batches until the peer closes, sends what cannot be read, or the close is ordered."""
+    def _read_until_end(self, sock: socket.socket) -> ReadEnd:
+        """Deliver batches until the peer closes, the peer sends invalid bytes, or a close is requested."""
         try:
             with self.reader as reader:
                 while self._requests.get():
                     frames, fault, empty_at, was_waiting = reader.read_batch(sock)
                     if frames:
-                        # What was complete before a fault is delivered first.
+                        # Frames that precede a fault are delivered before the fault is reported.
                         received = FramesReceived(self.number, frames, boot_clock(), empty_at, was_waiting)
                         self._inputs.put(received)
                     if fault:
                         return ReadEnd(fault=fault)
-                return ReadEnd(close_ordered=True)
+                return ReadEnd(close_requested=True)
         except (EOFError, OSError):
             return ReadEnd()
 
     def _finish(self, end: ReadEnd) -> None:
-        """Close the socket once the writer has ended, and report it."""
+        """Close the socket once the writer thread has ended, and report that it is closed."""
         with self._lock:
             self.is_open = False
             writer = self._writes.thread
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -123,13 +123,13 @@
     received = inputs.get()
     assert isinstance(received, FramesReceived)
     assert not connection.close_if_idle()
-    connection.count_taken(received.frames)
+    connection.count_processed(received.frames)
     connection.request_batch()
     peer.sendall(HEALTH_CHECK[:7])
     wait_until(lambda: connection.reader.bytes_read == len(HEALTH_CHECK) + 7 and not unread_bytes(connection))
     assert not connection.close_if_idle()  # half a message
     peer.sendall(HEALTH_CHECK[7:])
-    connection.count_taken(inputs.get().frames)
+    connection.count_processed(inputs.get().frames)
     sent = random.Random(1).randbytes(30_000_000)
     connection.send(sent)
     # An answer that is not written.
@@ -173,7 +173,7 @@
     assert connection.sock.has_read.wait(10)
     assert not connection.close_if_idle()
     connection.sock.goes_on.set()
-    connection.count_taken(inputs.get().frames)
+    connection.count_processed(inputs.get().frames)
     assert connection.close_if_idle()
 
 
