--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -1,7 +1,7 @@
-"""Reading the frames of one connection into a buffer of the pool.
+"""Reads the frames of one connection into a buffer from the pool.
 
-Owns the buffer while it has bytes, and where the next frame begins. It must never decode a message or take a
-lock.
+A `FrameReader` owns its buffer while the buffer holds bytes, and the position at which the next frame begins.
+It must never decode a message or take a lock.
 """
 
 import errno
@@ -17,7 +17,7 @@
 from finchcart.net.clock import boot_clock
 from finchcart.net.transient_errors import MAX_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 
-MIN_WAIT_US = 2_000  # of a read that found nothing there at first
+MIN_WAIT_US = 2_000  # a read that took longer than this waited for its first byte to arrive
 
 
 class FrameBatch(NamedTuple):
@@ -25,14 +25,14 @@
 
     frames: list[bytes]
     fault: ProtocolError | None
-    empty_at: int  # the connection was read empty then, on the boot clock in microseconds
-    was_waiting: bool  # for the first byte: it came while the reader waited
+    empty_at: int  # when the receive buffer was last empty before these bytes, boot clock in microseconds
+    was_waiting: bool  # the reader was blocked when the first byte arrived
 
 
 class FrameReader:
-    """Reads frames from a blocking socket; as a context manager it gives its buffer back at the end.
+    """Reads frames from a blocking socket; as a context manager, it releases its buffer on exit.
 
-    All methods are called by the reader thread; `bytes_read` is read by others as well.
+    Only the reader thread calls the methods; other threads may read `bytes_read`.
     """
 
     def __init__(
@@ -42,20 +42,20 @@
         buffers: Buffers,
         max_frames: int,
     ) -> None:
-        self.bytes_read = 0  # of the connection, so far
+        self.bytes_read = 0  # since the connection was opened
         self._number = number
         self._find_frame_end = find_frame_end
         self._buffers = buffers
         self._max_frames = max_frames
         self._max_size = buffers.size
         self._buffer: bytearray | None = None
-        self._filled = 0  # bytes of the buffer that are read
-        self._data = b""  # a copy of them
-        self._start = 0  # where in `_data` the first byte is that belongs to no frame yet
+        self._filled = 0  # how many bytes of the buffer hold received data
+        self._data = b""  # a copy of the received data in the buffer
+        self._start = 0  # offset in `_data` of the first byte that was not split into a frame yet
         self._first_byte = bytearray(1)
-        self._emptied_at = boot_clock()  # before the last read that took all there was
-        self._empty_at = self._emptied_at  # the same, of the read before the one that brought what is split
-        self._was_waiting = False
+        self._emptied_at = boot_clock()  # start of the last read that emptied the receive buffer
+        self._empty_at = self._emptied_at  # `_emptied_at` before the read that brought the current bytes
+        self._was_waiting = False  # the read that brought the current bytes waited for them
 
     def __enter__(self) -> Self:
         return self
@@ -64,25 +64,29 @@
         self._release_buffer()
 
     def read_batch(self, sock: socket.socket) -> FrameBatch:
-        """Wait for at least one frame, or for bytes that are none.
+        """Wait for at least one complete frame, or for bytes that cannot be part of a frame.
 
         Raises:
-            EOFError: the peer closed.
+            EOFError: the peer closed the connection.
             OSError: the connection broke.
         """
         while True:
-            frames, fault = self._split()
+            frames, fault = self._split_frames()
             if frames or fault:
                 return FrameBatch(frames, fault, self._empty_at, self._was_waiting)
-            asked_at = boot_clock()
+            read_started_at = boot_clock()
             buffer = self._make_room(sock)
             if self._filled == self._max_size:
-                error = ProtocolError(f"a message of over {self._filled} bytes")
+                error = ProtocolError(f"expected messages of at most {self._filled} bytes, got a longer one")
                 return FrameBatch([], error, self._empty_at, self._was_waiting)
-            self._receive(sock, buffer, asked_at)
+            self._receive(sock, buffer, read_started_at)
 
-    def _split(self) -> tuple[list[bytes], ProtocolError | None]:
-        """Split frames off the bytes that are read; return them, and the error in what follows, or None."""
+    def _split_frames(self) -> tuple[list[bytes], ProtocolError | None]:
+        """Split the received data into complete frames.
+
+        Returns:
+            The frames, and the error in the bytes that follow them, or None.
+        """
         frames: list[bytes] = []
         fault: ProtocolError | None = None
         data = self._data
@@ -97,14 +101,14 @@
         except ProtocolError as error:
             fault = error
         except Exception as error:
-            # Guards the node against a defect of a codec: only this connection is closed.
-            logger.exception("reading connection {}", self._number)
+            # A defect in a codec closes only this connection and does not end the node.
+            logger.exception("connection {}: codec failed to find the end of a frame", self._number)
             fault = ProtocolError(str(error))
         self._start = start
         return frames, fault
 
     def _make_room(self, sock: socket.socket) -> bytearray:
-        """Return a buffer with the bytes of an incomplete frame at its beginning."""
+        """Return the buffer, with the bytes of an incomplete frame moved to its beginning."""
         is_empty = self._start == len(self._data)
         if is_empty:
             self._data = b""
@@ -121,25 +125,28 @@
         return buffer
 
     def _wait_without_buffer(self, sock: socket.socket) -> bytearray:
-        """Wait for the first byte, which is only peeked at: one of many idle connections has no buffer."""
+        """Release the buffer, wait for data, and acquire a buffer again.
+
+        The first byte is only peeked at. So idle connections use no buffer memory.
+        """
         self._release_buffer()
         if not self._read(sock, self._first_byte, socket.MSG_PEEK):
             raise EOFError
         buffer = self._buffer = self._buffers.acquire()
         return buffer
 
-    def _receive(self, sock: socket.socket, buffer: bytearray, asked_at: int) -> None:
+    def _receive(self, sock: socket.socket, buffer: bytearray, read_started_at: int) -> None:
         with memoryview(buffer) as view:
             count = self._read(sock, view[self._filled :], 0)
             if not count:
                 raise EOFError
             self.bytes_read += count
-            self._note_arrival(asked_at, took_all=count < self._max_size - self._filled)
+            self._record_arrival(read_started_at, emptied=count < self._max_size - self._filled)
             self._filled += count
             self._data = bytes(view[: self._filled])
 
     def _read(self, sock: socket.socket, target: memoryview | bytearray, flags: int) -> int:
-        """Read, and retry where the system has no memory for a moment: nothing of the connection is lost."""
+        """Receive into `target`; retry while the system is short of memory, as no data is lost by that."""
         for _ in range(MAX_SHORTAGES):
             try:
                 return sock.recv_into(target, 0, flags)
@@ -147,16 +154,23 @@
                 if not is_transient(error):
                     raise
             sleep(SHORTAGE_PAUSE_S)
-        raise ConnectionAbortedError(errno.ECONNABORTED, "no memory to read it")
+        raise ConnectionAbortedError(errno.ECONNABORTED, "system is short of memory for reading")
+
+    def _record_arrival(self, read_started_at: int, emptied: bool) -> None:
+        """Record when the received bytes can have arrived, for `FrameBatch`.
 
-    def _note_arrival(self, asked_at: int, took_all: bool) -> None:
-        """Record the bounds on the age of the bytes that were read: see `FrameBatch`."""
-        is_continued = self._start < len(self._data)  # a frame began with bytes that came before
+        Arguments:
+            read_started_at: when the read started.
+            emptied: whether the read took everything from the socket's receive buffer.
+        """
+        is_continued = self._start < len(
+            self._data
+        )  # the bytes continue a frame that began in an earlier read
         if not is_continued:
             self._empty_at = self._emptied_at
-            self._was_waiting = boot_clock() - asked_at > MIN_WAIT_US
-        if took_all:
-            self._emptied_at = asked_at
+            self._was_waiting = boot_clock() - read_started_at > MIN_WAIT_US
+        if emptied:
+            self._emptied_at = read_started_at
 
     def _release_buffer(self) -> None:
         if self._buffer is not None:
--- a/finchcart/net/writer.py
+++ b/finchcart/net/writer.py
@@ -1,7 +1,7 @@
-"""The pending writes of one connection, and the thread that writes them while the peer is behind.
+"""The pending writes of one connection, and the thread that writes them while the peer reads slowly.
 
-Owns that thread. It must never shut a connection down before all that is pending is written, unless the
-connection broke.
+`PendingWrites` owns the writer thread. It must never shut a connection down before all pending data is
+written, unless the connection broke.
 """
 
 import socket
@@ -16,10 +16,15 @@
 
 
 class PendingWrites:
-    """The bytes that the system has not accepted yet. Its fields are read and set with `lock` held.
+    """The bytes that the kernel has not accepted yet. Its fields are accessed only with `lock` held.
 
-    `on_drained(sock)` is called, with the lock held, once all is written. The lock is the connection's own.
-    Where no thread can be started, `thread_starter` does it later; None: the connection breaks.
+    Arguments:
+        number: the number of the connection.
+        inputs: where the end of a blocked write is reported.
+        lock: the lock of the connection.
+        on_drained: called with the socket, and with `lock` held, once all pending data is written.
+        thread_starter: starts the writer thread later if the system has no thread left. If None, the
+            connection is broken in that case.
     """
 
     def __init__(
@@ -39,7 +44,7 @@
         self._on_drained = on_drained
 
     def start(self, sock: socket.socket) -> None:
-        """See to a thread that writes what is pending. Called with the lock held."""
+        """Start the writer thread unless there is one. Called with the lock held."""
         if self.thread:
             return
         name = f"write {self._number}"
@@ -47,7 +52,7 @@
             self.thread = start_thread(lambda: self._run(sock), name)
         except OSError:
             if self._thread_starter:
-                # Guards against answers that are lost where threads run out for a moment.
+                # A temporary shortage of threads must not lose answers.
                 self.thread = DeferredThread(
                     lambda: self._run(sock), name, lambda: self._abandon_deferred(sock)
                 )
@@ -63,7 +68,7 @@
     def _abandon(self, sock: socket.socket) -> None:
         shut_down(sock, socket.SHUT_RDWR)
         self.parts = []
-        self._inputs.put(WriteResumed(self._number))  # or its close would wait for a write without end
+        self._inputs.put(WriteResumed(self._number))  # otherwise the close would wait for the write forever
 
     def _run(self, sock: socket.socket) -> None:
         while True:
@@ -78,10 +83,14 @@
             try:
                 self._send_all(sock, data)
             except OSError:
-                shut_down(sock, socket.SHUT_RDWR)  # broken, or no progress
+                shut_down(sock, socket.SHUT_RDWR)  # the connection broke, or the write made no progress
 
     def _send_all(self, sock: socket.socket, data: bytes) -> None:
-        """Write all of it. Raise OSError where the connection is broken or makes no progress."""
+        """Write all data.
+
+        Raises:
+            OSError: the connection is broken, or the write made no progress before the send timeout.
+        """
         rest = memoryview(data)
         failures = 0
         while rest:
@@ -89,7 +98,7 @@
                 rest = rest[sock.send(rest) :]
                 failures = 0
             except BlockingIOError:
-                raise  # the time for a write is over
+                raise  # the send timeout (SO_SNDTIMEO) expired
             except OSError as error:
                 failures += 1
                 if not is_transient(error) or failures > MAX_SHORTAGES:
