--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -1,6 +1,7 @@
 """The listening socket, and the limit on accepted connections.
 
-Owns the listening socket and the numbers of accepted connections. It must never read from one.
+A `Listener` owns its socket and assigns the numbers of accepted connections. It must never read from an
+accepted connection.
 """
 
 import socket
@@ -16,25 +17,26 @@
 from finchcart.net.sockets import MICROSECONDS_PER_SECOND, ignore_new_connections, shut_down
 from finchcart.net.transient_errors import CONNECTION_ERRORS
 
-FIRST_PAUSE_US = 1_000  # after a failure of accept; it doubles
-MAX_DOUBLINGS = 10
-MAX_CONSECUTIVE_FAILURES = 32  # of accept, that are retried immediately
+INITIAL_BACKOFF_US = 1_000
+MAX_BACKOFF_DOUBLINGS = 10
+MAX_CONSECUTIVE_FAILURES = 32  # failures of accept(2) that are retried without a backoff
 
-# Called with a number, the socket, the peer's host, and what to call once its descriptor is free. May raise
-# OSError where the connection cannot be served yet: then it is called again after a pause.
+# Called with the connection's number, its socket, the peer's host, and the function to call once its
+# descriptor is free. It may raise OSError if the connection cannot be served yet: it is then called again
+# after a backoff.
 OnAccepted = Callable[[int, socket.socket, str | None, Callable[[], None]], None]
 
 
 class Listener:
-    """Accepts dispatchers' connections and numbers them from 1 up.
+    """Accepts dispatchers' connections and numbers them in ascending order from 1.
 
-    Bounded by `limits.max_accepted`: others wait in the system's backlog until one closes, so that
-    descriptors remain for the node's own connections and files.
+    At most `limits.max_accepted` connections are open at once, so that descriptors remain for the node's own
+    connections and files. Further connections wait in the kernel's backlog until one closes.
     """
 
     def __init__(self, address: tuple[str, int], limits: Limits) -> None:
         self.capacity = threading.Semaphore(limits.max_accepted)
-        self.on_accepted: OnAccepted  # to be set before `accept` or `stop`
+        self.on_accepted: OnAccepted  # must be set before `accept` or `stop` is called
         self._limits = limits
         self._numbers = count(1)
         self._is_stopped = False
@@ -52,9 +54,9 @@
         return sock
 
     def accept(self) -> None:
-        """Hand each connection to `on_accepted` until `stop` is called; the body of a thread."""
-        warned_of: int | None = None
-        failures = 0  # one after the other
+        """Pass each connection to `on_accepted` until `stop` is called; runs in a thread of its own."""
+        last_logged_errno: int | None = None
+        failures = 0  # consecutive
         while not self._is_stopped:
             self.capacity.acquire()
             try:
@@ -64,21 +66,21 @@
                 if self._is_stopped:
                     return
                 failures += 1
-                if error.errno != warned_of:
-                    logger.warning("accept: {}", error.strerror)
-                warned_of = error.errno
-                # Guards against a busy loop where descriptors or memory run out: the backlog is accepted
-                # later. An error of one connection delays the others only where it goes on.
+                if error.errno != last_logged_errno:
+                    logger.warning("accept failed: {}; retrying", error.strerror)
+                last_logged_errno = error.errno
+                # Without the backoff, a shortage of descriptors or memory would cause a busy loop. An error
+                # of a single connection delays the others only after many failures in a row.
                 if error.errno not in CONNECTION_ERRORS or failures > MAX_CONSECUTIVE_FAILURES:
-                    self._pause(failures)
+                    self._back_off(failures)
                 continue
-            warned_of = None
+            last_logged_errno = None
             failures = 0
 
-    def _pause(self, failures: int) -> None:
-        """Back off: the pause doubles with each consecutive failure, up to `limits.accept_retry_delay_us`."""
-        pause_us = FIRST_PAUSE_US << min(failures - 1, MAX_DOUBLINGS)
-        sleep(min(pause_us, self._limits.accept_retry_delay_us) / MICROSECONDS_PER_SECOND)
+    def _back_off(self, failures: int) -> None:
+        """Sleep; the delay doubles with each consecutive failure, up to `limits.accept_retry_delay_us`."""
+        delay_us = INITIAL_BACKOFF_US << min(failures - 1, MAX_BACKOFF_DOUBLINGS)
+        sleep(min(delay_us, self._limits.accept_retry_delay_us) / MICROSECONDS_PER_SECOND)
 
     def _accept_one(self) -> None:
         sock, address = self.sock.accept()
@@ -90,22 +92,24 @@
                 self.on_accepted(number, sock, host, self.capacity.release)
                 return
             except OSError as error:
-                # Guards against a request that is lost with its connection: it waits until it can be served.
+                # Closing the connection would lose its request, so the connection waits until it can be
+                # served.
                 if self._is_stopped:
                     sock.close()
                     raise
-                logger.warning("connection {}: {}; trying again", number, error.strerror)
+                logger.warning("connection {} cannot be served yet: {}; retrying", number, error.strerror)
                 failures += 1
-                self._pause(failures)
+                self._back_off(failures)
 
     def stop(self) -> None:
-        """Stop listening, after the backlog is accepted: a reset would lose requests.
+        """Accept the backlog and stop listening.
 
-        No connection is made from the first look at the backlog on; a peer that tries is refused at its next
-        attempt.
+        Closing the socket would reset the connections in the backlog and lose their requests. New connection
+        requests (SYN) are ignored while the backlog is accepted; a peer is refused when it retransmits its
+        SYN.
         """
         self._is_stopped = True
-        with suppress(OSError):  # without it, one that is made before the listener closes may be reset
+        with suppress(OSError):  # without the filter, a connection that is made meanwhile may be reset
             ignore_new_connections(self.sock)
         self.sock.setblocking(False)
         failures = 0
@@ -119,5 +123,5 @@
             except OSError as error:
                 self.capacity.release()
                 failures += 1
-                logger.warning("accept, at the end of listening: {}", error.strerror)
+                logger.warning("accept failed while accepting the backlog at shutdown: {}", error.strerror)
         shut_down(self.sock, socket.SHUT_RDWR)
--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -389,7 +389,7 @@
     status, log = testbed.terminate()
     assert status == 0, (spent, log)
     assert "Traceback" not in log, (spent, log)
-    assert "accept:" not in log, (spent, log)
+    assert "accept failed:" not in log, (spent, log)
     assert spent < 0.7, (spent, log)
 
 
@@ -440,4 +440,4 @@
     status, log = testbed.terminate()
     assert status == 0
     assert "Traceback" not in log
-    assert "accept:" not in log
+    assert "accept failed:" not in log
