--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -18,11 +18,11 @@
 )
 from finchcart.errors import ConfigError
 
-Meaning = TypeVar("Meaning", bound=Enum)
+Member = TypeVar("Member", bound=Enum)
 
 MAX_TIME_US = 10**12
 EMPTY_LIST = ""  # what the simulator sends for it
-MAX_QUOTED = 60  # characters of a value that an error quotes
+MAX_QUOTED_LENGTH = 60  # characters of a value that an error quotes
 
 METHOD_KINDS = {
     "read_like": MethodKind.IDEMPOTENT,
@@ -83,9 +83,9 @@
     return Expectation(holds, f"{expectation.text}, for each")
 
 
-def _meaning(words: Mapping[str, Meaning], otherwise: Meaning) -> Callable[[str], Meaning]:
-    """Return what a word means: `otherwise` for one that is not known, as pairs are not checked."""
-    return lambda word: words.get(word, otherwise)
+def _enum_parser(words: Mapping[str, Member], default: Member) -> Callable[[str], Member]:
+    """Return what a word means: `default` for one that is not known, as pairs are not checked."""
+    return lambda word: words.get(word, default)
 
 
 def _as_tuple(value: object) -> tuple[object, ...]:
@@ -98,9 +98,9 @@
 TIME = number(0, MAX_TIME_US)
 UNUSED = Setting(ANYTHING, None)
 
-METHOD_KIND = _meaning(METHOD_KINDS, MethodKind.NON_IDEMPOTENT)
-FEEDBACK = _meaning(FEEDBACKS, Feedback.SILENT)
-DEPENDENCY = _meaning(DEPENDENCIES, Dependency.SILENT)
+METHOD_KIND = _enum_parser(METHOD_KINDS, MethodKind.NON_IDEMPOTENT)
+FEEDBACK = _enum_parser(FEEDBACKS, Feedback.SILENT)
+DEPENDENCY = _enum_parser(DEPENDENCIES, Dependency.SILENT)
 
 # Settings of the node by their external names; others are not read.
 NODE_SETTINGS = {
@@ -137,8 +137,8 @@
     "familyInfo.worthWithout": Setting(_each(number(0, 1)), "degraded_value"),
 }
 # Settings of one method, of an item of the list `services`.
-METHODS = "services"
-METHOD_COUNT = f"{METHODS}.count"
+METHODS_KEY = "services"
+METHOD_COUNT = f"{METHODS_KEY}.count"
 METHOD_SETTINGS = {
     "name": Setting(TEXT, "name"),
     "deadline": Setting(TIME, "deadline_us"),
@@ -179,7 +179,7 @@
 
 def from_pairs(raw: Mapping[str, str]) -> NodeSettings:
     """Return the settings of the simulator's pairs of path and text, which are not checked."""
-    pairs = ((path, text if path.endswith(".name") else _value(text)) for path, text in raw.items())
+    pairs = ((path, text if path.endswith(".name") else _parse_value(text)) for path, text in raw.items())
     return _overrides(pairs).apply_to(NodeSettings())
 
 
@@ -190,7 +190,7 @@
 
 def overrides_from_json(tree: Mapping[str, object]) -> SettingsOverrides:
     """Return what a configuration's nested object sets; a null sets nothing. Raise as `check` does."""
-    pairs = [(path, value) for path, value in _flat("", tree) if value is not None]
+    pairs = [(path, value) for path, value in _flatten("", tree) if value is not None]
     for path, value in pairs:
         check(path, value, _expectation(path))
     return _overrides(pairs)
@@ -200,10 +200,10 @@
     """Raise ConfigError with the field, its value and what is expected, where the value can't be."""
     holds, text = expectation
     if not holds(value):
-        raise ConfigError(f"{path}: {value!r:.{MAX_QUOTED}}: expected {text}")
+        raise ConfigError(f"{path}: {value!r:.{MAX_QUOTED_LENGTH}}: expected {text}")
 
 
-def whole_number(text: str) -> int:
+def parse_whole_number(text: str) -> int:
     """Return the whole number of a text. Raise ValueError for any other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
@@ -213,7 +213,7 @@
 def _split_method_path(path: str) -> tuple[str, str] | None:
     """Return position and item of a setting of one method; None: it is of the node, or of all methods."""
     group, _, rest = path.partition(".")
-    if group != METHODS:
+    if group != METHODS_KEY:
         return None
     position, _, item = rest.partition(".")
     return position, item
@@ -242,47 +242,47 @@
             node["can_pause"] = value == PAUSING_WORD
         elif path in PER_METHOD_SETTINGS:
             if value != EMPTY_LIST:
-                _put(per_method, PER_METHOD_SETTINGS[path], value)
+                _set_field(per_method, PER_METHOD_SETTINGS[path], value)
         elif method_path:
             position, item = method_path
-            _put(methods.setdefault(position, {}), METHOD_SETTINGS.get(item, UNUSED), value)
+            _set_field(methods.setdefault(position, {}), METHOD_SETTINGS.get(item, UNUSED), value)
         else:
-            _put(node, NODE_SETTINGS.get(path, UNUSED), value)
+            _set_field(node, NODE_SETTINGS.get(path, UNUSED), value)
     return SettingsOverrides(node, methods, method_count, per_method)
 
 
-def _put(fields: dict[str, Any], setting: Setting, value: object) -> None:
+def _set_field(fields: dict[str, Any], setting: Setting, value: object) -> None:
     if setting.field is not None:
         fields[setting.field] = setting.convert(value) if setting.convert else value
 
 
-def _flat(path: str, value: object) -> Iterator[tuple[str, object]]:
+def _flatten(path: str, value: object) -> Iterator[tuple[str, object]]:
     if isinstance(value, dict):
         for name, part in value.items():
-            yield from _flat(f"{path}.{name}" if path else name, part)
+            yield from _flatten(f"{path}.{name}" if path else name, part)
     elif isinstance(value, list) and value and all(isinstance(part, dict) for part in value):
         yield f"{path}.count", len(value)
         for position, part in enumerate(value):
-            yield from _flat(f"{path}.{position}", part)
+            yield from _flatten(f"{path}.{position}", part)
     elif isinstance(value, list):
-        yield path, _as_in_pairs(value)
+        yield path, _as_pair_value(value)
     else:
         yield path, value
 
 
-def _as_in_pairs(values: list[object]) -> object:
+def _as_pair_value(values: list[object]) -> object:
     """Return a plain list as the simulator's pairs give it: one of a single value is that value."""
     if not values:
         return EMPTY_LIST
     return values[0] if len(values) == 1 else tuple(values)
 
 
-def _value(text: str) -> object:
+def _parse_value(text: str) -> object:
     if "," in text:
-        return tuple(_value(part) for part in text.split(","))
+        return tuple(_parse_value(part) for part in text.split(","))
     if text in ("true", "false"):
         return text == "true"
-    for read in (whole_number, float):
+    for read in (parse_whole_number, float):
         try:
             return read(text)
         except ValueError:
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -11,7 +11,7 @@
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.settings import whole_number
+from finchcart.settings import parse_whole_number
 from finchcart.simulator.events import (
     BatchEnded,
     BatchStarted,
@@ -37,14 +37,14 @@
     444: Outcome.STOPPED,
     409: Outcome.NOT_STARTED,
 }
-FLAGS = {"1": True, "0": False, "true": True, "false": False}
-NO_ID = "0"
+FLAG_VALUES = {"1": True, "0": False, "true": True, "false": False}
+ABSENT_ID = "0"
 HEX_DIGITS = frozenset("0123456789abcdef")
 ID_LENGTH = 16
 TIMER_NAME = "sweep"  # of an instance's one timer
-MAX_QUOTED = 40  # characters of a line that an error quotes
-MAX_FAULT_LENGTH = 120  # characters of a fault that are reported
-LEVEL_DIGITS = 4  # of a shed level, after the point
+MAX_QUOTED_LENGTH = 40  # characters of a line that an error quotes
+MAX_ERROR_LENGTH = 120  # characters of an error that are reported
+FEEDBACK_DECIMALS = 4  # of a shed level, after the point
 
 
 class WireError(ProtocolError):
@@ -64,12 +64,12 @@
 class Field(NamedTuple):
     """A field of a message."""
 
-    word: str  # in the protocol
+    key: str
     type: FieldType
-    name: str | None  # of the event's field; None: it is checked and not used
+    event_field: str | None
 
 
-class EventFormat(NamedTuple):
+class MessageFormat(NamedTuple):
     """How a message is read into an event. An optional field that is absent or empty keeps its default."""
 
     event: Callable[..., Event]
@@ -84,7 +84,7 @@
 
 
 def _read_optional_id(text: str) -> str | None:
-    return None if text == NO_ID else _read_id(text)
+    return None if text == ABSENT_ID else _read_id(text)
 
 
 def _read_gauges(text: str) -> Gauges:
@@ -96,10 +96,10 @@
     return OUTCOMES[int(text)]
 
 
-WHOLE_NUMBER = FieldType(whole_number, "a whole number")
+WHOLE_NUMBER = FieldType(parse_whole_number, "a whole number")
 NUMBER = FieldType(float, "a number")
 TEXT = FieldType(str, "text")
-FLAG = FieldType(FLAGS.__getitem__, "1 or 0")
+FLAG = FieldType(FLAG_VALUES.__getitem__, "1 or 0")
 ID = FieldType(_read_id, "16 hex digits")
 OPTIONAL_ID = FieldType(_read_optional_id, "16 hex digits or 0")
 OUTCOME = FieldType(_read_outcome, "a known outcome code")
@@ -107,13 +107,13 @@
 
 INSTANCE = Field("who", WHOLE_NUMBER, "instance")
 RPC = Field("call", ID, "rpc")
-ENDED = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
-SPENT = Field("spent", WHOLE_NUMBER, "spent")
+OUTCOME_FIELDS = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
+DURATION = Field("spent", WHOLE_NUMBER, "spent")
 
-EVENTS = {
-    "CREATE": EventFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
-    "KILL": EventFormat(InstanceKilled, (INSTANCE,)),
-    "KNOCK": EventFormat(
+MESSAGE_FORMATS = {
+    "CREATE": MessageFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
+    "KILL": MessageFormat(InstanceKilled, (INSTANCE,)),
+    "KNOCK": MessageFormat(
         RpcArrived,
         (INSTANCE, RPC, Field("profile", TEXT, "method"), Field("footprint", NUMBER, "memory_kb")),
         (
@@ -127,18 +127,18 @@
             Field("backlogTime", WHOLE_NUMBER, "waited"),
         ),
     ),
-    "WOUND_UP": EventFormat(RunEnded, ENDED, (SPENT,)),
-    "LEFT": EventFormat(CallerGone, (INSTANCE, RPC)),
-    "WANTS_CALL": EventFormat(CallAwaited, (INSTANCE, RPC)),
-    "DOWNSTREAM": EventFormat(CallEnded, ENDED, (SPENT,)),
-    "DRAIN": EventFormat(DrainNotice, (INSTANCE, Field("expires", WHOLE_NUMBER, "kill_at"))),
-    "WAKE": EventFormat(
+    "WOUND_UP": MessageFormat(RunEnded, OUTCOME_FIELDS, (DURATION,)),
+    "LEFT": MessageFormat(CallerGone, (INSTANCE, RPC)),
+    "WANTS_CALL": MessageFormat(CallAwaited, (INSTANCE, RPC)),
+    "DOWNSTREAM": MessageFormat(CallEnded, OUTCOME_FIELDS, (DURATION,)),
+    "DRAIN": MessageFormat(DrainNotice, (INSTANCE, Field("expires", WHOLE_NUMBER, "kill_at"))),
+    "WAKE": MessageFormat(
         TimerFired, (INSTANCE, Field("name", TEXT, None)), (Field("feedback", GAUGES, "gauges"),)
     ),
-    "TICK": EventFormat(BatchStarted, (Field("wall", WHOLE_NUMBER, "now"),)),
-    "END": EventFormat(BatchEnded, ()),
+    "TICK": MessageFormat(BatchStarted, (Field("wall", WHOLE_NUMBER, "now"),)),
+    "END": MessageFormat(BatchEnded, ()),
 }
-NAMES = {event_format.event: message for message, event_format in EVENTS.items()}
+MESSAGE_NAMES = {message_format.event: message for message, message_format in MESSAGE_FORMATS.items()}
 
 
 def parse(line: str) -> Event:
@@ -147,17 +147,19 @@
     Raise WireError for a line that can't be read.
     """
     message, *parts = line.split("\t")
-    if message not in EVENTS:
-        raise WireError(f"message {message[:MAX_QUOTED]!r}: expected one of {', '.join(EVENTS)}")
-    event, required, optional = EVENTS[message]
+    if message not in MESSAGE_FORMATS:
+        raise WireError(
+            f"message {message[:MAX_QUOTED_LENGTH]!r}: expected one of {', '.join(MESSAGE_FORMATS)}"
+        )
+    event, required, optional = MESSAGE_FORMATS[message]
     raw = _split_parts(message, parts)
     fields: dict[str, object] = {}
     for field in required:
-        if field.word not in raw:
-            raise WireError(f"{message}: field {field.word} is missing, expected {field.type.expected}")
+        if field.key not in raw:
+            raise WireError(f"{message}: field {field.key} is missing, expected {field.type.expected}")
         _read_field(message, field, raw, fields)
     for field in optional:
-        if raw.get(field.word, "") != "":
+        if raw.get(field.key, "") != "":
             _read_field(message, field, raw, fields)
     if event is InstanceStarted:
         fields["settings"] = raw
@@ -169,21 +171,21 @@
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator:
-            raise WireError(f"{message}: part {part[:MAX_QUOTED]!r}: expected name=value")
+            raise WireError(f"{message}: part {part[:MAX_QUOTED_LENGTH]!r}: expected name=value")
         raw[name] = value
     return raw
 
 
 def _read_field(message: str, field: Field, raw: dict[str, str], fields: dict[str, object]) -> None:
-    word, field_type, name = field
-    text = raw[word]
+    key, field_type, event_field = field
+    text = raw[key]
     try:
         value = field_type.read(text)
     except (ValueError, KeyError):
-        found = f"{word}={text[:MAX_QUOTED]!r}"
+        found = f"{key}={text[:MAX_QUOTED_LENGTH]!r}"
         raise WireError(f"{message}: field {found}: expected {field_type.expected}") from None
-    if name is not None:
-        fields[name] = value
+    if event_field is not None:
+        fields[event_field] = value
 
 
 # ---- Errors of the order in which messages come
@@ -192,12 +194,14 @@
 def out_of_order(event: Event, batch_is_open: bool) -> WireError:
     """Return the error of a message that can't come here: a batch has begun, or has not."""
     expected = "an event or END" if batch_is_open else "TICK"
-    return WireError(f"{NAMES[type(event)]}: expected {expected} here")
+    return WireError(f"{MESSAGE_NAMES[type(event)]}: expected {expected} here")
 
 
 def no_such_instance(event: Event, instance: int) -> WireError:
     """Return the error of an event of an instance that was not started."""
-    return WireError(f"{NAMES[type(event)]}: field who={instance}: expected an instance that was started")
+    return WireError(
+        f"{MESSAGE_NAMES[type(event)]}: field who={instance}: expected an instance that was started"
+    )
 
 
 def unfinished_batch() -> WireError:
@@ -264,7 +268,7 @@
 
 def publish_feedback(instance: int, value: float) -> str:
     """Return the line that publishes a value with all answers, be it a shed level or a credit."""
-    return f"HINT_OUT\twho={instance}\tx={round(value, LEVEL_DIGITS)}"
+    return f"HINT_OUT\twho={instance}\tx={round(value, FEEDBACK_DECIMALS)}"
 
 
 def set_idle_timeout(instance: int, timeout: int) -> str:
@@ -282,7 +286,7 @@
     return f"TRACE\twho={instance}\twhat={text}"
 
 
-def instance_failed(instance: int, fault: Exception) -> str:
+def instance_failed(instance: int, error: Exception) -> str:
     """Return the line that reports that an instance has failed and does nothing any more."""
-    text = f"{type(fault).__name__}: {fault}"[:MAX_FAULT_LENGTH].replace("\n", " ")
+    text = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH].replace("\n", " ")
     return f"BROKEN\twho={instance}\twhat={text}"
--- a/finchcart/simulator/host.py
+++ b/finchcart/simulator/host.py
@@ -42,7 +42,7 @@
         elif isinstance(event, BatchEnded):
             self._answer_batch()
         else:
-            self._handle_of_instance(self.now, event)
+            self._handle_instance_event(self.now, event)
 
     def _answer_batch(self) -> None:
         self.lines.append(codec.BATCH_ANSWERED)
@@ -51,7 +51,9 @@
         self.lines.clear()
         self.now = None
 
-    def _handle_of_instance(self, now: int, event: InstanceStarted | InstanceKilled | InstanceEvent) -> None:
+    def _handle_instance_event(
+        self, now: int, event: InstanceStarted | InstanceKilled | InstanceEvent
+    ) -> None:
         number = event.instance
         if number not in self.instances and not isinstance(event, InstanceStarted):
             raise codec.no_such_instance(event, number)
@@ -63,21 +65,21 @@
                 self._start(now, event)
             elif not self.instances[number].failed:
                 self.instances[number].handle(now, event)
-        except Exception as fault:
-            # Guards the other instances: a fault of one, whatever it is, ends that one alone.
+        except Exception as error:
+            # Guards the other instances: an error of one, whatever it is, ends that one alone.
             traceback.print_exc()
-            self._instance_failed(number, fault)
+            self._report_failure(number, error)
 
     def _start(self, now: int, event: InstanceStarted) -> None:
         node_settings = settings.from_pairs(event.settings)
         instance = SimulatorInstance(event.instance, self.lines.append, node_settings, event.seed)
         self.instances[event.instance] = instance
-        instance.control.start(now)
+        instance.controller.start(now)
 
-    def _instance_failed(self, number: int, fault: Exception) -> None:
+    def _report_failure(self, number: int, error: Exception) -> None:
         if number in self.instances:
             self.instances[number].failed = True
-        self.lines.append(codec.instance_failed(number, fault))
+        self.lines.append(codec.instance_failed(number, error))
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -24,7 +24,7 @@
     TimerFired,
 )
 
-UNKNOWN_INDEX = -1  # of the first RPC of a key, where that one is released
+RELEASED_INDEX = -1  # of the first RPC of a key, where that one is released
 
 
 class SimulatorInstance:
@@ -41,7 +41,7 @@
         self.rpcs: dict[str, tuple[int, RpcHandle | None]] = {}  # identifier -> (index, handle)
         self.next_index = 0
         self.failed = False  # the decision module raised an exception: it is not called any more
-        self.control = NodeController(self, settings, seed)
+        self.controller = NodeController(self, settings, seed)
 
     # ---- The port
 
@@ -117,13 +117,13 @@
             case RpcArrived():
                 self._admit(now, event)
             case TimerFired():
-                self.control.on_timer(now, event.gauges)
+                self.controller.on_timer(now, event.gauges)
             case DrainNotice():
-                self.control.drain(now, event.kill_at)
+                self.controller.drain(now, event.kill_at)
             case _:
                 _, handle = self.rpcs.get(event.rpc, (None, None))
                 if handle is not None:  # else the RPC is completed and released
-                    _report(handle, now, event)
+                    _handle_rpc_event(handle, now, event)
 
     def _admit(self, now: int, event: RpcArrived) -> None:
         index = self.next_index
@@ -141,18 +141,18 @@
             is_retry=event.is_retry,
             duplicate_of=self._index_of(event.first_rpc),
         )
-        handle = self.control.admit(now, index, arrival)
+        handle = self.controller.admit(now, index, arrival)
         if event.rpc in self.rpcs:  # else it is completed and released
             self.rpcs[event.rpc] = index, handle
 
     def _index_of(self, identifier: str | None) -> int | None:
         if identifier is None:
             return None
-        index, _ = self.rpcs.get(identifier, (UNKNOWN_INDEX, None))
+        index, _ = self.rpcs.get(identifier, (RELEASED_INDEX, None))
         return index
 
 
-def _report(handle: RpcHandle, now: int, event: RpcEvent) -> None:
+def _handle_rpc_event(handle: RpcHandle, now: int, event: RpcEvent) -> None:
     match event:
         case RunEnded():
             handle.run_ended(now, event.outcome, event.spent)
