--- a/finchcart/simulator/__init__.py
+++ b/finchcart/simulator/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: instances of the decision module behind the simulator's line protocol.
+"""The simulator adapter: serves instances of the decision module over the simulator's line protocol.
 
-Its start command is finchcart/wirehost.py.
+The command that starts the adapter is finchcart/wirehost.py.
 """
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -1,8 +1,9 @@
-"""Codec of the simulator's line protocol: lines are read into events, and written from values.
+"""Codec of the simulator's line protocol: parses lines into events and formats actions as lines.
 
-A line is the name of a message and `name=value` fields, separated by tabs. Owns all words of the protocol but
-those of settings (finchcart/settings.py): nothing else in the program knows one. It must never decide
-anything; host.py checks which message follows which.
+A line is the name of a message followed by `name=value` fields, all separated by tabs. All names of the
+protocol are defined in this module and used nowhere else, except the names of settings, which are defined in
+finchcart/settings.py. The codec must never make decisions, and it does not check the order of messages:
+host.py does.
 """
 
 from collections.abc import Callable
@@ -41,28 +42,31 @@
 ABSENT_ID = "0"
 HEX_DIGITS = frozenset("0123456789abcdef")
 ID_LENGTH = 16
-TIMER_NAME = "sweep"  # of an instance's one timer
-MAX_QUOTED_LENGTH = 40  # characters of a line that an error quotes
-MAX_ERROR_LENGTH = 120  # characters of an error that are reported
-FEEDBACK_DECIMALS = 4  # of a shed level, after the point
+TIMER_NAME = "sweep"  # each instance has one timer, always of this name
+MAX_QUOTED_LENGTH = 40  # maximum number of characters of a line that an error message quotes
+MAX_ERROR_LENGTH = 120  # maximum number of characters of an exception that is reported to the simulator
+FEEDBACK_DECIMALS = 4  # decimal places of a shed level or credit
 
 
 class WireError(ProtocolError):
-    """A line that can't be read: names the message, the field and what was expected."""
+    """An invalid line; the text names the message, the field and the expected value."""
 
 
-# ---- Reading
+# ---- Parsing
 
 
 class FieldType(NamedTuple):
-    """How the text of a field is read; `read` raises ValueError or KeyError where it can't be."""
+    """How the text of a field is parsed; `read` raises ValueError or KeyError for invalid text."""
 
     read: Callable[[str], object]
     expected: str
 
 
 class Field(NamedTuple):
-    """A field of a message."""
+    """A field of a message: its key in the protocol, its type, and the event's field that receives it.
+
+    The value of a field whose `event_field` is None is validated and then dropped.
+    """
 
     key: str
     type: FieldType
@@ -70,7 +74,10 @@
 
 
 class MessageFormat(NamedTuple):
-    """How a message is read into an event. An optional field that is absent or empty keeps its default."""
+    """How a message is parsed into an event.
+
+    An optional field that is absent or empty keeps the default of the event's field.
+    """
 
     event: Callable[..., Event]
     required: tuple[Field, ...]
@@ -142,9 +149,9 @@
 
 
 def parse(line: str) -> Event:
-    """Return the event that a line reports. Unknown fields are ignored.
+    """Return the event that a line describes. Unknown fields are ignored.
 
-    Raise WireError for a line that can't be read.
+    Raise WireError for an invalid line.
     """
     message, *parts = line.split("\t")
     if message not in MESSAGE_FORMATS:
@@ -188,28 +195,29 @@
         fields[event_field] = value
 
 
-# ---- Errors of the order in which messages come
+# ---- Errors in the order of messages
 
 
 def out_of_order(event: Event, batch_is_open: bool) -> WireError:
-    """Return the error of a message that can't come here: a batch has begun, or has not."""
+    """Return the error for a message that is invalid inside a batch, or outside one."""
     expected = "an event or END" if batch_is_open else "TICK"
     return WireError(f"{MESSAGE_NAMES[type(event)]}: expected {expected} here")
 
 
 def no_such_instance(event: Event, instance: int) -> WireError:
-    """Return the error of an event of an instance that was not started."""
+    """Return the error for an event that names an instance that was not started."""
     return WireError(
         f"{MESSAGE_NAMES[type(event)]}: field who={instance}: expected an instance that was started"
     )
 
 
 def unfinished_batch() -> WireError:
-    """Return the error of an input that ends inside a batch."""
+    """Return the error for an input that ends inside a batch."""
     return WireError("the input ends inside a batch, expected END")
 
 
-# ---- Writing: one line each, of the answer to a batch. Arguments as those of Port's verbs.
+# ---- Formatting: each function returns one line of the response to a batch. The functions and their
+# arguments correspond to the methods of `Port` (finchcart/decisions/port.py).
 
 BATCH_ANSWERED = "FINISHED"
 
@@ -225,68 +233,68 @@
 
 
 def reject(instance: int, rpc: str, retry_after: int, do_not_retry: bool) -> str:
-    """Return the line that answers that an RPC never ran."""
+    """Return the line that rejects an RPC, which tells its caller that the RPC never ran."""
     advice = f"\twait={retry_after}" if retry_after else ""
     request = "\tlast=1" if do_not_retry else ""
     return f"BUSY\twho={instance}\tcall={rpc}{advice}{request}"
 
 
 def fail(instance: int, rpc: str) -> str:
-    """Return the line that answers that an RPC failed."""
+    """Return the line that responds to an RPC with a failure."""
     return f"END_FAILED\twho={instance}\tcall={rpc}"
 
 
 def call(instance: int, rpc: str, timeout: int) -> str:
-    """Return the line that makes the call of a run."""
+    """Return the line that makes the call of a run to the dependency."""
     return f"CALL_DEP\twho={instance}\tcall={rpc}\tlimit={timeout}"
 
 
 def degrade(instance: int, rpc: str) -> str:
-    """Return the line that leaves out the call of a run."""
+    """Return the line that makes a run go on without its call to the dependency."""
     return f"SKIP\twho={instance}\tcall={rpc}"
 
 
 def answer_duplicate(instance: int, rpc: str) -> str:
-    """Return the line that answers a duplicate with the result of the first RPC of its key."""
+    """Return the line that responds to a duplicate with the result of the first RPC with its key."""
     return f"SHARE\twho={instance}\tcall={rpc}"
 
 
 def store_key(instance: int, rpc: str, ttl: int) -> str:
-    """Return the line that keeps an idempotency key."""
+    """Return the line that stores an idempotency key for `ttl` microseconds."""
     return f"PIN\twho={instance}\tcall={rpc}\tkeepFor={ttl}"
 
 
 def evict_key(instance: int, rpc: str) -> str:
-    """Return the line that removes an idempotency key."""
+    """Return the line that evicts an idempotency key."""
     return f"DROP_KEY\twho={instance}\tcall={rpc}"
 
 
 def set_health(instance: int, healthy: bool, cached: bool) -> str:
-    """Return the line that sets how health checks are answered."""
+    """Return the line that sets the response to health checks."""
     return f"READINESS\twho={instance}\twant={int(healthy)}\tstored={int(cached)}"
 
 
 def publish_feedback(instance: int, value: float) -> str:
-    """Return the line that publishes a value with all answers, be it a shed level or a credit."""
+    """Return the line that publishes a shed level or a credit, which all responses then carry."""
     return f"HINT_OUT\twho={instance}\tx={round(value, FEEDBACK_DECIMALS)}"
 
 
 def set_idle_timeout(instance: int, timeout: int) -> str:
-    """Return the line that sets after which silence connections are closed."""
+    """Return the line that sets the idle timeout of connections, in microseconds."""
     return f"IDLE_LIMIT\twho={instance}\tkeepFor={timeout}"
 
 
 def set_timer(instance: int, delay: int) -> str:
-    """Return the line that asks for the timer's event."""
+    """Return the line that sets the instance's timer to fire after `delay` microseconds."""
     return f"NOTIFY_ME\twho={instance}\tfromNow={delay}\tname={TIMER_NAME}"
 
 
 def log(instance: int, text: str) -> str:
-    """Return a line for the operators."""
+    """Return the line that carries a log message."""
     return f"TRACE\twho={instance}\twhat={text}"
 
 
 def instance_failed(instance: int, error: Exception) -> str:
-    """Return the line that reports that an instance has failed and does nothing any more."""
+    """Return the line that reports that an instance has failed and ignores all further events."""
     text = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH].replace("\n", " ")
     return f"BROKEN\twho={instance}\twhat={text}"
--- a/finchcart/simulator/events.py
+++ b/finchcart/simulator/events.py
@@ -1,7 +1,7 @@
-"""What the simulator reports: one type for each message that is read.
+"""Event types of the simulator adapter: one type for each message that the simulator sends.
 
-Owns the types alone. An instance is named by a number, and an RPC by an identifier of the simulator's. Times
-are whole microseconds on the simulator's one clock.
+This module holds types and no logic. An instance is identified by a number, and an RPC by an identifier that
+the simulator assigns. Times are whole microseconds on the simulator's clock, which all instances share.
 """
 
 from collections.abc import Mapping
@@ -12,91 +12,94 @@
 
 
 class BatchStarted(NamedTuple):
-    """The events up to `BatchEnded` happened; all are acted on at this time."""
+    """A batch begins; all events up to the next `BatchEnded` are handled as of the time `now`."""
 
     now: int
 
 
 class BatchEnded(NamedTuple):
-    """The batch is complete and is to be answered."""
+    """The batch is complete, and the simulator waits for the response to it."""
 
 
 class InstanceStarted(NamedTuple):
-    """An instance starts, in place of an earlier one of the same number."""
+    """An instance starts and replaces any earlier instance with the same number.
+
+    `settings` holds all `name=value` pairs of the message; finchcart/settings.py reads them.
+    """
 
     instance: int
     seed: int
-    settings: Mapping[str, str]  # all pairs of the message, see finchcart/settings.py
+    settings: Mapping[str, str]
 
 
 class InstanceKilled(NamedTuple):
-    """An instance is gone."""
+    """An instance was killed."""
 
     instance: int
 
 
 class DrainNotice(NamedTuple):
-    """An instance is to leave."""
+    """An instance must drain; it is killed at the time `kill_at`."""
 
     instance: int
     kill_at: int
 
 
 class TimerFired(NamedTuple):
-    """The timer that an instance asked for is due."""
+    """The timer that an instance set has fired."""
 
     instance: int
     gauges: Gauges = Gauges()
 
 
 class RpcArrived(NamedTuple):
-    """An RPC was read to its end."""
+    """An RPC was read completely."""
 
     instance: int
     rpc: str
     method: str
     memory_kb: float
     caller: int | None = None
-    shed_rank: float | None = None  # 0 to 1, of its user
-    first_rpc: str | None = None  # of its idempotency key, where this is a duplicate
-    service_time_hint: int = 0  # microseconds; 0: no hint
-    expires_at: int = 0  # its deadline; 0: not sent
+    shed_rank: float | None = None  # from 0 to 1, derived from the RPC's user
+    first_rpc: str | None = None  # if this RPC is a duplicate: the first RPC with its idempotency key
+    service_time_hint: int = 0  # microseconds; 0: the RPC carries no hint
+    expires_at: int = 0  # the RPC's deadline; 0: the RPC carries none
     is_retry: bool = False
-    waited: int = 0  # microseconds from when it reached the machine until it was read
+    waited: int = 0  # microseconds between the arrival at the machine and the time when it was read
 
 
 class RunEnded(NamedTuple):
-    """A run, or the wait of a duplicate, ended."""
+    """A run ended, or a duplicate's wait for the result of the first RPC ended."""
 
     instance: int
     rpc: str
     outcome: Outcome
-    spent: int = 0  # microseconds
+    spent: int = 0  # duration in microseconds
 
 
 class CallerGone(NamedTuple):
-    """The caller of an RPC waits no longer."""
+    """The caller of an RPC no longer waits for the response."""
 
     instance: int
     rpc: str
 
 
 class CallAwaited(NamedTuple):
-    """A run needs its call to the dependency to go on."""
+    """A run has reached its call to the dependency and cannot continue before the call is made or skipped."""
 
     instance: int
     rpc: str
 
 
 class CallEnded(NamedTuple):
-    """The call of a run returned, failed or was abandoned."""
+    """The call of a run to the dependency succeeded, failed or was abandoned."""
 
     instance: int
     rpc: str
     outcome: Outcome
-    spent: int = 0  # microseconds
+    spent: int = 0  # duration in microseconds
 
 
-RpcEvent = RunEnded | CallerGone | CallAwaited | CallEnded  # of an RPC that arrived before
-InstanceEvent = RpcArrived | RpcEvent | TimerFired | DrainNotice  # of an instance that is running
+RpcEvent = RunEnded | CallerGone | CallAwaited | CallEnded  # events of an RPC that arrived earlier
+InstanceEvent = RpcArrived | RpcEvent | TimerFired | DrainNotice  # events of an instance that was started
 Event = InstanceEvent | InstanceStarted | InstanceKilled | BatchStarted | BatchEnded
--- a/finchcart/simulator/host.py
+++ b/finchcart/simulator/host.py
@@ -1,6 +1,7 @@
-"""All instances of one process of the adapter, and the batches of events that it answers.
+"""The adapter process: holds all instances, reads batches of events and writes the response to each batch.
 
-Owns the order of messages, and what becomes of an instance that fails: it ends alone.
+This module checks the order of messages. If the decision module of one instance raises an exception, only
+that instance fails; the others continue.
 """
 
 import traceback
@@ -22,17 +23,17 @@
 
 
 class SimulatorHost:
-    """The instances, and the batch that is being read: its time and the lines of its answer."""
+    """Holds the instances and the batch that is being read: its time and the lines of its response."""
 
     def __init__(self, sink: TextIO) -> None:
-        """Make a host without instances that answers on `sink`."""
+        """Create a host without instances that writes its responses to `sink`."""
         self.sink = sink
-        self.instances: dict[int, SimulatorInstance] = {}  # by their numbers in the protocol
+        self.instances: dict[int, SimulatorInstance] = {}  # by instance number of the protocol
         self.lines: list[str] = []
-        self.now: int | None = None  # None: between two batches
+        self.now: int | None = None  # the time of the open batch; None between two batches
 
     def handle(self, event: Event) -> None:
-        """Act on one event. Raise WireError where it can't come here."""
+        """Handle one event. Raise WireError if the event is out of order."""
         if isinstance(event, BatchStarted):
             if self.now is not None:
                 raise codec.out_of_order(event, batch_is_open=True)
@@ -66,7 +67,7 @@
             elif not self.instances[number].failed:
                 self.instances[number].handle(now, event)
         except Exception as error:
-            # Guards the other instances: an error of one, whatever it is, ends that one alone.
+            # Any exception of one instance is confined to that instance; the others must continue.
             traceback.print_exc()
             self._report_failure(number, error)
 
@@ -83,7 +84,10 @@
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answer batches until the input ends. Raise WireError, with the line's number, for bad input."""
+    """Respond to batches until the input ends.
+
+    Raise WireError, whose text begins with the line number, for invalid input.
+    """
     host = SimulatorHost(sink)
     line_number = 0
     for line_number, line in enumerate(source, start=1):
--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -1,7 +1,8 @@
-"""One instance of the decision module, as the simulator sees it.
+"""One instance of the decision module, driven by the simulator.
 
-Maps the simulator's identifiers to small indices and back, turns events into calls on the decision module,
-and its calls on the port into lines. It must never decide anything.
+Maps the simulator's RPC identifiers to the decision module's integer indices and back, passes events to the
+decision module, and turns the decision module's calls on the port into lines of the protocol. This module
+must never make decisions itself.
 """
 
 from collections.abc import Callable
@@ -24,23 +25,24 @@
     TimerFired,
 )
 
-RELEASED_INDEX = -1  # of the first RPC of a key, where that one is released
+RELEASED_INDEX = -1  # reported for the first RPC of an idempotency key that was already released
 
 
 class SimulatorInstance:
-    """One instance; the `Port` of its decision module (see decisions/port.py).
+    """One instance, which is also the `Port` of its decision module (see decisions/port.py).
 
-    Bounds: identifiers and handles are kept until the decision module releases their RPC.
+    The identifier and the handle of an RPC are kept until the decision module releases the RPC, which bounds
+    their number.
     """
 
     def __init__(self, number: int, write: Callable[[str], None], settings: NodeSettings, seed: int) -> None:
-        """Make an instance that writes its lines to `write`; `number` names it in the protocol."""
+        """Create an instance that passes its lines to `write`; `number` identifies it in the protocol."""
         self.number = number
         self.write = write
         self.identifiers: dict[int, str] = {}  # by index
         self.rpcs: dict[str, tuple[int, RpcHandle | None]] = {}  # identifier -> (index, handle)
         self.next_index = 0
-        self.failed = False  # the decision module raised an exception: it is not called any more
+        self.failed = False  # True after the decision module raised an exception; it is never called again
         self.controller = NodeController(self, settings, seed)
 
     # ---- The port
@@ -54,43 +56,43 @@
         self.write(codec.stop(self.number, self.identifiers[index]))
 
     def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
-        """Answer that it never ran; the protocol has no word for the reason."""
+        """Reject an RPC. The reason is dropped, since the protocol has no field for it."""
         self.write(codec.reject(self.number, self.identifiers[index], retry_after, do_not_retry))
 
     def fail(self, index: int) -> None:
-        """Answer that it failed."""
+        """Respond to an RPC with a failure."""
         self.write(codec.fail(self.number, self.identifiers[index]))
 
     def call(self, index: int, timeout: int) -> None:
-        """Make the call to the dependency."""
+        """Make the call of a run to the dependency."""
         self.write(codec.call(self.number, self.identifiers[index], timeout))
 
     def degrade(self, index: int) -> None:
-        """Leave out the call to the dependency."""
+        """Let a run go on without its call to the dependency."""
         self.write(codec.degrade(self.number, self.identifiers[index]))
 
     def answer_duplicate(self, index: int) -> None:
-        """Share the result of the first RPC of the key."""
+        """Respond to a duplicate with the result of the first RPC with its idempotency key."""
         self.write(codec.answer_duplicate(self.number, self.identifiers[index]))
 
     def store_key(self, index: int, ttl: int) -> None:
-        """Keep the idempotency key for `ttl` microseconds."""
+        """Store the idempotency key of an RPC for `ttl` microseconds."""
         self.write(codec.store_key(self.number, self.identifiers[index], ttl))
 
     def evict_key(self, index: int) -> None:
-        """Remove the idempotency key."""
+        """Evict the idempotency key of an RPC."""
         self.write(codec.evict_key(self.number, self.identifiers[index]))
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """Set how health checks are answered."""
+        """Set the response to health checks."""
         self.write(codec.set_health(self.number, healthy, cached))
 
     def set_shed_level(self, level: float) -> None:
-        """Publish the shed level with all answers."""
+        """Publish the shed level, which all responses then carry."""
         self.write(codec.publish_feedback(self.number, level))
 
     def set_credit(self, credit: float) -> None:
-        """Publish the credit with all answers."""
+        """Publish the credit, which all responses then carry."""
         self.write(codec.publish_feedback(self.number, credit))
 
     def set_idle_timeout(self, timeout: int) -> None:
@@ -98,21 +100,21 @@
         self.write(codec.set_idle_timeout(self.number, timeout))
 
     def set_timer(self, delay: int) -> None:
-        """Ask for a timer event after `delay` microseconds."""
+        """Set the timer to fire after `delay` microseconds."""
         self.write(codec.set_timer(self.number, delay))
 
     def log(self, text: str) -> None:
-        """Write a line for the operators."""
+        """Write a log message."""
         self.write(codec.log(self.number, text))
 
     def release(self, index: int) -> None:
-        """Forget an RPC."""
+        """Delete the identifier and the handle of an RPC."""
         self.rpcs.pop(self.identifiers.pop(index), None)
 
     # ---- Events
 
     def handle(self, now: int, event: InstanceEvent) -> None:
-        """Hand one event to the decision module."""
+        """Pass one event to the decision module."""
         match event:
             case RpcArrived():
                 self._admit(now, event)
@@ -122,7 +124,7 @@
                 self.controller.drain(now, event.kill_at)
             case _:
                 _, handle = self.rpcs.get(event.rpc, (None, None))
-                if handle is not None:  # else the RPC is completed and released
+                if handle is not None:  # None: the RPC has completed and was released
                     _handle_rpc_event(handle, now, event)
 
     def _admit(self, now: int, event: RpcArrived) -> None:
@@ -142,7 +144,7 @@
             duplicate_of=self._index_of(event.first_rpc),
         )
         handle = self.controller.admit(now, index, arrival)
-        if event.rpc in self.rpcs:  # else it is completed and released
+        if event.rpc in self.rpcs:  # otherwise admit() already completed and released the RPC
             self.rpcs[event.rpc] = index, handle
 
     def _index_of(self, identifier: str | None) -> int | None:
--- a/finchcart/wirehost.py
+++ b/finchcart/wirehost.py
@@ -1,6 +1,7 @@
-"""Start command of the simulator adapter, on standard input and output; see finchcart/simulator/.
+"""Start command of the simulator adapter, which reads standard input and writes standard output.
 
-Run it as `python -m finchcart.wirehost`. It owns the streams and the exit code alone.
+Run it as `python -m finchcart.wirehost`. This module only sets up the streams and returns the exit code; the
+adapter itself is in finchcart/simulator/.
 """
 
 import sys
@@ -14,7 +15,7 @@
 
 
 def main() -> int:
-    """Serve until the input ends; return the exit code."""
+    """Serve the simulator until the input ends; return the exit code."""
     cast(TextIOWrapper, sys.stdin).reconfigure(encoding="utf-8")
     cast(TextIOWrapper, sys.stdout).reconfigure(encoding="utf-8", newline="\n")
     try:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: its codec, and short hand-written batches to it as a process."""
+"""Tests of the simulator adapter: its codec, and short batches that are sent to an adapter process."""
 
 import subprocess
 import sys
@@ -20,12 +20,12 @@
 
 
 def run_adapter(text):
-    """The finished process of an adapter that was given this input."""
+    """Run an adapter process to its end with this text on standard input; return the completed process."""
     command = [sys.executable, "-m", "finchcart.wirehost"]
     return subprocess.run(command, input=text, capture_output=True, text=True)
 
 
-def test_an_rpc_is_run_and_its_end_reported():
+def test_an_rpc_runs_to_completion_and_later_events_of_it_are_ignored():
     result = run_adapter(
         f"TICK\twall=1000\n{CREATE}END\nTICK\twall=3000\n{KNOCK}END\nTICK\twall=9000\n"
         "WOUND_UP\twho=3\tcall=dff354305d3a91c4\tspent=6000\thow=200\n"
@@ -48,13 +48,13 @@
         ("END\n", "expected TICK"),
     ],
 )
-def test_a_line_that_cannot_be_read_ends_it_plainly(batch, expected):
+def test_invalid_input_ends_the_process_with_a_one_line_error(batch, expected):
     result = run_adapter(batch)
     assert result.returncode == 2
     assert expected in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_an_exception_in_the_decision_module_is_reported_and_other_instances_go_on():
+def test_an_exception_in_the_decision_module_is_reported_and_other_instances_continue():
     unknown_method = KNOCK.replace("profile=fetch", "profile=unheard")
     other = (CREATE + KNOCK).replace("who=3", "who=4")
     result = run_adapter(f"TICK\twall=1\n{CREATE}{unknown_method}{other}END\n")
@@ -63,11 +63,11 @@
     assert "TAKE\twho=4\tcall=dff354305d3a91c4" in result.stdout
 
 
-UNUSABLE = ("services.count=many", "services.count=3\tfamilyInfo.worthWithout=0.5,0")
+INVALID_SETTINGS = ("services.count=many", "services.count=3\tfamilyInfo.worthWithout=0.5,0")
 
 
-@pytest.mark.parametrize("setting", UNUSABLE)
-def test_settings_that_cannot_be_used_end_their_instance_alone(setting):
+@pytest.mark.parametrize("setting", INVALID_SETTINGS)
+def test_invalid_settings_fail_only_their_own_instance(setting):
     broken = CREATE.replace("services.count=1", setting)
     other = (CREATE + KNOCK).replace("who=3", "who=4")
     result = run_adapter(f"TICK\twall=1\n{broken}{other}END\n")
@@ -79,7 +79,7 @@
 # ---- The codec
 
 RPC = "dff354305d3a91c4"
-FIRST = "0000000000000001"
+FIRST_RPC = "0000000000000001"
 FEEDBACK = "core_use:0.5,on_cores:3,heap_share:0.1"
 
 
@@ -102,25 +102,25 @@
         ),
         (
             f"KNOCK who=3 call={RPC} profile=a footprint=2.5 neighbour=1 org=x place=0.5 isWrite=1 "
-            f"repeats={FIRST} estimate=40 expires=99 againByClient=1 item=y backlogTime=6",
-            events.RpcArrived(3, RPC, "a", 2.5, 1, 0.5, FIRST, 40, 99, True, 6),
+            f"repeats={FIRST_RPC} estimate=40 expires=99 againByClient=1 item=y backlogTime=6",
+            events.RpcArrived(3, RPC, "a", 2.5, 1, 0.5, FIRST_RPC, 40, 99, True, 6),
         ),
     ],
 )
-def test_a_line_is_read_into_an_event(line, event):
-    read = codec.parse(line.replace(" ", "\t"))
-    assert read == event
-    assert type(read) is type(event)
+def test_a_line_is_parsed_into_an_event(line, event):
+    parsed = codec.parse(line.replace(" ", "\t"))
+    assert parsed == event
+    assert type(parsed) is type(event)
 
 
-def test_an_instance_starts_with_the_pairs_of_its_settings():
+def test_the_event_of_a_started_instance_holds_its_settings():
     event = codec.parse(CREATE.rstrip("\n"))
     assert (event.instance, event.seed) == (3, 7)
     assert event.settings["familyInfo.cores"] == "2"
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    "line, expected",
     [
         ("NEWS who=3", "message 'NEWS': expected one of CREATE, KILL, KNOCK"),
         ("KILL", "KILL: field who is missing, expected a whole number"),
@@ -136,14 +136,14 @@
         ),
     ],
 )
-def test_a_line_that_cannot_be_read_is_refused_with_what_was_expected(line, words):
-    with pytest.raises(codec.WireError) as refused:
+def test_the_error_for_an_invalid_line_names_what_was_expected(line, expected):
+    with pytest.raises(codec.WireError) as raised:
         codec.parse(line.replace(" ", "\t"))
-    assert words in str(refused.value)
+    assert expected in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    "written, line",
+    "formatted, line",
     [
         (codec.reject(3, RPC, 0, False), f"BUSY who=3 call={RPC}"),
         (codec.reject(3, RPC, 50, True), f"BUSY who=3 call={RPC} wait=50 last=1"),
@@ -153,5 +153,5 @@
         (codec.instance_failed(3, KeyError("a\nb")), "BROKEN who=3 what=KeyError: 'a\\nb'"),
     ],
 )
-def test_a_line_is_written_with_the_words_of_the_protocol(written, line):
-    assert written.replace("\t", " ") == line
+def test_a_line_is_formatted_with_the_names_of_the_protocol(formatted, line):
+    assert formatted.replace("\t", " ") == line
