--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -1,7 +1,8 @@
-"""The node's configuration: the JSON file that the environment variable ROUTER_CONFIG names.
+"""The node's configuration: a JSON file whose path is in the environment variable ROUTER_CONFIG.
 
-Owns its keys, and what becomes of them when the file is read again while the node runs: new addresses are
-taken, anything else waits for the next start. It must never hold a value that decides about RPCs.
+This module defines the keys of the file. When the file is read again while the node runs, changed addresses
+of peers are applied immediately, and all other changes take effect at the next start. Values that affect
+decisions about RPCs must not be defined here; they belong to finchcart/decisions/.
 """
 
 import json
@@ -24,8 +25,9 @@
 
 PATH_VARIABLE = "ROUTER_CONFIG"
 MAX_PORT = 65_535
-MAX_ERROR_LENGTH = 200  # characters of a message that others worded
-MISTAKE = "ValueError"  # stands before what is wrong with a value: people search logs for it
+MAX_ERROR_LENGTH = 200  # maximum number of characters that are quoted from the text of an exception
+# Error messages give this as the type of each ConfigError, because operators search logs for it.
+CONFIG_ERROR_NAME = "ValueError"
 
 MIN_SHADOW_PERIOD_MS = 100
 MAX_SHADOW_PERIOD_MS = 86_400_000
@@ -37,34 +39,34 @@
 
 
 class WatchConfig(NamedTuple):
-    """The key `watch`: settings that are watched beside those in force."""
+    """The key `watch`: settings that a shadow applies, which logs what it would decide with them."""
 
     overrides: settings.SettingsOverrides
-    period_us: int  # between log lines
+    period_us: int  # microseconds between two log lines of the shadow
 
 
 class NodeConfig(NamedTuple):
     """A configuration that was read and checked."""
 
-    name: str  # by which the registry knows the node
+    name: str  # the node's name in the registry
     listen: Address
-    addresses: NodeAddresses  # may change while the node runs
+    addresses: NodeAddresses  # of peers; may change while the node runs
     seed: int
     settings: NodeSettings
     limits: Limits
     watch: WatchConfig | None
-    shadow: ShadowSettings | None  # `watch`, applied to `settings`
+    shadow: ShadowSettings | None  # the result of applying `watch` to `settings`
 
 
-FIXED_FIELDS = ("name", "listen", "settings", "limits", "watch")  # new ones wait for the next start
+FIXED_FIELDS = ("name", "listen", "settings", "limits", "watch")  # changes take effect at the next start
 
 
 def read_config(path: str | None) -> NodeConfig:
-    """Read a configuration. Raise ConfigError, in one line that names the file, where it cannot be used."""
+    """Read a configuration. Raise ConfigError, in one line that names the file, if the file is invalid."""
     if not path:
         raise ConfigError(f"{PATH_VARIABLE} is not set: expected the path of the configuration")
     try:
-        # Not by pathlib, which nothing else on the way to ready imports: it takes 5 ms of the start.
+        # Importing pathlib, which nothing else needs before the node is ready, would delay the start by 5 ms.
         with open(path, encoding="utf-8") as file:  # noqa: PTH123
             return _parse_config(json.load(file))
     except OSError as error:
@@ -72,22 +74,25 @@
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
     except Exception as error:
-        # Whatever the file holds, nested or sized as it may be, it is refused in words and ends no node.
-        kind = MISTAKE if isinstance(error, ConfigError) else type(error).__name__
-        raise ConfigError(f"{path}: {kind}: {str(error)[:MAX_ERROR_LENGTH]}") from None
+        # Any content, however deeply nested or large, must be rejected with a message and never end the node.
+        type_name = CONFIG_ERROR_NAME if isinstance(error, ConfigError) else type(error).__name__
+        raise ConfigError(f"{path}: {type_name}: {str(error)[:MAX_ERROR_LENGTH]}") from None
 
 
 def reread_config(path: str | None, used: NodeConfig) -> AddressesChanged | None:
-    """Read the configuration once more, as an input; None where it cannot be used, which is logged."""
+    """Read the configuration again and return its addresses as an input.
+
+    Return None, and log the error, if the file is invalid.
+    """
     try:
         config = read_config(path)
     except ConfigError as error:
-        # Guards against a file that is wrong or half written: the node goes on with what it has.
+        # The file may be invalid or only half written; the node keeps the configuration that it has.
         logger.error("configuration rejected: {}", error)
         return None
     fixed = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(used, name)]
     if fixed:
-        logger.warning("configuration: new {} wait for the next start", ", ".join(fixed))
+        logger.warning("configuration: changes to {} take effect at the next start", ", ".join(fixed))
     return AddressesChanged(config.addresses)
 
 
@@ -112,7 +117,7 @@
 
 
 def _parse_addresses(tree: Mapping[str, Any]) -> NodeAddresses:
-    """Return the peers' addresses. A node of the last tier calls nothing: no store is named there."""
+    """Return the peers' addresses. A node of the last tier makes no calls and has no store address."""
     return NodeAddresses(
         pool=_parse_address(tree["pool"]),
         store=_parse_address(tree["store"]) if "store" in tree else None,
@@ -121,7 +126,7 @@
 
 
 def _parse_address(text: str) -> Address:
-    """Return host and port. No name is looked up: a host is an IPv4 address."""
+    """Return host and port. The host must be an IPv4 address, as host names are not resolved."""
     host, _, port = text.rpartition(":")
     if not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{text}: no such port")
@@ -132,13 +137,16 @@
 def _parse_watch(tree: Mapping[str, Any] | None) -> WatchConfig | None:
     if tree is None:
         return None
-    settings.check("watch", tree, SHADOW_EXPECTATION)
+    settings.check_value("watch", tree, SHADOW_EXPECTATION)
     period_ms = tree.get("period_ms", DEFAULT_SHADOW_PERIOD_MS)
-    settings.check("watch.period_ms", period_ms, settings.number(MIN_SHADOW_PERIOD_MS, MAX_SHADOW_PERIOD_MS))
+    settings.check_value(
+        "watch.period_ms", period_ms, settings.number_in_range(MIN_SHADOW_PERIOD_MS, MAX_SHADOW_PERIOD_MS)
+    )
     return WatchConfig(settings.overrides_from_json(tree["settings"]), int(period_ms * MS))
 
 
 def _make_shadow(node_settings: NodeSettings, watch: WatchConfig) -> ShadowSettings:
-    # The watched settings may ask for what this node can't do: the shadow acts on nothing.
+    # The overrides of `watch` are applied after the reduction to the settings that this node supports: they
+    # may contain unsupported ones, since the shadow carries out none of its decisions.
     watched = watch.overrides.apply_to(supported_settings(node_settings))
     return ShadowSettings(watched, watch.period_us)
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -1,8 +1,8 @@
-"""External names of settings, and how the typed settings of a node are made from them.
+"""External names of settings, and the conversion of external settings into typed `NodeSettings`.
 
-Owns the table of names, for the simulator's protocol and for a real node's configuration alike, so that both
-give the same `NodeSettings`. It must never choose a value: a setting that is left out keeps the default of
-its field, see finchcart/decisions/node_settings.py.
+The simulator's protocol and the configuration file of a real node use the same tables of names in this
+module, so that both produce the same `NodeSettings`. This module must never choose a value: a setting that is
+left out keeps the default of its field in finchcart/decisions/node_settings.py.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -21,8 +21,8 @@
 Member = TypeVar("Member", bound=Enum)
 
 MAX_TIME_US = 10**12
-EMPTY_LIST = ""  # what the simulator sends for it
-MAX_QUOTED_LENGTH = 60  # characters of a value that an error quotes
+EMPTY_LIST = ""  # the simulator's protocol writes an empty list as empty text
+MAX_QUOTED_LENGTH = 60  # maximum number of characters of a value that an error message quotes
 
 METHOD_KINDS = {
     "read_like": MethodKind.IDEMPOTENT,
@@ -40,34 +40,39 @@
     "tier": Dependency.TIER,
     "silent": Dependency.SILENT,
 }
-STOPPING_WORDS = ("drop", "pause")  # of preemption: running work can be stopped
-PAUSING_WORD = "pause"
-PREEMPTION_WORDS = ("silent", *STOPPING_WORDS)
+# Values of the setting `familyInfo.preemption`.
+STOPPING_VALUES = ("drop", "pause")  # a running RPC can be stopped
+PAUSING_VALUE = "pause"  # a stopped RPC can also be resumed later
+PREEMPTION_VALUES = ("silent", *STOPPING_VALUES)
 
 
 class Expectation(NamedTuple):
-    """What a value can be: a test, and the words of an error."""
+    """The valid values of a setting: a predicate, and their description for error messages."""
 
-    holds: Callable[[object], bool]
+    accepts: Callable[[object], bool]
     text: str
 
 
 class Setting(NamedTuple):
-    """A setting: what its value can be, and the typed field that it becomes."""
+    """A setting: its valid values, and the typed field that receives its value.
+
+    `field` is a field of `NodeSettings` or `MethodSettings`; a setting whose field is None is checked and
+    then dropped. `convert` turns the external value into the field's value.
+    """
 
     expectation: Expectation
-    field: str | None  # of NodeSettings or MethodSettings; None: checked and not used
-    convert: Callable[[Any], Any] | None = None  # from the external word
+    field: str | None
+    convert: Callable[[Any], Any] | None = None
 
 
-def number(low: float, high: float = float("inf")) -> Expectation:
-    """Return the expectation of a number from `low` to `high`, both included."""
+def number_in_range(low: float, high: float = float("inf")) -> Expectation:
+    """Return the expectation that a value is a number from `low` to `high`, both included."""
 
-    def holds(value: object) -> bool:
+    def accepts(value: object) -> bool:
         return isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
 
     bounds = f"from {low} to {high}" if high < float("inf") else f"from {low} up"
-    return Expectation(holds, f"a number {bounds}")
+    return Expectation(accepts, f"a number {bounds}")
 
 
 def _one_of(*words: str) -> Expectation:
@@ -75,17 +80,21 @@
 
 
 def _each(expectation: Expectation) -> Expectation:
-    """Return the expectation of one such value, or of a tuple of them."""
+    """Return the expectation that a value, or each value of a tuple, meets `expectation`."""
+
+    def accepts(value: object) -> bool:
+        return value == EMPTY_LIST or all(map(expectation.accepts, _as_tuple(value)))
 
-    def holds(value: object) -> bool:
-        return value == EMPTY_LIST or all(map(expectation.holds, _as_tuple(value)))
+    return Expectation(accepts, f"{expectation.text}, for each")
 
-    return Expectation(holds, f"{expectation.text}, for each")
 
+def _enum_parser(members: Mapping[str, Member], default: Member) -> Callable[[str], Member]:
+    """Return a function from a word to its enum member.
 
-def _enum_parser(words: Mapping[str, Member], default: Member) -> Callable[[str], Member]:
-    """Return what a word means: `default` for one that is not known, as pairs are not checked."""
-    return lambda word: words.get(word, default)
+    An unknown word gives `default`, since the pairs of the simulator are not checked before they are
+    converted.
+    """
+    return lambda word: members.get(word, default)
 
 
 def _as_tuple(value: object) -> tuple[object, ...]:
@@ -95,48 +104,48 @@
 ANYTHING = Expectation(lambda value: True, "")
 FLAG = Expectation(lambda value: isinstance(value, bool), "true or false")
 TEXT = Expectation(lambda value: isinstance(value, str), "text")
-TIME = number(0, MAX_TIME_US)
+TIME = number_in_range(0, MAX_TIME_US)
 UNUSED = Setting(ANYTHING, None)
 
 METHOD_KIND = _enum_parser(METHOD_KINDS, MethodKind.NON_IDEMPOTENT)
 FEEDBACK = _enum_parser(FEEDBACKS, Feedback.SILENT)
 DEPENDENCY = _enum_parser(DEPENDENCIES, Dependency.SILENT)
 
-# Settings of the node by their external names; others are not read.
+# Settings of the node, by external name. Settings with other names are ignored.
 NODE_SETTINGS = {
     "round": Setting(TIME, "tick_us"),
     "callers.marksRetry": Setting(FLAG, "marks_retries"),
     "contract.answerSlack": Setting(TIME, None),
     "contract.cold": Setting(TIME, "warm_up_us"),
     "contract.fall": Setting(TIME, None),
-    "contract.overloadFactor": Setting(number(1), "overload_factor"),
-    "contract.startCapacity": Setting(number(0, 1), "cold_start_speed"),
+    "contract.overloadFactor": Setting(number_in_range(1), "overload_factor"),
+    "contract.startCapacity": Setting(number_in_range(0, 1), "cold_start_speed"),
     "contract.stopSendingWithin": Setting(TIME, "drain_grace_us"),
     "familyInfo.below": Setting(_one_of(*DEPENDENCIES), "dependency", DEPENDENCY),
     "familyInfo.callerIdle": Setting(TIME, "idle_timeout_max_us"),
-    "familyInfo.callsOut": Setting(number(0), "calls_limit"),
+    "familyInfo.callsOut": Setting(number_in_range(0), "calls_limit"),
     "familyInfo.callsOver": Setting(TIME, "calls_window_us"),
-    "familyInfo.cores": Setting(number(1), "cores"),
+    "familyInfo.cores": Setting(number_in_range(1), "cores"),
     "familyInfo.freshStart": Setting(FLAG, "fresh_start"),
     "familyInfo.gauges": Setting(_each(TEXT), "gauges", _as_tuple),
     "familyInfo.heeded": Setting(TIME, "feedback_lifetime_us"),
-    "familyInfo.kbPerKey": Setting(number(0), "key_entry_kb"),
+    "familyInfo.kbPerKey": Setting(number_in_range(0), "key_entry_kb"),
     "familyInfo.linger": Setting(TIME, "calls_linger_us"),
-    "familyInfo.memoryKb": Setting(number(0), "memory_kb"),
+    "familyInfo.memoryKb": Setting(number_in_range(0), "memory_kb"),
     "familyInfo.passesDeadline": Setting(FLAG, None),
-    "familyInfo.runFactor": Setting(number(1), "run_memory_factor"),
+    "familyInfo.runFactor": Setting(number_in_range(1), "run_memory_factor"),
     "familyInfo.say": Setting(_one_of(*FEEDBACKS), "feedback", FEEDBACK),
     "limits.maxRetryAfter": Setting(TIME, "retry_after_max_us"),
 }
-# Its value gives two fields, `can_stop` and `can_pause`.
+# This setting is not in NODE_SETTINGS because its value sets two fields, `can_stop` and `can_pause`.
 PREEMPTION = "familyInfo.preemption"
-PREEMPTION_EXPECTATION = _one_of(*PREEMPTION_WORDS)
-# Fields of each method that are configured as one value for all methods, or as a list with one for each.
+PREEMPTION_EXPECTATION = _one_of(*PREEMPTION_VALUES)
+# Settings of the methods that are given as one value for all methods, or as a list with one value per method.
 PER_METHOD_SETTINGS = {
     "familyInfo.classCalls": Setting(_each(FLAG), "makes_call"),
-    "familyInfo.worthWithout": Setting(_each(number(0, 1)), "degraded_value"),
+    "familyInfo.worthWithout": Setting(_each(number_in_range(0, 1)), "degraded_value"),
 }
-# Settings of one method, of an item of the list `services`.
+# Settings of one method, which are the keys of an item of the list `services`.
 METHODS_KEY = "services"
 METHOD_COUNT = f"{METHODS_KEY}.count"
 METHOD_SETTINGS = {
@@ -144,24 +153,26 @@
     "deadline": Setting(TIME, "deadline_us"),
     "effect": Setting(_one_of(*METHOD_KINDS), "kind", METHOD_KIND),
     "target": Setting(TIME, "latency_objective_us"),
-    "lateWorth": Setting(number(0, 1), "late_value"),
+    "lateWorth": Setting(number_in_range(0, 1), "late_value"),
     "window": Setting(TIME, "key_window_us"),
-    "worth": Setting(number(0), "criticality"),
+    "worth": Setting(number_in_range(0), "criticality"),
 }
 
 
 class SettingsOverrides(NamedTuple):
-    """The settings that are configured, by typed field, to be applied to others or to the defaults."""
+    """The settings that a configuration sets, by typed field, to be applied to other or default settings."""
 
     node: Mapping[str, Any]  # by field of NodeSettings
-    methods: Mapping[str, Mapping[str, Any]]  # by position as text, then by field of MethodSettings
+    methods: Mapping[
+        str, Mapping[str, Any]
+    ]  # by the method's position as text, then by field of MethodSettings
     method_count: int | None  # None: not configured
-    per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all, or a tuple of values
+    per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all methods, or one per method
 
     def apply_to(self, base: NodeSettings) -> NodeSettings:
-        """Return `base` with these values in place of its own.
+        """Return `base` with the values of these overrides in place of its own.
 
-        Raise IndexError where a tuple has fewer values than there are methods.
+        Raise IndexError if a tuple in `per_method` has fewer values than there are methods.
         """
         count = len(base.methods) if self.method_count is None else self.method_count
         methods = tuple(self._method(base, position) for position in range(count))
@@ -178,40 +189,46 @@
 
 
 def from_pairs(raw: Mapping[str, str]) -> NodeSettings:
-    """Return the settings of the simulator's pairs of path and text, which are not checked."""
+    """Return the settings that the simulator's pairs of path and text describe. Values are not checked."""
     pairs = ((path, text if path.endswith(".name") else _parse_value(text)) for path, text in raw.items())
-    return _overrides(pairs).apply_to(NodeSettings())
+    return _make_overrides(pairs).apply_to(NodeSettings())
 
 
 def from_json(tree: Mapping[str, object]) -> NodeSettings:
-    """Return the settings of a configuration's nested object, see `overrides_from_json`."""
+    """Return the settings that the nested object of a configuration describes; see `overrides_from_json`."""
     return overrides_from_json(tree).apply_to(NodeSettings())
 
 
 def overrides_from_json(tree: Mapping[str, object]) -> SettingsOverrides:
-    """Return what a configuration's nested object sets; a null sets nothing. Raise as `check` does."""
+    """Return the overrides that the nested object of a configuration describes; a null sets nothing.
+
+    Raise ConfigError for an invalid value, see `check_value`.
+    """
     pairs = [(path, value) for path, value in _flatten("", tree) if value is not None]
     for path, value in pairs:
-        check(path, value, _expectation(path))
-    return _overrides(pairs)
+        check_value(path, value, _expectation_for(path))
+    return _make_overrides(pairs)
 
 
-def check(path: str, value: object, expectation: Expectation) -> None:
-    """Raise ConfigError with the field, its value and what is expected, where the value can't be."""
-    holds, text = expectation
-    if not holds(value):
+def check_value(path: str, value: object, expectation: Expectation) -> None:
+    """Raise ConfigError, which names the path, the value and the expectation, if the value is invalid."""
+    accepts, text = expectation
+    if not accepts(value):
         raise ConfigError(f"{path}: {value!r:.{MAX_QUOTED_LENGTH}}: expected {text}")
 
 
 def parse_whole_number(text: str) -> int:
-    """Return the whole number of a text. Raise ValueError for any other text."""
+    """Return the whole number that the text is. Raise ValueError for any other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
     return int(text)
 
 
 def _split_method_path(path: str) -> tuple[str, str] | None:
-    """Return position and item of a setting of one method; None: it is of the node, or of all methods."""
+    """Return the position of the method and the name of its setting.
+
+    Return None for the path of a setting of the node or of all methods.
+    """
     group, _, rest = path.partition(".")
     if group != METHODS_KEY:
         return None
@@ -219,7 +236,7 @@
     return position, item
 
 
-def _expectation(path: str) -> Expectation:
+def _expectation_for(path: str) -> Expectation:
     if path == PREEMPTION:
         return PREEMPTION_EXPECTATION
     method_path = _split_method_path(path)
@@ -228,7 +245,7 @@
     return (NODE_SETTINGS.get(path) or PER_METHOD_SETTINGS.get(path, UNUSED)).expectation
 
 
-def _overrides(pairs: Iterable[tuple[str, Any]]) -> SettingsOverrides:
+def _make_overrides(pairs: Iterable[tuple[str, Any]]) -> SettingsOverrides:
     node: dict[str, Any] = {}
     methods: dict[str, dict[str, Any]] = {}
     per_method: dict[str, Any] = {}
@@ -238,8 +255,8 @@
         if path == METHOD_COUNT:
             method_count = value
         elif path == PREEMPTION:
-            node["can_stop"] = value in STOPPING_WORDS
-            node["can_pause"] = value == PAUSING_WORD
+            node["can_stop"] = value in STOPPING_VALUES
+            node["can_pause"] = value == PAUSING_VALUE
         elif path in PER_METHOD_SETTINGS:
             if value != EMPTY_LIST:
                 _set_field(per_method, PER_METHOD_SETTINGS[path], value)
@@ -271,7 +288,7 @@
 
 
 def _as_pair_value(values: list[object]) -> object:
-    """Return a plain list as the simulator's pairs give it: one of a single value is that value."""
+    """Return a list as `_parse_value` returns it for the simulator's pairs: a single item without a tuple."""
     if not values:
         return EMPTY_LIST
     return values[0] if len(values) == 1 else tuple(values)
--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -413,7 +413,7 @@
         testbed.send_signals(signal.SIGHUP)
         assert testbed.serves()
     log = testbed.terminate()[1]
-    assert log.count("configuration rejected") + log.count("wait for the next start") == len(odd)
+    assert log.count("configuration rejected") + log.count("take effect at the next start") == len(odd)
     assert "Traceback" not in log
 
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -198,7 +198,7 @@
     )
 
 
-def test_what_waits_for_the_next_start_is_named_by_its_key_alone(tmp_path):
+def test_a_change_that_takes_effect_at_the_next_start_is_logged_by_its_key_alone(tmp_path):
     config, path = config_with(tmp_path, watch={"settings": {"round": 5000}})
     used = read_config(str(path))
     lines = []
@@ -206,4 +206,4 @@
     path.write_text(json.dumps({**config, "watch": {"settings": {"round": 5000}}, "settings": {}}))
     assert reread_config(str(path), used).addresses == used.addresses
     logger.remove(sink)
-    assert lines == ["configuration: new settings wait for the next start\n"]
+    assert lines == ["configuration: changes to settings take effect at the next start\n"]
