--- a/finchcart/event_loop.py
+++ b/finchcart/event_loop.py
@@ -124,7 +124,7 @@
         take = self._inputs.get_nowait
         append = self._waiting.append
         try:
-            for _ in range(self._limits.turn_inputs):
+            for _ in range(self._limits.max_turn_inputs):
                 append(take())
         except Empty:
             return False
@@ -136,7 +136,7 @@
         A thread without a turn for long was suspended, and the readers with it.
         """
         reading = read_clocks()
-        if reading.boot - self._last_turn_at > self._limits.turn_gap_us:
+        if reading.boot - self._last_turn_at > self._limits.suspension_gap_us:
             self._awake_since = reading.boot
         self._last_turn_at = reading.boot
         offset = reading.unix - reading.boot
@@ -182,7 +182,7 @@
         if fault is not None:
             self._waiting.appendleft(ConnectionEnded(received.connection, fault))
         not_before = received.empty_at
-        gap = self._limits.turn_gap_us
+        gap = self._limits.suspension_gap_us
         if received.was_waiting and received.received_at - self._awake_since > gap:
             not_before = max(not_before, received.received_at - gap)  # no pause held the bytes back
         return MessagesReceived(received.connection, messages, received.received_at, not_before)
@@ -211,6 +211,6 @@
         self._idle_us += after - before
         if (
             timeout_s is not None
-            and after - before < timeout_s * MICROSECONDS_PER_SECOND + self._limits.turn_gap_us
+            and after - before < timeout_s * MICROSECONDS_PER_SECOND + self._limits.suspension_gap_us
         ):
             self._last_turn_at = after  # it waited as long as it meant to
--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -41,8 +41,8 @@
     read_ahead: int = 2  # batches requested of a connection at once: its reader is not woken for each
     frontend_batch: int = 8  # messages that a dispatcher's connection delivers at once, at most
     outbound_batch: int = 64  # the same of one that the node opened: all runs share one
-    turn_inputs: int = 32  # processed in one turn at most: all that they send is one write
-    turn_gap_us: int = 500 * MS  # longer between two turns means that the process was suspended
+    max_turn_inputs: int = 32  # processed in one turn at most: all that they send is one write
+    suspension_gap_us: int = 500 * MS  # longer between two turns means that the process was suspended
     load_interval_us: int = 40 * MS  # between measurements of the part of time that inputs take
     busy_threshold: float = 0.2  # above this part of the time the loop pauses between turns
     busy_pause_us: int = 2 * MS  # the pause; what comes meanwhile is processed in one turn
@@ -50,7 +50,7 @@
 
     # RPCs
     open_rpcs: int = 32  # on one connection
-    body_bytes: int = 2 * 1024
+    max_body_bytes: int = 2 * 1024
     late_read_grace_us: int = 1 * SECOND  # an RPC may be read so long past its deadline as a duplicate
     max_expected_run_us: int = 600 * SECOND  # the longest run that an RPC may announce
     max_clock_lead_us: int = 1 * SECOND  # an RPC stamped further ahead of the clock than this is not valid
@@ -58,9 +58,9 @@
     # Worker pool, store and registry
     gauges_timeout_us: int = 25 * MS  # a timer waits this long for the gauges
     connect_timeout_us: int = 1 * SECOND
-    pool_retry_interval_us: int = 5 * MS  # the first pause before the worker pool is connected to again
-    pool_longest_pause_us: int = 50 * MS  # pauses double up to this while connections don't hold
-    pool_steady_time_us: int = 50 * MS  # one that held for so long is followed by the next without a pause
+    pool_min_retry_delay_us: int = 5 * MS  # the first pause before the worker pool is connected to again
+    pool_max_retry_delay_us: int = 50 * MS  # pauses double up to this while connections don't hold
+    pool_stable_after_us: int = 50 * MS  # one that held for so long is followed by the next without a pause
     pool_move_timeout_us: int = 250 * MS  # to end what is under way at an old address
     pool_start_tolerance_us: int = 1 * SECOND  # starts of the worker pool this close together are one
     store_idle_timeout_us: int = 1 * SECOND  # shorter than the 10 s of the store
@@ -76,7 +76,7 @@
     crossing_window_us: int = 50 * MS  # a request may cross a close for so long: it is sent once more
     close_retry_interval_us: int = 20 * MS  # between attempts to close where something was on its way
     partial_message_timeout_us: int = 1 * SECOND  # for the rest of a message that has begun
-    discard_bytes: int = 256 * 1024  # discarded of what is still sent, so that answers go out before a close
+    max_discarded_bytes: int = 256 * 1024  # of what is still sent, so that answers go out before a close
     linger_timeout_us: int = 1 * SECOND  # wait for the peer's close after the last byte
     send_timeout_us: int = 30 * SECOND  # without progress of a write; then the connection is broken
     accept_retry_delay_us: int = 50 * MS  # the longest pause when descriptors run out
--- a/finchcart/net/discarding.py
+++ b/finchcart/net/discarding.py
@@ -20,7 +20,7 @@
 
     While answers are still being written, which ends by itself, a silent peer is no reason to stop.
     """
-    remaining = limits.discard_bytes
+    remaining = limits.max_discarded_bytes
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(limits.linger_timeout_us))
     except OSError:
--- a/finchcart/node/worker_pool/connection.py
+++ b/finchcart/node/worker_pool/connection.py
@@ -43,9 +43,9 @@
     __slots__ = ("_first_us", "_longest_us", "_quick_losses", "_steady_us")
 
     def __init__(self, limits: Limits) -> None:
-        self._steady_us = limits.pool_steady_time_us
-        self._first_us = limits.pool_retry_interval_us
-        self._longest_us = limits.pool_longest_pause_us
+        self._steady_us = limits.pool_stable_after_us
+        self._first_us = limits.pool_min_retry_delay_us
+        self._longest_us = limits.pool_max_retry_delay_us
         self._quick_losses = 0  # connections lost one after the other before they were steady
 
     def after_loss(self, bound_for_us: int | None) -> int:
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -83,8 +83,8 @@
     """
     if fields is None or body is None:
         raise InvalidRpcError("the call carries no fields or no body")
-    if len(body) > limits.body_bytes:
-        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.body_bytes} at most")
+    if len(body) > limits.max_body_bytes:
+        raise InvalidRpcError(f"body: {len(body)} bytes, {limits.max_body_bytes} at most")
     method = fields.get("c")
     if method is None or method not in methods:
         raise InvalidRpcError(f"field c={_quoted(method)}: no such method")
