--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -1,7 +1,7 @@
-"""All sizes, counts and times of the real node, in one type.
+"""All sizes, counts and times that bound a real node, in one type.
 
-Owns the figures by which the node bounds itself; filled once at start from the configuration and handed down.
-It must never hold a figure that decides about RPCs: those stand in finchcart/decisions/ alone.
+The limits are filled once at start from the configuration and then passed on as a value. Values that affect
+decisions about RPCs must not be defined here; they belong to finchcart/decisions/.
 """
 
 from collections.abc import Mapping
@@ -10,91 +10,113 @@
 MS = 1_000
 SECOND = 1_000_000
 
-# The platform's contract: a kill may follow the notice to leave after the longest deadline of a method, of
-# which no more than this counts, and a delay.
+# The platform may kill a node once this time has passed since the drain notice: the longest deadline of all
+# methods, of which at most MAX_COUNTED_DEADLINE_US count, plus KILL_DELAY_US.
 MAX_COUNTED_DEADLINE_US = 3 * SECOND
 KILL_DELAY_US = 700 * MS
 
 MAX_CACHED_RESULTS_BYTES = 16 * 1024 * 1024
-CACHED_RESULTS_DIVISOR = 8  # cached results take no more than this part of the memory
-MIN_CONNECTIONS = 8  # however little memory there is
+CACHED_RESULTS_DIVISOR = 8  # cached results may use at most one eighth of the memory
+MIN_CONNECTIONS = 8  # allowed even if the memory is too small for them
 
 
 class Limits(NamedTuple):
-    """The figures. Those without a default come from the configuration; a name without a unit is a count."""
+    """The limits of a node.
 
-    memory_bytes: int  # that the node may take
-    descriptors: int  # open files and sockets
-    stop_timeout_us: int  # from the notice to leave until the kill may come
+    Fields without a default come from the configuration. A field whose name has no unit is a count.
+    """
+
+    memory_bytes: int  # memory that the process may use
+    descriptors: int  # files and sockets that the process may have open
+    stop_timeout_us: int  # from the drain notice until the earliest time of a kill
 
     # Memory and descriptors
-    base_memory_bytes: int = 20 * 2**20  # of the process without connections, with cached results
-    connection_memory_bytes: int = 64 * 1024  # of one: two threads, a buffer, queued answers
+    base_memory_bytes: int = 20 * 2**20  # of the process without connections, including cached results
+    connection_memory_bytes: int = 64 * 1024  # per connection: two threads, a buffer and queued responses
     thread_stack_bytes: int = 128 * 1024
-    buffer_bytes: int = 16 * 1024  # of each buffer: the longest message that is read
-    spare_buffers: int = 64  # kept for reuse; more are freed
-    backlog: int = 1024  # connections that wait to be accepted
-    reserved_descriptors: int = 64  # not for dispatchers: listener, worker pool, store, registry, files
-    cached_results_bytes: int = MAX_CACHED_RESULTS_BYTES  # of results that duplicates may still get
+    buffer_bytes: int = 16 * 1024  # size of a receive buffer, and so the maximum size of a message
+    spare_buffers: int = 64  # unused buffers that are kept for reuse; further ones are freed
+    backlog: int = 1024  # connections that wait in the kernel to be accepted
+    reserved_descriptors: int = 64  # kept for the listener, worker pool, store, registry and files
+    cached_results_bytes: int = MAX_CACHED_RESULTS_BYTES  # of results that are kept for duplicates
 
     # The event loop
-    read_ahead: int = 2  # batches requested of a connection at once: its reader is not woken for each
-    frontend_batch: int = 8  # messages that a dispatcher's connection delivers at once, at most
-    outbound_batch: int = 64  # the same of one that the node opened: all runs share one
-    max_turn_inputs: int = 32  # processed in one turn at most: all that they send is one write
-    suspension_gap_us: int = 500 * MS  # longer between two turns means that the process was suspended
-    load_interval_us: int = 40 * MS  # between measurements of the part of time that inputs take
-    busy_threshold: float = 0.2  # above this part of the time the loop pauses between turns
-    busy_pause_us: int = 2 * MS  # the pause; what comes meanwhile is processed in one turn
-    log_interval_us: int = 10 * SECOND  # between lines on faults of one party
+    # Batches that are requested from a connection ahead of time, so that its reader thread need not be woken
+    # for each batch.
+    read_ahead: int = 2
+    frontend_batch: int = 8  # maximum number of messages in a batch from a dispatcher's connection
+    # Maximum number of messages in a batch from a connection that the node opened. It is larger because all
+    # runs share one such connection.
+    outbound_batch: int = 64
+    # Inputs that one turn of the event loop processes at most. All bytes that a turn sends on one connection
+    # are one write.
+    max_turn_inputs: int = 32
+    suspension_gap_us: int = 500 * MS  # a longer gap between two turns means that the process was suspended
+    load_interval_us: int = 40 * MS  # between two measurements of the share of time spent on inputs
+    busy_threshold: float = 0.2  # the loop pauses between turns while that share is above this value
+    busy_pause_us: int = 2 * MS  # length of the pause; inputs that arrive in it are processed in one turn
+    log_interval_us: int = (
+        10 * SECOND
+    )  # of the statistics in the log, and of the limit on fault lines per peer
 
     # RPCs
-    open_rpcs: int = 32  # on one connection
+    open_rpcs: int = 32  # maximum per connection
     max_body_bytes: int = 2 * 1024
-    late_read_grace_us: int = 1 * SECOND  # an RPC may be read so long past its deadline as a duplicate
-    max_expected_run_us: int = 600 * SECOND  # the longest run that an RPC may announce
-    max_clock_lead_us: int = 1 * SECOND  # an RPC stamped further ahead of the clock than this is not valid
+    late_read_grace_us: int = (
+        1 * SECOND
+    )  # past its deadline, an RPC may still be read this long, as a duplicate
+    max_expected_run_us: int = 600 * SECOND  # the longest expected run time that an RPC may announce
+    max_clock_lead_us: int = 1 * SECOND  # an RPC whose timestamp is further in the future is invalid
 
     # Worker pool, store and registry
-    gauges_timeout_us: int = 25 * MS  # a timer waits this long for the gauges
+    gauges_timeout_us: int = 25 * MS  # how long a timer event waits for the response with the gauges
     connect_timeout_us: int = 1 * SECOND
-    pool_min_retry_delay_us: int = 5 * MS  # the first pause before the worker pool is connected to again
-    pool_max_retry_delay_us: int = 50 * MS  # pauses double up to this while connections don't hold
-    pool_stable_after_us: int = 50 * MS  # one that held for so long is followed by the next without a pause
-    pool_move_timeout_us: int = 250 * MS  # to end what is under way at an old address
-    pool_start_tolerance_us: int = 1 * SECOND  # starts of the worker pool this close together are one
-    store_idle_timeout_us: int = 1 * SECOND  # shorter than the 10 s of the store
-    calls_per_store_connection: int = 200  # one after the other
-    registration_interval_us: int = 300 * MS  # the registry forgets after 3 s, and some reports are lost
+    pool_min_retry_delay_us: int = 5 * MS  # before the first attempt to reconnect to the worker pool
+    pool_max_retry_delay_us: int = 50 * MS  # the delay doubles up to this value
+    pool_stable_after_us: int = 50 * MS  # the loss of a connection that lasted this long causes no delay
+    pool_move_timeout_us: int = 250 * MS  # for outstanding commands at the old address before a move
+    pool_start_tolerance_us: int = 1 * SECOND  # start times this close together are one start of the pool
+    store_idle_timeout_us: int = 1 * SECOND  # shorter than the store's own idle timeout of 10 s
+    calls_per_store_connection: int = 200  # sequential calls before a connection is closed
+    # The registry removes a node after 3 s without a report. The interval is much shorter because some
+    # reports are lost.
+    registration_interval_us: int = 300 * MS
 
     # Closing connections of dispatchers
-    health_check_idle_timeout_us: int = 5 * SECOND  # of one that carried health checks
-    silent_timeout_us: int = 500 * MS  # where connections are many, those silent for so long are closed
-    unused_timeout_us: int = 1500 * MS  # the close of one that carried no message is announced after this
-    unused_close_delay_us: int = 250 * MS  # and follows after this: what crosses is sent once more elsewhere
-    close_delay_us: int = 2 * SECOND  # from the notice of a close until the close
-    crossing_window_us: int = 50 * MS  # a request may cross a close for so long: it is sent once more
-    close_retry_interval_us: int = 20 * MS  # between attempts to close where something was on its way
-    partial_message_timeout_us: int = 1 * SECOND  # for the rest of a message that has begun
-    max_discarded_bytes: int = 256 * 1024  # of what is still sent, so that answers go out before a close
-    linger_timeout_us: int = 1 * SECOND  # wait for the peer's close after the last byte
-    send_timeout_us: int = 30 * SECOND  # without progress of a write; then the connection is broken
-    accept_retry_delay_us: int = 50 * MS  # the longest pause when descriptors run out
-
-    # The end of the process
-    kill_margin_us: int = 100 * MS  # the node has ended so long before the kill may come
-    exit_time_us: int = 60 * MS  # from the decision to end until the process is gone
-    finish_period_us: int = 600 * MS  # before its end none is accepted, and all dispatchers are to close
-    finish_retry_interval_us: int = 4 * MS  # between attempts to close at the end
-    unready_check_interval_us: int = 40 * MS  # between checks for the end without a worker pool
-    final_check_delay_us: int = 100 * MS  # between the end of listening and the end
-    quiet_period_us: int = 1 * SECOND  # without any connection after the grace: the node may end
+    health_check_idle_timeout_us: int = 5 * SECOND  # of a connection that carried only health checks
+    # Idle time after which connections are closed while many are open.
+    silent_timeout_us: int = 500 * MS
+    unused_timeout_us: int = 1500 * MS  # a new connection without a message by then is told of its close
+    # From that notice until the close. A request that crosses the notice is sent again to another node.
+    unused_close_delay_us: int = 250 * MS
+    close_delay_us: int = 2 * SECOND  # from the notice of a close until the close, for other connections
+    # How long a request may be under way when a connection closes. The dispatcher sends such a request again.
+    crossing_window_us: int = 50 * MS
+    close_retry_interval_us: int = 20 * MS  # between attempts to close while data was still arriving
+    partial_message_timeout_us: int = 1 * SECOND  # for the rest of a message of which a part was received
+    # Bytes from the peer that are read and discarded at most before a close. Closing over unread bytes would
+    # reset the connection, and pending responses would be lost.
+    max_discarded_bytes: int = 256 * 1024
+    linger_timeout_us: int = 1 * SECOND  # how long the node waits for the peer's close after its last byte
+    send_timeout_us: int = 30 * SECOND  # a write that makes no progress for so long breaks the connection
+    accept_retry_delay_us: int = 50 * MS  # maximum delay between attempts while descriptors are exhausted
+
+    # Shutdown
+    kill_margin_us: int = 100 * MS  # the shutdown is planned to end this long before the earliest kill
+    exit_time_us: int = 60 * MS  # from the decision to end until the process has exited
+    # This long before its planned end, a node stops accepting connections and tells all dispatchers to close
+    # theirs.
+    finish_period_us: int = 600 * MS
+    finish_retry_interval_us: int = 4 * MS  # between attempts to close connections at the planned end
+    unready_check_interval_us: int = 40 * MS  # between checks for the end of a drain without a worker pool
+    final_check_delay_us: int = 100 * MS  # from the end of listening until the node ends
+    quiet_period_us: int = 1 * SECOND  # after the grace period, a node without connections for so long ends
 
     @classmethod
     def from_config(cls, limits: Mapping[str, Any], stop_ms: float, longest_deadline_us: int) -> Self:
-        """Return the limits of a configuration, of its keys `limits` and `stop_ms`.
+        """Return the limits that the keys `limits` and `stop_ms` of a configuration describe.
 
-        `longest_deadline_us`: of all methods. Raise KeyError where a key is missing.
+        `longest_deadline_us` is the longest deadline of all methods. Raise KeyError if a key is missing.
         """
         earliest_kill_us = min(longest_deadline_us, MAX_COUNTED_DEADLINE_US) + KILL_DELAY_US
         memory_bytes = int(limits["memory_mb"] * 2**20)
@@ -107,16 +129,17 @@
 
     @property
     def max_connections(self) -> int:
-        """Return how many connections of dispatchers descriptors and memory allow."""
+        """Return how many connections of dispatchers the descriptors and the memory allow."""
         by_descriptors = max(self.descriptors // 2, self.descriptors - self.reserved_descriptors)
         by_memory = (self.memory_bytes - self.base_memory_bytes) // self.connection_memory_bytes
         return min(by_descriptors, max(MIN_CONNECTIONS, by_memory))
 
     @property
     def max_accepted(self) -> int:
-        """Return how many may be open at once: `max_connections`, and a few that are closing.
+        """Return how many sockets of dispatchers may be open: `max_connections`, and some that are closing.
 
-        Three quarters of the descriptors beyond `max_connections` stay the node's own.
+        Closing connections may use a quarter of the descriptors beyond `max_connections`; the rest stays
+        reserved for the node itself.
         """
         closing = min((self.descriptors - self.max_connections) // 4, self.max_connections // 8)
         return self.max_connections + max(1, closing)
