--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -1,8 +1,8 @@
 """The process of one node, from its start to its end.
 
-Owns signals, logging, threads' settings and the order in which a node is put together; both
-`python -m finchcart` and `finchcart serve` start it here. It must never import anything of a fleet: who takes
-part in one hands its part in.
+This module sets up signals, logging and threads, and creates the parts of a node in their order. Both
+`python -m finchcart` and `finchcart serve` start a node here. The module must never import anything that
+belongs to a fleet: a node that takes part in a fleet passes its participant in through `run_node`.
 """
 
 import os
@@ -32,13 +32,13 @@
 from finchcart.thrift import codec
 from finchcart.thrift.frontend import ThriftFrontend
 
-if TYPE_CHECKING:  # not imported where no fleet is configured
+if TYPE_CHECKING:  # a node without a fleet must not import this module at run time
     from finchcart.fleet_participant import FleetParticipant
 
-EXIT_FAULT = 1
+EXIT_FAILED = 1
 EXIT_NOT_STARTED = 2
-FRONTEND = "thrift"
-NOTICES: dict[int, type[Drain] | type[ReloadConfig]] = {
+FRONTEND_NAME = "thrift"
+SIGNAL_INPUTS: dict[int, type[Drain] | type[ReloadConfig]] = {
     signal.SIGTERM: Drain,
     signal.SIGINT: Drain,
     signal.SIGHUP: ReloadConfig,
@@ -49,19 +49,19 @@
 
 
 def log_as_text() -> None:
-    """Log lines of text on stderr."""
+    """Write the log as lines of text on standard error."""
     logger.remove()
     text = "{time:HH:mm:ss.SSS} {level} {message}"
     logger.add(LogSink(), format=text, backtrace=False, diagnose=False)
 
 
 def run_node(configure_log: Callable[[], None] = log_as_text, join_fleet: JoinFleet | None = None) -> int:
-    """Serve as a node until the notice to leave; return the status of the process.
+    """Serve as a node until it has drained; return the exit status of the process.
 
-    `join_fleet(inputs, name)` makes the node's part in a fleet, or None; it raises ConfigError where that
-    cannot be.
+    `join_fleet(inputs, name)` creates the node's participant in a fleet, or returns None if no fleet is
+    configured. It raises ConfigError if its settings are invalid.
     """
-    inputs: Inputs = SimpleQueue()  # its put may be called from a signal handler
+    inputs: Inputs = SimpleQueue()  # a queue whose put() is safe to call from a signal handler
     listeners: list[Callable[[Drain | ReloadConfig], None]] = [inputs.put]
     _handle_signals(listeners)
     configure_log()
@@ -71,7 +71,7 @@
         listener = retry_at_start(lambda: Listener(config.listen, config.limits), "listening")
         fleet = join_fleet(inputs, config.name) if join_fleet else None
     except (ConfigError, OSError, OverflowError) as error:
-        with suppress(OSError):  # nobody may be reading
+        with suppress(OSError):  # standard error may be closed
             print(f"finchcart: {error}", file=sys.stderr)
         return EXIT_NOT_STARTED
     if fleet:
@@ -79,48 +79,50 @@
     _configure_threads(inputs, config.limits.thread_stack_bytes)
     core = _make_core(config, fleet)
     connections = ConnectionTable(
-        inputs, Buffers(config.limits), config.limits, listener, FRONTEND, codec.THRIFT_CODEC
+        inputs, Buffers(config.limits), config.limits, listener, FRONTEND_NAME, codec.THRIFT_CODEC
     )
-    logger.info("{} on {}:{}", config.name, *config.listen)
+    logger.info("node {} listening on {}:{}", config.name, *config.listen)
     loop = EventLoop(core, connections, inputs, partial(reread_config, path, config), config.limits, fleet)
-    return _run_to_end(loop, fleet)
+    return _run_event_loop(loop, fleet)
 
 
 def exit_process(status: int) -> NoReturn:
-    """End the process immediately: threads that still wait on a socket are not waited for."""
+    """End the process immediately, without waiting for threads that are blocked on a socket."""
     for stream in (sys.stdout, sys.stderr):
-        with suppress(OSError, ValueError):  # a full disk, or nobody reads: the exit status is enough
+        with suppress(OSError, ValueError):  # the disk may be full, or the stream closed; the status counts
             stream.flush()
     os._exit(status)
 
 
 def _handle_signals(listeners: list[Callable[[Drain | ReloadConfig], None]]) -> None:
-    """Have signals make inputs, for the listeners there are when one comes."""
+    """Make each signal create an input and pass it to all `listeners` that are registered at that time."""
 
     def handle(number: int, _: FrameType | None) -> None:
-        # With the moment: the turn that takes it may come late, and the grace counts from the notice.
-        notice = NOTICES[number](boot_clock())
+        # The input holds the time of the signal, from which the grace period counts: the turn that processes
+        # the input may run late.
+        signal_input = SIGNAL_INPUTS[number](boot_clock())
         for notify in listeners:
-            notify(notice)
+            notify(signal_input)
 
-    for number in NOTICES:
+    for number in SIGNAL_INPUTS:
         signal.signal(number, handle)
 
 
 def _configure_threads(inputs: Inputs, stack_size: int) -> None:
-    """Set the stacks of threads, in bytes, and what happens when one dies.
+    """Set the stack size of threads, in bytes, and the handler for exceptions that end a thread.
 
-    No thread dies without a log line: the node ends rather than lose a response that is pending.
+    The handler logs each such exception and ends the node, which otherwise might never send a response that
+    is pending.
     """
 
-    def on_death(fault: threading.ExceptHookArgs) -> None:
+    def on_thread_exception(fault: threading.ExceptHookArgs) -> None:
         exception = fault.exc_type, fault.exc_value, fault.exc_traceback
         name = fault.thread.name if fault.thread else "unknown"
-        logger.opt(exception=exception).error("thread {} died", name)
+        logger.opt(exception=exception).error("unhandled exception in thread {}; the node exits", name)
         inputs.put(ThreadDied(name))
 
     threading.stack_size(stack_size)
-    threading.excepthook = on_death
+    threading.excepthook = on_thread_exception
 
 
 def _make_core(config: NodeConfig, fleet: "FleetParticipant | None") -> Core:
@@ -131,20 +133,20 @@
         config.seed,
         config.name,
         config.addresses,
-        lambda core: {FRONTEND: ThriftFrontend(core, config.limits)},
+        lambda core: {FRONTEND_NAME: ThriftFrontend(core, config.limits)},
         config.shadow,
         *fleet_parts,
     )
 
 
-def _run_to_end(loop: EventLoop, fleet: "FleetParticipant | None") -> int:
+def _run_event_loop(loop: EventLoop, fleet: "FleetParticipant | None") -> int:
     if fleet:
         fleet.start()
     try:
         loop.run()
-    except Exception:  # guards against serving on with state that an exception left half changed
-        logger.exception("the node's state can't be trusted, ending")
-        return EXIT_FAULT
+    except Exception:  # the exception may have left the state half changed, so the node must not go on
+        logger.exception("unhandled exception in the event loop; the node exits, as its state may be invalid")
+        return EXIT_FAILED
     if fleet:
         fleet.stop()
     logger.info("ended")
