--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -1,8 +1,9 @@
-"""Codec of the simulator's line protocol: lines are read into events, and written from values.
+"""Codec of the simulator's line protocol: parses lines into events and formats actions as lines.
 
-A line is the name of a message and `name=value` fields, separated by tabs. Owns all words of the protocol but
-those of settings (finchcart/settings.py): nothing else in the program knows one. It must never decide
-anything; host.py checks which message follows which.
+A line is the name of a message followed by `name=value` fields, all separated by tabs. All names of the
+protocol are defined in this module and used nowhere else, except the names of settings, which are defined in
+finchcart/settings.py. The codec must never make decisions, and it does not check the order of messages:
+host.py does.
 """
 
 from collections.abc import Callable
@@ -11,7 +12,7 @@
 from finchcart.decisions.gauges import Gauges
 from finchcart.decisions.outcome import Outcome
 from finchcart.errors import ProtocolError
-from finchcart.settings import whole_number
+from finchcart.settings import parse_whole_number
 from finchcart.simulator.events import (
     BatchEnded,
     BatchStarted,
@@ -37,40 +38,46 @@
     444: Outcome.STOPPED,
     409: Outcome.NOT_STARTED,
 }
-FLAGS = {"1": True, "0": False, "true": True, "false": False}
-NO_ID = "0"
+FLAG_VALUES = {"1": True, "0": False, "true": True, "false": False}
+ABSENT_ID = "0"
 HEX_DIGITS = frozenset("0123456789abcdef")
 ID_LENGTH = 16
-TIMER_NAME = "sweep"  # of an instance's one timer
-MAX_QUOTED = 40  # characters of a line that an error quotes
-MAX_FAULT_LENGTH = 120  # characters of a fault that are reported
-LEVEL_DIGITS = 4  # of a shed level, after the point
+TIMER_NAME = "sweep"  # each instance has one timer, always of this name
+MAX_QUOTED_LENGTH = 40  # maximum number of characters of a line that an error message quotes
+MAX_ERROR_LENGTH = 120  # maximum number of characters of an exception that is reported to the simulator
+FEEDBACK_DECIMALS = 4  # decimal places of a shed level or credit
 
 
 class WireError(ProtocolError):
-    """A line that can't be read: names the message, the field and what was expected."""
+    """An invalid line; the text names the message, the field and the expected value."""
 
 
-# ---- Reading
+# ---- Parsing
 
 
 class FieldType(NamedTuple):
-    """How the text of a field is read; `read` raises ValueError or KeyError where it can't be."""
+    """How the text of a field is parsed; `read` raises ValueError or KeyError for invalid text."""
 
     read: Callable[[str], object]
     expected: str
 
 
 class Field(NamedTuple):
-    """A field of a message."""
+    """A field of a message: its key in the protocol, its type, and the event's field that receives it.
 
-    word: str  # in the protocol
+    The value of a field whose `event_field` is None is validated and then dropped.
+    """
+
+    key: str
     type: FieldType
-    name: str | None  # of the event's field; None: it is checked and not used
+    event_field: str | None
 
 
-class EventFormat(NamedTuple):
-    """How a message is read into an event. An optional field that is absent or empty keeps its default."""
+class MessageFormat(NamedTuple):
+    """How a message is parsed into an event.
+
+    An optional field that is absent or empty keeps the default of the event's field.
+    """
 
     event: Callable[..., Event]
     required: tuple[Field, ...]
@@ -84,7 +91,7 @@
 
 
 def _read_optional_id(text: str) -> str | None:
-    return None if text == NO_ID else _read_id(text)
+    return None if text == ABSENT_ID else _read_id(text)
 
 
 def _read_gauges(text: str) -> Gauges:
@@ -96,10 +103,10 @@
     return OUTCOMES[int(text)]
 
 
-WHOLE_NUMBER = FieldType(whole_number, "a whole number")
+WHOLE_NUMBER = FieldType(parse_whole_number, "a whole number")
 NUMBER = FieldType(float, "a number")
 TEXT = FieldType(str, "text")
-FLAG = FieldType(FLAGS.__getitem__, "1 or 0")
+FLAG = FieldType(FLAG_VALUES.__getitem__, "1 or 0")
 ID = FieldType(_read_id, "16 hex digits")
 OPTIONAL_ID = FieldType(_read_optional_id, "16 hex digits or 0")
 OUTCOME = FieldType(_read_outcome, "a known outcome code")
@@ -107,13 +114,13 @@
 
 INSTANCE = Field("who", WHOLE_NUMBER, "instance")
 RPC = Field("call", ID, "rpc")
-ENDED = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
-SPENT = Field("spent", WHOLE_NUMBER, "spent")
+OUTCOME_FIELDS = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
+DURATION = Field("spent", WHOLE_NUMBER, "spent")
 
-EVENTS = {
-    "CREATE": EventFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
-    "KILL": EventFormat(InstanceKilled, (INSTANCE,)),
-    "KNOCK": EventFormat(
+MESSAGE_FORMATS = {
+    "CREATE": MessageFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
+    "KILL": MessageFormat(InstanceKilled, (INSTANCE,)),
+    "KNOCK": MessageFormat(
         RpcArrived,
         (INSTANCE, RPC, Field("profile", TEXT, "method"), Field("footprint", NUMBER, "memory_kb")),
         (
@@ -127,37 +134,39 @@
             Field("backlogTime", WHOLE_NUMBER, "waited"),
         ),
     ),
-    "WOUND_UP": EventFormat(RunEnded, ENDED, (SPENT,)),
-    "LEFT": EventFormat(CallerGone, (INSTANCE, RPC)),
-    "WANTS_CALL": EventFormat(CallAwaited, (INSTANCE, RPC)),
-    "DOWNSTREAM": EventFormat(CallEnded, ENDED, (SPENT,)),
-    "DRAIN": EventFormat(DrainNotice, (INSTANCE, Field("expires", WHOLE_NUMBER, "kill_at"))),
-    "WAKE": EventFormat(
+    "WOUND_UP": MessageFormat(RunEnded, OUTCOME_FIELDS, (DURATION,)),
+    "LEFT": MessageFormat(CallerGone, (INSTANCE, RPC)),
+    "WANTS_CALL": MessageFormat(CallAwaited, (INSTANCE, RPC)),
+    "DOWNSTREAM": MessageFormat(CallEnded, OUTCOME_FIELDS, (DURATION,)),
+    "DRAIN": MessageFormat(DrainNotice, (INSTANCE, Field("expires", WHOLE_NUMBER, "kill_at"))),
+    "WAKE": MessageFormat(
         TimerFired, (INSTANCE, Field("name", TEXT, None)), (Field("feedback", GAUGES, "gauges"),)
     ),
-    "TICK": EventFormat(BatchStarted, (Field("wall", WHOLE_NUMBER, "now"),)),
-    "END": EventFormat(BatchEnded, ()),
+    "TICK": MessageFormat(BatchStarted, (Field("wall", WHOLE_NUMBER, "now"),)),
+    "END": MessageFormat(BatchEnded, ()),
 }
-NAMES = {event_format.event: message for message, event_format in EVENTS.items()}
+MESSAGE_NAMES = {message_format.event: message for message, message_format in MESSAGE_FORMATS.items()}
 
 
 def parse(line: str) -> Event:
-    """Return the event that a line reports. Unknown fields are ignored.
+    """Return the event that a line describes. Unknown fields are ignored.
 
-    Raise WireError for a line that can't be read.
+    Raise WireError for an invalid line.
     """
     message, *parts = line.split("\t")
-    if message not in EVENTS:
-        raise WireError(f"message {message[:MAX_QUOTED]!r}: expected one of {', '.join(EVENTS)}")
-    event, required, optional = EVENTS[message]
+    if message not in MESSAGE_FORMATS:
+        raise WireError(
+            f"message {message[:MAX_QUOTED_LENGTH]!r}: expected one of {', '.join(MESSAGE_FORMATS)}"
+        )
+    event, required, optional = MESSAGE_FORMATS[message]
     raw = _split_parts(message, parts)
     fields: dict[str, object] = {}
     for field in required:
-        if field.word not in raw:
-            raise WireError(f"{message}: field {field.word} is missing, expected {field.type.expected}")
+        if field.key not in raw:
+            raise WireError(f"{message}: field {field.key} is missing, expected {field.type.expected}")
         _read_field(message, field, raw, fields)
     for field in optional:
-        if raw.get(field.word, "") != "":
+        if raw.get(field.key, "") != "":
             _read_field(message, field, raw, fields)
     if event is InstanceStarted:
         fields["settings"] = raw
@@ -169,43 +178,46 @@
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator:
-            raise WireError(f"{message}: part {part[:MAX_QUOTED]!r}: expected name=value")
+            raise WireError(f"{message}: part {part[:MAX_QUOTED_LENGTH]!r}: expected name=value")
         raw[name] = value
     return raw
 
 
 def _read_field(message: str, field: Field, raw: dict[str, str], fields: dict[str, object]) -> None:
-    word, field_type, name = field
-    text = raw[word]
+    key, field_type, event_field = field
+    text = raw[key]
     try:
         value = field_type.read(text)
     except (ValueError, KeyError):
-        found = f"{word}={text[:MAX_QUOTED]!r}"
+        found = f"{key}={text[:MAX_QUOTED_LENGTH]!r}"
         raise WireError(f"{message}: field {found}: expected {field_type.expected}") from None
-    if name is not None:
-        fields[name] = value
+    if event_field is not None:
+        fields[event_field] = value
 
 
-# ---- Errors of the order in which messages come
+# ---- Errors in the order of messages
 
 
 def out_of_order(event: Event, batch_is_open: bool) -> WireError:
-    """Return the error of a message that can't come here: a batch has begun, or has not."""
+    """Return the error for a message that is invalid inside a batch, or outside one."""
     expected = "an event or END" if batch_is_open else "TICK"
-    return WireError(f"{NAMES[type(event)]}: expected {expected} here")
+    return WireError(f"{MESSAGE_NAMES[type(event)]}: expected {expected} here")
 
 
 def no_such_instance(event: Event, instance: int) -> WireError:
-    """Return the error of an event of an instance that was not started."""
-    return WireError(f"{NAMES[type(event)]}: field who={instance}: expected an instance that was started")
+    """Return the error for an event that names an instance that was not started."""
+    return WireError(
+        f"{MESSAGE_NAMES[type(event)]}: field who={instance}: expected an instance that was started"
+    )
 
 
 def unfinished_batch() -> WireError:
-    """Return the error of an input that ends inside a batch."""
+    """Return the error for an input that ends inside a batch."""
     return WireError("the input ends inside a batch, expected END")
 
 
-# ---- Writing: one line each, of the answer to a batch. Arguments as those of Port's verbs.
+# ---- Formatting: each function returns one line of the response to a batch. The functions and their
+# arguments correspond to the methods of `Port` (finchcart/decisions/port.py).
 
 BATCH_ANSWERED = "FINISHED"
 
@@ -221,68 +233,68 @@
 
 
 def reject(instance: int, rpc: str, retry_after: int, do_not_retry: bool) -> str:
-    """Return the line that answers that an RPC never ran."""
+    """Return the line that rejects an RPC, which tells its caller that the RPC never ran."""
     advice = f"\twait={retry_after}" if retry_after else ""
     request = "\tlast=1" if do_not_retry else ""
     return f"BUSY\twho={instance}\tcall={rpc}{advice}{request}"
 
 
 def fail(instance: int, rpc: str) -> str:
-    """Return the line that answers that an RPC failed."""
+    """Return the line that responds to an RPC with a failure."""
     return f"END_FAILED\twho={instance}\tcall={rpc}"
 
 
 def call(instance: int, rpc: str, timeout: int) -> str:
-    """Return the line that makes the call of a run."""
+    """Return the line that makes the call of a run to the dependency."""
     return f"CALL_DEP\twho={instance}\tcall={rpc}\tlimit={timeout}"
 
 
 def degrade(instance: int, rpc: str) -> str:
-    """Return the line that leaves out the call of a run."""
+    """Return the line that makes a run go on without its call to the dependency."""
     return f"SKIP\twho={instance}\tcall={rpc}"
 
 
 def answer_duplicate(instance: int, rpc: str) -> str:
-    """Return the line that answers a duplicate with the result of the first RPC of its key."""
+    """Return the line that responds to a duplicate with the result of the first RPC with its key."""
     return f"SHARE\twho={instance}\tcall={rpc}"
 
 
 def store_key(instance: int, rpc: str, ttl: int) -> str:
-    """Return the line that keeps an idempotency key."""
+    """Return the line that stores an idempotency key for `ttl` microseconds."""
     return f"PIN\twho={instance}\tcall={rpc}\tkeepFor={ttl}"
 
 
 def evict_key(instance: int, rpc: str) -> str:
-    """Return the line that removes an idempotency key."""
+    """Return the line that evicts an idempotency key."""
     return f"DROP_KEY\twho={instance}\tcall={rpc}"
 
 
 def set_health(instance: int, healthy: bool, cached: bool) -> str:
-    """Return the line that sets how health checks are answered."""
+    """Return the line that sets the response to health checks."""
     return f"READINESS\twho={instance}\twant={int(healthy)}\tstored={int(cached)}"
 
 
 def publish_feedback(instance: int, value: float) -> str:
-    """Return the line that publishes a value with all answers, be it a shed level or a credit."""
-    return f"HINT_OUT\twho={instance}\tx={round(value, LEVEL_DIGITS)}"
+    """Return the line that publishes a shed level or a credit, which all responses then carry."""
+    return f"HINT_OUT\twho={instance}\tx={round(value, FEEDBACK_DECIMALS)}"
 
 
 def set_idle_timeout(instance: int, timeout: int) -> str:
-    """Return the line that sets after which silence connections are closed."""
+    """Return the line that sets the idle timeout of connections, in microseconds."""
     return f"IDLE_LIMIT\twho={instance}\tkeepFor={timeout}"
 
 
 def set_timer(instance: int, delay: int) -> str:
-    """Return the line that asks for the timer's event."""
+    """Return the line that sets the instance's timer to fire after `delay` microseconds."""
     return f"NOTIFY_ME\twho={instance}\tfromNow={delay}\tname={TIMER_NAME}"
 
 
 def log(instance: int, text: str) -> str:
-    """Return a line for the operators."""
+    """Return the line that carries a log message."""
     return f"TRACE\twho={instance}\twhat={text}"
 
 
-def instance_failed(instance: int, fault: Exception) -> str:
-    """Return the line that reports that an instance has failed and does nothing any more."""
-    text = f"{type(fault).__name__}: {fault}"[:MAX_FAULT_LENGTH].replace("\n", " ")
+def instance_failed(instance: int, error: Exception) -> str:
+    """Return the line that reports that an instance has failed and ignores all further events."""
+    text = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH].replace("\n", " ")
     return f"BROKEN\twho={instance}\twhat={text}"
--- a/finchcart/simulator/host.py
+++ b/finchcart/simulator/host.py
@@ -1,6 +1,7 @@
-"""All instances of one process of the adapter, and the batches of events that it answers.
+"""The adapter process: holds all instances, reads batches of events and writes the response to each batch.
 
-Owns the order of messages, and what becomes of an instance that fails: it ends alone.
+This module checks the order of messages. If the decision module of one instance raises an exception, only
+that instance fails; the others continue.
 """
 
 import traceback
@@ -22,17 +23,17 @@
 
 
 class SimulatorHost:
-    """The instances, and the batch that is being read: its time and the lines of its answer."""
+    """Holds the instances and the batch that is being read: its time and the lines of its response."""
 
     def __init__(self, sink: TextIO) -> None:
-        """Make a host without instances that answers on `sink`."""
+        """Create a host without instances that writes its responses to `sink`."""
         self.sink = sink
-        self.instances: dict[int, SimulatorInstance] = {}  # by their numbers in the protocol
+        self.instances: dict[int, SimulatorInstance] = {}  # by instance number of the protocol
         self.lines: list[str] = []
-        self.now: int | None = None  # None: between two batches
+        self.now: int | None = None  # the time of the open batch; None between two batches
 
     def handle(self, event: Event) -> None:
-        """Act on one event. Raise WireError where it can't come here."""
+        """Handle one event. Raise WireError if the event is out of order."""
         if isinstance(event, BatchStarted):
             if self.now is not None:
                 raise codec.out_of_order(event, batch_is_open=True)
@@ -42,7 +43,7 @@
         elif isinstance(event, BatchEnded):
             self._answer_batch()
         else:
-            self._handle_of_instance(self.now, event)
+            self._handle_instance_event(self.now, event)
 
     def _answer_batch(self) -> None:
         self.lines.append(codec.BATCH_ANSWERED)
@@ -51,7 +52,9 @@
         self.lines.clear()
         self.now = None
 
-    def _handle_of_instance(self, now: int, event: InstanceStarted | InstanceKilled | InstanceEvent) -> None:
+    def _handle_instance_event(
+        self, now: int, event: InstanceStarted | InstanceKilled | InstanceEvent
+    ) -> None:
         number = event.instance
         if number not in self.instances and not isinstance(event, InstanceStarted):
             raise codec.no_such_instance(event, number)
@@ -63,25 +66,28 @@
                 self._start(now, event)
             elif not self.instances[number].failed:
                 self.instances[number].handle(now, event)
-        except Exception as fault:
-            # Guards the other instances: a fault of one, whatever it is, ends that one alone.
+        except Exception as error:
+            # Any exception of one instance is confined to that instance; the others must continue.
             traceback.print_exc()
-            self._instance_failed(number, fault)
+            self._report_failure(number, error)
 
     def _start(self, now: int, event: InstanceStarted) -> None:
         node_settings = settings.from_pairs(event.settings)
         instance = SimulatorInstance(event.instance, self.lines.append, node_settings, event.seed)
         self.instances[event.instance] = instance
-        instance.control.start(now)
+        instance.controller.start(now)
 
-    def _instance_failed(self, number: int, fault: Exception) -> None:
+    def _report_failure(self, number: int, error: Exception) -> None:
         if number in self.instances:
             self.instances[number].failed = True
-        self.lines.append(codec.instance_failed(number, fault))
+        self.lines.append(codec.instance_failed(number, error))
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answer batches until the input ends. Raise WireError, with the line's number, for bad input."""
+    """Respond to batches until the input ends.
+
+    Raise WireError, whose text begins with the line number, for invalid input.
+    """
     host = SimulatorHost(sink)
     line_number = 0
     for line_number, line in enumerate(source, start=1):
