--- a/finchcart/node/arrivals.py
+++ b/finchcart/node/arrivals.py
@@ -1,7 +1,7 @@
-"""When the RPCs of a batch reached the machine.
+"""Computes when the RPCs of a batch arrived at the machine, from the Unix timestamps that they carry.
 
-Owns the times of the batch at hand and the history of the wall clock. It must never order anything by the
-wall clock: spans are counted on the node's clock alone.
+`ArrivalClock` owns the times of the current batch and the history of the wall clock. It must never order
+events or measure durations by the wall clock, but only by the node's clock.
 """
 
 from finchcart.node.effect_buffer import EffectBuffer
@@ -11,7 +11,7 @@
 
 
 class ArrivalClock:
-    """Turns the Unix times of one batch into arrivals. Times are whole microseconds."""
+    """Converts the timestamps of the current batch to arrival times. Times are whole microseconds."""
 
     __slots__ = ("_effect_buffer", "_max_clock_lead_us", "_wall_clock", "not_before", "received_at")
 
@@ -19,32 +19,32 @@
         self._effect_buffer = effect_buffer
         self._max_clock_lead_us = max_clock_lead_us
         self._wall_clock = WallClockHistory()
-        # Of the batch at hand, set by connection_dispatch.py.
+        # connection_dispatch.py sets these two for each batch.
         self.received_at = 0
-        self.not_before = 0  # it reached the machine at this moment at the earliest
+        self.not_before = 0  # the earliest time at which the batch can have reached the machine
 
-    def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
-        """Return when an RPC of the batch at hand with that Unix time arrived, see `FrontendHost`."""
+    def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
+        """Return when an RPC of the current batch arrived, by its timestamp; see `FrontendHost`."""
         now = self._effect_buffer.now
         received_at = min(self.received_at, now)
         oldest = now - late_read_us
         clock, lead_us = self._wall_clock, self._max_clock_lead_us
-        arrival = clock.arrival(stamp, self.not_before, received_at, oldest, lead_us)
+        arrival = clock.arrival(timestamp, self.not_before, received_at, oldest, lead_us)
         if arrival is not None:
             return arrival
-        arrival = clock.add_other_clock(stamp, self.not_before, received_at, oldest, lead_us)
+        arrival = clock.add_other_clock(timestamp, self.not_before, received_at, oldest, lead_us)
         cause = "stamps of another clock" if arrival else "stamp of no clock"
-        ahead_s = (stamp - self.unix_now()) / MICROSECONDS_PER_SECOND
-        text = f"{cause}: {stamp} where this machine has {self.unix_now()} ({ahead_s:+.3f} s)"
+        ahead_s = (timestamp - self.unix_now()) / MICROSECONDS_PER_SECOND
+        text = f"{cause}: {timestamp}, this machine's clock reads {self.unix_now()} ({ahead_s:+.3f} s)"
         self._effect_buffer.log_fault("wall clock", cause, text)
         return arrival
 
     def unix_now(self) -> int:
-        """Return the Unix time."""
+        """Return the current Unix time."""
         return self._wall_clock.to_unix(self._effect_buffer.now)
 
     def on_wall_clock_read(self, unix_us: int) -> None:
-        """Handle a reading of the wall clock."""
+        """Handle a reading of the wall clock; log a step."""
         step_us = self._wall_clock.record(self._effect_buffer.now, unix_us)
         if step_us:
             self._effect_buffer.log_fault("wall clock", "step", f"stepped by {step_us} us")
--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -1,7 +1,7 @@
-"""The node's decision module: when it starts, and what it is called with.
+"""Starts the node's decision module and calls it on events of the worker pool.
 
-Owns the one `Controller`, which is made at the worker pool's first contact. It must never decide about an
-RPC, nor start the decision module twice.
+`ControllerHost` owns the only `Controller`, which is constructed when the worker pool is first connected. It
+must never decide about an RPC, nor start the decision module twice.
 """
 
 from collections.abc import Mapping
@@ -23,9 +23,9 @@
 
 
 class ControllerHost:
-    """Makes the decision module and calls it; see `PoolListener`. Times are whole microseconds."""
+    """Owner of the decision module; implements `PoolListener`. Times are whole microseconds."""
 
-    lifecycle: RpcLifecycle  # set by `connect`, as the two below
+    lifecycle: RpcLifecycle  # `connect` sets this attribute and the two below
     port: CorePort
     store: StoreClient
 
@@ -41,7 +41,7 @@
         shutdown: ShutdownSchedule,
     ) -> None:
         self.effect_buffer = effect_buffer
-        self.controller: Controller | None = None  # from the worker pool's first contact on
+        self.controller: Controller | None = None  # None until the worker pool is first connected
         self._settings = settings
         self._seed = seed
         self._shadow = shadow
@@ -51,25 +51,25 @@
         self._shutdown = shutdown
 
     def connect(self, lifecycle: RpcLifecycle, port: CorePort, store: StoreClient) -> None:
-        """Set what the decision module acts on: called once, before the first input."""
+        """Set the components that the decision module acts on; called once, before the first input."""
         self.lifecycle = lifecycle
         self.port = port
         self.store = store
 
-    # ---- What the worker pool reports: see PoolListener
+    # ---- Events of the worker pool: the implementation of PoolListener
 
     def worker_pool_ready(self, cold: bool) -> None:
-        """Start the decision module: RPCs are accepted from now on."""
-        # The slow start after a cold start counts from here: of the two starts the later one.
+        """Start the decision module; RPCs are accepted from now on."""
+        # The slow start after a cold start begins here, at the later start of worker pool and node.
         controller = self._make_controller(cold)
         self.controller = controller
         self._admission.start(controller)
         self._shutdown.worker_pool_ready()
         controller.start(self.effect_buffer.now)
-        self.drain()  # the notice may have come before the worker pool
+        self.drain()  # the termination notice may have come before the worker pool was connected
 
     def worker_pool_restarted(self, cold: bool) -> None:
-        """Answer all runs, as they are lost; none is run again."""
+        """Handle a restart of the worker pool: all runs are lost and answered, and none is started again."""
         if self.controller is None:
             return
         self.controller.worker_pool_restarted(self.effect_buffer.now, cold)
@@ -79,7 +79,7 @@
             self.lifecycle.run_lost(rpc)
 
     def timer_due(self, readings: Mapping[str, float]) -> None:
-        """Call the decision module's timer with the worker pool's gauges, given by name."""
+        """Publish to the fleet and call the decision module's timer; `readings` are gauges by name."""
         if self.controller is None:
             return
         gauges = self._load.add_gauges(Gauges.from_readings(readings))
@@ -90,7 +90,7 @@
         self._shutdown.end_if_idle()
 
     def drain(self) -> None:
-        """Begin the decision module's graceful shutdown, where the notice has come and it has started."""
+        """Begin the decision module's graceful shutdown if a drain has begun and the module has started."""
         times = self._shutdown.times
         if self.controller is not None and times is not None:
             self.controller.drain(times.notice_at, times.kill_at)
@@ -99,7 +99,7 @@
         settings = self._settings._replace(fresh_start=cold)
         if not self._shadow:
             return NodeController(self.port, settings, self._seed)
-        from finchcart.node.shadow import ShadowController  # not imported where nothing is watched
+        from finchcart.node.shadow import ShadowController  # imported only in watch mode
 
         watched = self._shadow.settings._replace(fresh_start=cold)
         shadow = self._shadow._replace(settings=watched)
--- a/finchcart/node/controller_interface.py
+++ b/finchcart/node/controller_interface.py
@@ -1,6 +1,8 @@
-"""What the node calls of its decision module: `NodeController`, or the pair of watch mode.
+"""The interface of the decision module as the node calls it.
 
-Owns types alone. Times are whole microseconds.
+`NodeController` implements this interface; `ShadowController` does so in watch mode, in which a second
+decision module with other settings is observed (shadow.py). This module contains only types. Times are whole
+microseconds.
 """
 
 from typing import Protocol
@@ -14,16 +16,16 @@
     """The handle of one RPC, on which the node reports what happens to it."""
 
     def run_ended(self, now: int, outcome: Outcome, spent: int, /) -> None:
-        """Report the end of its run, or of its wait as a duplicate."""
+        """Report the end of the RPC's run, or of its wait as a duplicate."""
 
     def caller_gone(self, now: int, /) -> None:
-        """Report that its caller no longer waits."""
+        """Report that the RPC's caller no longer waits."""
 
     def awaiting_call(self, now: int, /) -> None:
-        """Report that its run awaits a call."""
+        """Report that the RPC's run awaits a call."""
 
     def call_ended(self, now: int, outcome: Outcome, spent: int, /) -> None:
-        """Report the end of its call."""
+        """Report the end of the RPC's call."""
 
 
 class Controller(Protocol):
@@ -31,19 +33,19 @@
 
     @property
     def own_shed_level(self) -> float:
-        """The shed level that this node alone would publish."""
+        """The shed level of this node alone, regardless of the fleet."""
 
     def start(self, now: int, /) -> None:
-        """Begin to serve."""
+        """Start the decision module."""
 
     def admit(self, now: int, index: int, arrival: RpcArrival, /) -> ControlledRpc:
-        """Decide on an RPC that was read to its end."""
+        """Decide about an RPC that was read completely; return the RPC's handle."""
 
     def on_timer(self, now: int, gauges: Gauges, /) -> None:
-        """Handle the due timer."""
+        """Handle the periodic timer, with the current gauges."""
 
     def worker_pool_restarted(self, now: int, cold: bool, /) -> None:
-        """Handle the restart of the worker pool: all runs are lost."""
+        """Handle a restart of the worker pool, in which all runs are lost."""
 
     def drain(self, now: int, kill_at: int, /) -> None:
         """Begin the graceful shutdown."""
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -247,9 +247,9 @@
         """The shed level that is published with all answers; None until it is known."""
         return self.port.shed_level
 
-    def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
+    def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
         """Return when an RPC of the current batch arrived, by its timestamp; see `FrontendHost`."""
-        return self._arrivals.read_arrival(stamp, late_read_us)
+        return self._arrivals.read_arrival(timestamp, late_read_us)
 
     def unix_now(self) -> int:
         """Return the Unix time in microseconds, for messages and log lines."""
