--- a/finchcart/node/__init__.py
+++ b/finchcart/node/__init__.py
@@ -1,7 +1,8 @@
 """The core of a node: RPCs, their runs and calls, idempotency keys, timers, registration and drain.
 
-Owns all state of a node but that of the frontends' connections, and every change of it, as state machines:
-`core.Core.reduce(now, input) -> effects`. It must never do I/O, take a lock, read a clock, know a frontend's
-protocol (no sequence number, no delivery tag) or decide about an RPC: decisions come from
-finchcart/decisions/controller.py through the port. How a frontend joins: frontend.py.
+The package owns all state of a node except the state of the frontends' connections. It is a state machine:
+`core.Core.reduce(now, input)` processes one input and returns the effects. The package must never do I/O,
+take a lock, read a clock, depend on a frontend's protocol (on sequence numbers or delivery tags, for example)
+or decide about an RPC: the decision module (finchcart/decisions/controller.py) decides, and acts through the
+port. frontend.py describes the interface for frontends.
 """
--- a/finchcart/node/addresses.py
+++ b/finchcart/node/addresses.py
@@ -1,7 +1,4 @@
-"""The addresses of a node's peers, as the configuration gives them.
-
-Owns types alone.
-"""
+"""The addresses of a node's peers, as the configuration gives them."""
 
 from typing import NamedTuple
 
@@ -9,8 +6,8 @@
 
 
 class NodeAddresses(NamedTuple):
-    """Where the node's own connections and reports go."""
+    """The addresses to which the node connects and sends reports."""
 
     pool: Address
-    store: Address | None  # None: the node calls no store
+    store: Address | None  # None if the node calls no store
     registry: Address
--- a/finchcart/node/methods.py
+++ b/finchcart/node/methods.py
@@ -1,7 +1,7 @@
-"""What the settings say of each method, as far as the node itself needs it.
+"""The settings of each method that the node itself needs, read once at start.
 
-Owns one record a method, filled once at start. It must never decide by them: the decision module reads the
-settings by itself.
+The node must never base a decision about an RPC on these records: the decision module reads the settings
+itself.
 """
 
 from typing import NamedTuple
@@ -10,18 +10,18 @@
 
 
 class MethodInfo(NamedTuple):
-    """One method. Times are whole microseconds."""
+    """The settings of one method. Times are whole microseconds."""
 
     is_idempotent: bool
-    is_keyed: bool  # its requests carry an idempotency key
-    degraded_value: float  # of an answer without its optional call; 0: the call is not optional
+    is_keyed: bool  # whether its RPCs carry an idempotency key
+    degraded_value: float  # the value of an answer without the optional call; 0 if the call is not optional
     deadline_us: int
-    late_read_us: int  # so long after its arrival an RPC may still be read
-    has_priority: bool  # it is more critical than the least critical method
+    late_read_us: int  # how long after its arrival an RPC may still be read
+    has_priority: bool  # whether it is more critical than the least critical method
 
 
 def read_methods(settings: NodeSettings, late_read_us: int) -> dict[str, MethodInfo]:
-    """Return the methods by name. `late_read_us`: RPCs may be read so long after their deadline."""
+    """Return the methods by name; RPCs may be read up to `late_read_us` after their deadline."""
     # Unlike the decision module, the node ranks a method without a configured criticality below all others.
     least = min((method.criticality or 0 for method in settings.methods), default=0)
     methods = {}
@@ -31,7 +31,7 @@
             is_keyed=method.kind is MethodKind.KEYED,
             degraded_value=method.degraded_value,
             deadline_us=method.deadline_us or DEFAULT_DEADLINE_US,
-            # A retry that reached the machine while a key was kept may be read as late as its deadline.
+            # A retry that arrived within the key's window may be read late, until its own deadline is over.
             late_read_us=(method.deadline_us or 0) + late_read_us,
             has_priority=(method.criticality or 0) > least,
         )
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -1,7 +1,7 @@
-"""The node's record at the registry.
+"""Registers the node at the registry, with its health, and repeats the registration periodically.
 
-Owns the health that was reported last and the timer of the next report. It must never decide whether the node
-is healthy.
+`Registration` owns the last reported health and the timer of the next report. It must never decide whether
+the node is healthy.
 """
 
 from finchcart.limits import Limits
@@ -12,7 +12,7 @@
 
 
 class Registration:
-    """Reports the node to the registry, again and again. Bounds: one timer that counts."""
+    """Sends registration reports. The timers of all reports but the last one have no effect."""
 
     def __init__(self, effect_buffer: EffectBuffer, limits: Limits, name: str, address: Address) -> None:
         self.effect_buffer = effect_buffer
@@ -23,23 +23,23 @@
         self._reports_sent = 0
 
     def set_health(self, healthy: bool) -> None:
-        """Report a change of health immediately."""
+        """Set the health; report a change immediately."""
         if healthy != self.healthy:
             self.healthy = healthy
             self.report()
 
     def report(self) -> None:
-        """Report to the registry, now and after each interval."""
+        """Send a report now, and schedule the next one after the registration interval."""
         data = registry_codec.encode_registration(self._name, self.healthy)
         self.effect_buffer.emit(SendReport(self.address, data))
         self._reports_sent += 1
         self.effect_buffer.schedule_after(self._interval_us, self._report_again, self._reports_sent)
 
     def change_address(self, address: Address) -> None:
-        """Report to another address."""
+        """Send a report to a new address, and all later ones."""
         self.address = address
         self.report()
 
     def _report_again(self, report_number: int) -> None:
-        if report_number == self._reports_sent:  # else another report was sent meanwhile
+        if report_number == self._reports_sent:  # otherwise a later report has set its own timer
             self.report()
--- a/finchcart/node/statistics.py
+++ b/finchcart/node/statistics.py
@@ -1,24 +1,24 @@
-"""Counts of what a node did since its start, for its operators.
+"""Event counters of a node since its start, for its operators.
 
-Owns the counts and the text of their log line. It must never be read by a decision.
+No decision may depend on these counters.
 """
 
 from collections import Counter
 
 
 class Statistics:
-    """Counts by name. Bounds: the names are constants of the code that counts."""
+    """Counters by name. The names are constants in the code, so that their number is bounded."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self._logged: Counter[str] = Counter()
 
     def count(self, name: str, by: int = 1) -> None:
-        """Count something that happened."""
+        """Add to a counter."""
         self.counts[name] += by
 
     def line(self) -> str | None:
-        """Return the counts since the last line, with the sums since the start; None where there are none."""
+        """Return a log line with the counts since the last line and the start; None if nothing changed."""
         changed = self.counts - self._logged
         self._logged = self.counts.copy()
         if not changed:
--- a/finchcart/node/statistics_log.py
+++ b/finchcart/node/statistics_log.py
@@ -1,6 +1,6 @@
-"""The log line of the node's statistics, once an interval and at the end.
+"""Logs the node's statistics, once per interval and at the end of the node.
 
-Owns the timer of that line. It must never be read by a decision.
+No decision may depend on the statistics.
 """
 
 from finchcart.node.effect_buffer import EffectBuffer
@@ -9,7 +9,7 @@
 
 
 class StatisticsLog:
-    """Writes what was counted since the last line. Bounds: one timer."""
+    """Writes the statistics' log line, by one timer."""
 
     def __init__(self, effect_buffer: EffectBuffer, lifecycle: RpcLifecycle, interval_us: int) -> None:
         self._effect_buffer = effect_buffer
@@ -21,7 +21,7 @@
         self._effect_buffer.schedule_after(self._interval_us, self._write_again)
 
     def write(self) -> None:
-        """Write a line where anything was counted."""
+        """Write a line if any counter changed since the last line."""
         line = self._effect_buffer.statistics.line()
         if line:
             runs = len(self._lifecycle.running_rpcs())
--- a/finchcart/node/supported_settings.py
+++ b/finchcart/node/supported_settings.py
@@ -1,6 +1,6 @@
-"""What a node can do of what the settings allow.
+"""Restricts the settings to the features that a node supports.
 
-Owns the list of what is missing. It must never choose a value that the settings leave open.
+This module must never choose a value for a setting that is not configured.
 """
 
 from typing import NamedTuple
@@ -9,17 +9,17 @@
 
 
 class ShadowSettings(NamedTuple):
-    """What watch mode needs, see shadow.py."""
+    """The configuration of watch mode, see shadow.py."""
 
-    settings: NodeSettings  # those that are watched
-    period_us: int  # between log lines
+    settings: NodeSettings  # the settings of the shadow decision module
+    period_us: int  # the interval between log lines
 
 
 def supported_settings(settings: NodeSettings) -> NodeSettings:
-    """Return the settings without what a node can't do, whatever they allow.
+    """Return the settings with the features disabled that a node doesn't support.
 
-    The worker pool's protocol has no word for stopping or pausing work, and dispatchers' answers carry a
-    shed level alone.
+    The worker pool's protocol can't stop or pause a run, and answers to dispatchers carry no feedback other
+    than the shed level.
     """
     feedback = Feedback.LEVEL if settings.feedback is Feedback.LEVEL else Feedback.SILENT
     return settings._replace(can_stop=False, can_pause=False, feedback=feedback)
