--- a/tests/core_cases.py
+++ b/tests/core_cases.py
@@ -17,7 +17,7 @@
     return harness
 
 
-def running(harness, n=0):
+def start_run(harness, n=0):
     """Return the name of an attempt that runs."""
     name = harness.dispatchers.submit(harness.dispatchers.open(), n)
     harness.step(MS)
@@ -26,15 +26,15 @@
     return name
 
 
-def ends_well(harness, name):
+def end_run_with_success(harness, name):
     harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
 
 
-def calling(harness, n=0):
+def start_call(harness, n=0):
     """Return the name of an attempt whose run awaits a call, and the connection that carries it."""
-    name = running(harness, n)
+    name = start_run(harness, n)
     harness.pool.block_at_call(name)
     for _ in range(3):
         harness.step(MS)
@@ -42,7 +42,7 @@
     return name, connection
 
 
-def repeated(harness, outcome):
+def run_with_duplicate(harness, outcome):
     """Return the names of an attempt that ends so, and of a duplicate that came while it ran."""
     first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
@@ -53,5 +53,5 @@
     return first, second
 
 
-def how(harness, name):
+def outcome_of(harness, name):
     return harness.dispatchers.attempts[name].outcome
--- a/tests/random_core_runs.py
+++ b/tests/random_core_runs.py
@@ -5,7 +5,7 @@
 from tests.core_harness import MS
 
 
-def submit_by_chance(harness, rng, load):
+def submit_randomly(harness, rng, load):
     """Dispatchers connect, submit, retry, revoke and go."""
     connections = [each for each, state in harness.connections.items() if state == "open" and each > 0]
     if rng.random() < 0.1 or not connections:
@@ -25,7 +25,7 @@
         harness.dispatchers.end_connection(rng.choice(connections), rng.choice(("", "cut off")))
 
 
-def run_by_chance(harness, rng):
+def change_runs_randomly(harness, rng):
     """Runs end, and await calls."""
     for name, run in list(harness.pool.active_runs.items()):
         attempt = harness.dispatchers.attempts[name]
@@ -38,7 +38,7 @@
             harness.pool.end_run(name, Outcome.STOPPED)
 
 
-def reply_by_chance(harness, rng):
+def reply_randomly(harness, rng):
     """The store replies, or breaks a connection."""
     outcomes = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT)
     for connection, calls in list(harness.store.calls.items()):
@@ -51,10 +51,10 @@
             harness.store.lose_connection(connection)
 
 
-def one_step(harness, rng, load):
-    submit_by_chance(harness, rng, load)
-    run_by_chance(harness, rng)
-    reply_by_chance(harness, rng)
+def act_randomly(harness, rng, load):
+    submit_randomly(harness, rng, load)
+    change_runs_randomly(harness, rng)
+    reply_randomly(harness, rng)
     if rng.random() < 0.01:
         harness.store.accepts = not harness.store.accepts
     if rng.random() < 0.01:
@@ -63,7 +63,7 @@
         harness.pool.accepts = not harness.pool.accepts
 
 
-def play(harness, rng, restart_at=None):
+def run_randomly(harness, rng, restart_at=None):
     """A random day with a drain; returns how each attempt ended."""
     load = rng.choice((1, 3, 12))
     drain_at = rng.randint(350, 600)
@@ -71,7 +71,7 @@
         harness.step(rng.randint(1, 12) * MS)
         if harness.ended:
             break
-        one_step(harness, rng, load)
+        act_randomly(harness, rng, load)
         if step == restart_at:
             harness.pool.restart()
         if step == drain_at:
@@ -82,7 +82,7 @@
     return [attempt.outcome for attempt in harness.dispatchers.attempts.values()]
 
 
-def may_be_running_at_the_end(harness):
+def runs_in_progress_at_end(harness):
     """What the node counts as running as it ends: it runs, may run, or its start is still to be read."""
     running = harness.core.lifecycle.running_rpcs()
     commands = harness.core.pool.commands
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -23,7 +23,7 @@
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, one_step
 from tests.harness import MS, Node, draw_settings
-from tests.random_core_runs import play
+from tests.random_core_runs import run_randomly
 
 
 def harness_with_consensus(**settings):
@@ -138,7 +138,7 @@
             harness.feed(fleet_input(LimitAllowance(name, 0, rng.randrange(3), harness.now + SECOND)))
 
     harness.step = stepped
-    play(harness, rng)
+    run_randomly(harness, rng)
     assert harness.evidence
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,10 +6,10 @@
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.inputs import Drain
-from tests.core_cases import GAUGES, how, plain_harness, running
+from tests.core_cases import GAUGES, outcome_of, plain_harness, start_run
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
-from tests.random_core_runs import one_step, play
+from tests.random_core_runs import act_randomly, run_randomly
 
 
 @pytest.mark.parametrize("seed", [*range(20), 2008])  # 2008: an idempotent run starts again as it ends
@@ -18,12 +18,12 @@
     harness = CoreHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
-    assert "ok" in play(harness, rng, rng.choice((None, 320)))
+    assert "ok" in run_randomly(harness, rng, rng.choice((None, 320)))
 
 
 def test_draining_tells_the_registry_at_once_and_ends_when_nothing_is_left():
     harness = plain_harness()
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     harness.drain_notice_at = harness.now
     harness.feed(Drain())
     assert harness.reports[-1] == (harness.now, b"HERE n1 off")
@@ -31,7 +31,7 @@
     for _ in range(400):
         if not harness.ended:
             harness.step(10 * MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert harness.ended
     assert harness.now < harness.drain_notice_at + harness.limits.stop_timeout_us + 100 * MS
 
@@ -40,7 +40,7 @@
     harness, rng = plain_harness(), random.Random(4)
     for _ in range(400):
         harness.step(10 * MS)
-        one_step(harness, rng, 2)
+        act_randomly(harness, rng, 2)
     harness.pool.accepts = harness.store.accepts = True
     for _ in range(3000):
         harness.step(10 * MS)
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -13,7 +13,7 @@
 )
 from finchcart.thrift.binary_protocol import EXCEPTION, STRING
 from finchcart.thrift.dispatcher_connections import DispatcherConnectionState
-from tests.core_cases import ends_well, how, plain_harness, running
+from tests.core_cases import end_run_with_success, outcome_of, plain_harness, start_run
 from tests.core_harness import MS
 from tests.dispatchers_double import read_answer
 
@@ -88,17 +88,17 @@
     harness.pool.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert harness.connections[link] == "closed"
 
 
 def test_one_that_sent_what_can_not_be_read_and_ends_is_answered_still():
     harness = plain_harness()
-    name = running(harness)
+    name = start_run(harness)
     link = harness.dispatchers.attempts[name].connection
     harness.dispatchers.end_connection(link, "rubbish")
     harness.feed(ConnectionEnded(link, None))  # the reader sees the end of what it goes on to read
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
     assert harness.connections[link] == "closed"
 
 
@@ -122,7 +122,7 @@
     harness.step(MS)
     harness.pool.end_run(crossed, Outcome.OK)
     harness.step(MS)
-    assert how(harness, crossed) == "ok"
+    assert outcome_of(harness, crossed) == "ok"
     assert harness.connections[link] == "open"
     for _ in range(300):
         harness.step(10 * MS)
@@ -153,11 +153,11 @@
     name = harness.dispatchers.submit(link)
     harness.step(2 * MS)
     assert harness.connections[link] == "open"
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     harness.reads_requested[link] = 1
     harness.step(MS)
     harness.step(MS)
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
     for _ in range(300):
         harness.step(10 * MS)
     assert harness.connections[link] == "closed"
@@ -171,7 +171,7 @@
     name = harness.dispatchers.submit(link)
     harness.step(2 * MS)
     assert harness.connections[link] == "closed"
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     with pytest.raises(AssertionError, match="lost"):
         for _ in range(1000):
             harness.step(10 * MS)
@@ -188,7 +188,7 @@
         harness.pool.end_run(name, Outcome.OK)
         harness.step(MS)
         most = max(most, len(harness.core.effect_buffer.timers))
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert most < 12
 
 
@@ -212,7 +212,7 @@
     assert len(harness.frontend.table.connections) == harness.limits.max_connections == 136
     for each in names:
         harness.step(MS)
-        ends_well(harness, each)
+        end_run_with_success(harness, each)
     # a crowd that checked once and stays is closed soon, and not those that go on
     for _ in range(130):
         harness.step(10 * MS)
@@ -260,7 +260,7 @@
     name = harness.dispatchers.submit(link)
     harness.step(MS)
     harness.step(MS)
-    assert how(harness, name) == "rejected"
+    assert outcome_of(harness, name) == "rejected"
     harness.dispatchers.end_connection(link)
     for _ in range(200):
         harness.step(2 * MS)
--- a/tests/test_duplicates.py
+++ b/tests/test_duplicates.py
@@ -6,23 +6,23 @@
 from finchcart.protocol.messages import (
     CommandRejected,
 )
-from tests.core_cases import ends_well, how, plain_harness, repeated, running
+from tests.core_cases import end_run_with_success, outcome_of, plain_harness, run_with_duplicate, start_run
 from tests.core_harness import MS
 
 
 def test_a_duplicate_shares_the_result_unchanged_and_never_runs():
     harness = plain_harness()
-    first, second = repeated(harness, Outcome.OK)
+    first, second = run_with_duplicate(harness, Outcome.OK)
     third = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
     harness.step(MS)
-    assert [how(harness, name) for name in (first, second, third)] == ["ok"] * 3
+    assert [outcome_of(harness, name) for name in (first, second, third)] == ["ok"] * 3
     assert list(harness.pool.runs) == [first]
 
 
 def test_a_duplicate_of_what_failed_fails():
     harness = plain_harness()
-    first, second = repeated(harness, Outcome.ERROR)
-    assert (how(harness, first), how(harness, second), list(harness.pool.runs)) == (
+    first, second = run_with_duplicate(harness, Outcome.ERROR)
+    assert (outcome_of(harness, first), outcome_of(harness, second), list(harness.pool.runs)) == (
         "failed",
         "failed",
         [first],
@@ -31,7 +31,7 @@
 
 def test_a_retry_that_arrived_in_the_window_is_known_when_it_is_read_after_it():
     harness = plain_harness()
-    first = running(harness, 1)
+    first = start_run(harness, 1)
     harness.pool.end_run(first, Outcome.OK)
     harness.step(MS)
     harness.step(5_100 * MS)
@@ -39,7 +39,7 @@
     harness.step(300 * MS)
     late = harness.dispatchers.submit(harness.dispatchers.open(), 1, first, waited=harness.now - reached)
     harness.step(MS)
-    assert how(harness, late) == "ok"
+    assert outcome_of(harness, late) == "ok"
     assert list(harness.pool.runs) == [first]
     harness.step(6_000 * MS)
     anew = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
@@ -70,12 +70,12 @@
     harness.commands.clear()
     harness.deliver(harness.pool.connection, CommandRejected(True, odd))
     harness.step(0)
-    assert how(harness, odd) == "failed"
+    assert outcome_of(harness, odd) == "failed"
     assert harness.core.controller.state.slowdown.work_completed == done
     true = harness.dispatchers.submit(harness.dispatchers.open(), 1, odd)
     harness.step(MS)
     harness.step(MS)
-    ends_well(harness, true)
+    end_run_with_success(harness, true)
 
 
 def test_an_attempt_stamped_ahead_of_the_clock_is_admitted_as_new():
@@ -83,4 +83,4 @@
     name = harness.dispatchers.submit(harness.dispatchers.open(), waited=-80 * MS)
     harness.step(MS)
     harness.step(MS)
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -11,7 +11,7 @@
 from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
-from tests.random_core_runs import may_be_running_at_the_end, play
+from tests.random_core_runs import run_randomly, runs_in_progress_at_end
 
 
 def limits_by_chance(rng):
@@ -74,8 +74,8 @@
                 )
 
     harness.step = stepped
-    play(harness, rng)
-    running = may_be_running_at_the_end(harness)
+    run_randomly(harness, rng)
+    running = runs_in_progress_at_end(harness)
     for meter in meters.rpcs:  # what may be running at the end is counted, and nothing else
         counted = sum(meter in (rpc.counted_by or ()) for rpc in running)
         assert not isinstance(meter, RpcConcurrencyLimiter) or meter.count == counted
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -9,12 +9,12 @@
 from finchcart.node.effects import Drop, Read, Send
 from finchcart.node.rpc import FinalOutcome, NodeRpc, RpcAttributes
 from finchcart.protocol.messages import RevokeNotice, SubmitCall
-from tests.core_cases import GAUGES, running
+from tests.core_cases import GAUGES, start_run
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
 from tests.dispatchers_double import DispatchersDouble
 from tests.harness import draw_settings
-from tests.random_core_runs import play
+from tests.random_core_runs import run_randomly
 
 
 class MemoryFrontend:
@@ -122,7 +122,7 @@
     harness = MemoryFrontendHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
-    assert "ok" in play(harness, rng)
+    assert "ok" in run_randomly(harness, rng)
     assert not harness.frontend.rpcs
     assert ("health", False) in harness.frontend.said
     assert harness.frontend.said[-1][0] != "health"
@@ -132,7 +132,7 @@
     harness = MemoryFrontendHarness({**PLAIN, **GAUGES})
     harness.step(MS)
     harness.step(MS)
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     link = harness.dispatchers.open()
     first = harness.dispatchers.attempts[name]
     harness.deliver(link, SubmitCall(9, {"i": name, "c": "m0", "s": str(harness.now // 1000)}, b""))
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -14,7 +14,7 @@
 from tests.core_harness import CoreHarness
 from tests.dispatchers_double import read_answer
 from tests.harness import draw_settings
-from tests.random_core_runs import may_be_running_at_the_end, play
+from tests.random_core_runs import run_randomly, runs_in_progress_at_end
 
 
 class SimulatedReplicas:
@@ -90,9 +90,9 @@
     ]
     replicas = SimulatedReplicas(harness, rng, statuses)
     check_runs_hold_leases(harness, replicas)
-    play(harness, rng)
+    run_randomly(harness, rng)
     gate = harness.core.key_leases
-    running = {rpc.index for rpc in may_be_running_at_the_end(harness)}
+    running = {rpc.index for rpc in runs_in_progress_at_end(harness)}
     assert not gate.waiting
     assert running.issuperset(gate.held)  # none is held for what is over
     assert set(replicas.held) == {key for key, _ in gate.held.values()}
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -19,11 +19,11 @@
 from finchcart.node.inputs import TimersDue
 from finchcart.protocol.messages import CommandRejected
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
-from tests.core_cases import GAUGES, ends_well, how, plain_harness, running
+from tests.core_cases import GAUGES, end_run_with_success, outcome_of, plain_harness, start_run
 from tests.core_harness import MS, CoreHarness
 from tests.harness import draw_settings
 from tests.node_testbed import METHODS, read_answers, wait_until
-from tests.random_core_runs import play
+from tests.random_core_runs import run_randomly
 
 SEEDS = range(24)
 CALLERS = 24
@@ -52,7 +52,7 @@
     for seed in SEEDS:
         rng = random.Random(seed)
         harness = CountingHarness({**draw_settings(rng), **GAUGES}, seed)
-        assert "ok" in play(harness, rng)
+        assert "ok" in run_randomly(harness, rng)
 
 
 def test_a_start_written_again_as_its_first_run_ends_is_counted_too():
@@ -70,7 +70,7 @@
     harness.pool.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
     for _ in range(3):
         harness.step(MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert harness.pool.runs[name].state == "running"
     assert harness.core.controller.state.runs.on_cores == 1
     harness.pool.end_run(name, Outcome.OK)
@@ -81,7 +81,7 @@
 
 def test_a_bound_that_is_read_late_is_no_restart_of_the_worker_pool():
     harness = plain_harness()
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     harness.pool.lose_connection()
     while not harness.commands:
         harness.now += MS
@@ -89,24 +89,24 @@
         harness.establish_connections()
     harness.read_commands()  # `bound` is written,
     harness.step(1_500 * MS)  # and read later than starts of a worker pool lie apart
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     assert harness.core.controller.state.runs.in_progress == 1
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
 
 
 def test_a_command_that_was_not_carried_out_says_nothing_of_its_run():
     harness = plain_harness()
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     harness.deliver(harness.pool.connection, CommandRejected(False, name))
     harness.step(MS)
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     assert harness.core.controller.state.runs.in_progress == 1
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
 
 
 def test_a_run_whose_end_can_not_be_read_is_counted_for_its_deadline_and_no_longer():
     harness = plain_harness()
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     for _ in range(10):
         harness.step(10 * MS)  # its start is known to be read
     assert not harness.core.pool.commands.unconfirmed
@@ -122,7 +122,7 @@
     end = harness.now + harness.settings["methods.1.deadline"]
     while harness.now <= end:
         harness.step(20 * MS)
-    assert how(harness, name) == "failed"
+    assert outcome_of(harness, name) == "failed"
     assert harness.core.controller.state.runs.in_progress == 0
 
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -22,7 +22,7 @@
 from tests.core_harness import MS, CoreHarness
 from tests.decision_runs import PLAIN
 from tests.harness import draw_settings
-from tests.random_core_runs import play
+from tests.random_core_runs import run_randomly
 from tests.typed_settings import typed
 
 PERIOD = 1000 * MS
@@ -38,7 +38,7 @@
     watching = watched and shadow_settings(told, watched, PERIOD)
     harness = CoreHarness({**told, **GAUGES}, seed, shadow=watching)
     started = harness.now
-    ends = play(harness, random.Random(seed))
+    ends = run_randomly(harness, random.Random(seed))
     lines = [line for line in harness.log_lines if line.startswith("watching: ")]
     assert len(lines) <= (harness.now - started) / PERIOD, "more than one line a period"
     return harness, ends, [int(count) for line in lines for count in re.findall(r" (\d+)(?:,|$)", line)]
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -6,13 +6,13 @@
 from finchcart.protocol.messages import (
     StoreReply,
 )
-from tests.core_cases import calling, how, plain_harness, running
+from tests.core_cases import outcome_of, plain_harness, start_call, start_run
 from tests.core_harness import MS
 
 
 def test_a_call_made_after_an_abandoned_one_goes_where_no_late_reply_can_pass_for_its_own():
     harness = plain_harness(**{"methods.0.kind": "idempotent", "degraded_value": (0.0, 0.0)})
-    name = running(harness)
+    name = start_run(harness)
     harness.pool.block_at_call(name)
     harness.step(MS)
     harness.step(MS)
@@ -37,7 +37,7 @@
 
 def test_a_corrupt_reply_costs_its_own_call_and_its_connection_takes_no_further():
     harness = plain_harness(cores=8, calls_limit=20, degraded_value=(0.5, 0.0))
-    names = [running(harness) for _ in range(3)]
+    names = [start_run(harness) for _ in range(3)]
     for name in names:
         harness.pool.block_at_call(name)
     for _ in range(3):
@@ -69,7 +69,7 @@
 
 def test_an_idle_store_connection_is_closed_before_the_store_does_it():
     harness = plain_harness()
-    name, link = calling(harness)
+    name, link = start_call(harness)
     harness.store.reply(link, name, Outcome.OK)
     for _ in range(90):
         harness.step(10 * MS)
@@ -83,9 +83,9 @@
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT])
 def test_a_call_of_an_effect_is_not_repeated_without_proof(outcome):
     harness = plain_harness()
-    name, link = calling(harness, 1)
+    name, link = start_call(harness, 1)
     harness.store.reply(link, name, outcome)
     for _ in range(5):
         harness.step(MS)
-    assert how(harness, name) == "failed"
+    assert outcome_of(harness, name) == "failed"
     assert not any(harness.store.calls.values())
