--- a/tests/core_cases.py
+++ b/tests/core_cases.py
@@ -1,4 +1,4 @@
-"""Plain cases of a core with simulated peers round it: what many tests begin with."""
+"""Common first steps of tests of a core with simulated peers: start, run, call and duplicate."""
 
 from finchcart.decisions.outcome import Outcome
 from tests.core_harness import MS, CoreHarness
@@ -18,7 +18,7 @@
 
 
 def start_run(harness, n=0):
-    """Return the name of an attempt that runs."""
+    """Submit an attempt and return its name once it runs."""
     name = harness.dispatchers.submit(harness.dispatchers.open(), n)
     harness.step(MS)
     harness.step(MS)
@@ -33,7 +33,7 @@
 
 
 def start_call(harness, n=0):
-    """Return the name of an attempt whose run awaits a call, and the connection that carries it."""
+    """Submit an attempt; return its name once its run awaits a call, and the connection of that call."""
     name = start_run(harness, n)
     harness.pool.block_at_call(name)
     for _ in range(3):
@@ -43,7 +43,7 @@
 
 
 def run_with_duplicate(harness, outcome):
-    """Return the names of an attempt that ends so, and of a duplicate that came while it ran."""
+    """Run an attempt to `outcome`, with a duplicate that arrives meanwhile; return the names of both."""
     first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     second = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""Simulated peers round one core, without sockets: they check the rules as they go."""
+"""Connects one core to simulated peers, without sockets, and checks invariants at each step."""
 
 import json
 import random
@@ -29,7 +29,7 @@
 
 
 class CoreHarness:
-    """Dispatchers, worker pool, store and registry round one core, and the connections between them."""
+    """One core, the simulated dispatchers, worker pool, store and registry, and their connections."""
 
     dispatchers_type = DispatchersDouble
 
@@ -63,20 +63,21 @@
         )
         self.limiters = limiters
         self.frontend = self.core.frontends["front"]
-        # What the core published.
+        # Output of the core
         self.key_lease_inputs = []
         self.evidence = []
         self.usage = []
-        self.reports = []  # to the registry: (when, data)
+        self.reports = []  # to the registry: (time, data)
         self.log_lines = []
-        # Connections by number; the state is "open", "connecting" or how it ended.
+        # State by connection number: "connecting", "open", "refused", "shut" (closed by the core if idle),
+        # "cut" (ended by the peer), "unread" (ended by a protocol error) or "closed"
         self.connections = {}
         self.reads_requested = Counter()
-        self.inboxes = {}  # messages that were not read yet
+        self.inboxes = {}  # unread messages
         self.write_blocked = set()
         self.closing = set()
-        self.write_block_probability = 0.01  # how often a peer does not read what is sent
-        self.commands = []  # of the core to worker pool and store, not read yet: (connection, data)
+        self.write_block_probability = 0.01  # probability that a send blocks because the peer does not read
+        self.commands = []  # sent by the core to worker pool and store, and still unread: (connection, data)
         self.dispatchers = self.dispatchers_type(self)
         self.pool = PoolDouble(self)
         self.store = StoreDouble(self)
@@ -84,16 +85,16 @@
         self.ended = False
         self.feed(Start())
 
-    def feed(self, what):
-        """Hands an input to the core, and carries out what comes of it."""
-        inputs = deque([what])
+    def feed(self, first_input):
+        """Passes an input to the core, and carries out the effects; deferred inputs follow."""
+        inputs = deque([first_input])
         while inputs:
-            what = inputs.popleft()
+            received = inputs.popleft()
             if self.limiters:
                 self.limiters.set_clock(self.now)
             if self.core.key_leases:
                 self.core.key_leases.now_us = self.now
-            for effect in self.core.reduce(self.now, what):
+            for effect in self.core.reduce(self.now, received):
                 if isinstance(effect, effects.Defer):
                     inputs.append(effect.input)
                 elif isinstance(effect, effects.CloseIfIdle):
@@ -103,11 +104,11 @@
                     getattr(self, EFFECT_METHODS[type(effect)])(*effect)
 
     def deliver(self, connection, message):
-        """Puts a message into the connection's inbox."""
+        """Adds a message to the connection's inbox."""
         self.inboxes.setdefault(connection, deque()).append(message)
 
     def step(self, elapsed_us):
-        """Time passes, timers are due, commands are read, and the reads that were requested are delivered."""
+        """Advances the time, runs due timers, has the peers read commands, and delivers requested reads."""
         self.now += elapsed_us
         while not self.ended and self.core.next_timer() is not None and self.core.next_timer() <= self.now:
             self.feed(TimersDue())
@@ -144,9 +145,9 @@
 
     def deliver_reads(self):
         while any(self.inboxes.get(connection) for connection in self.reads_requested):
-            connection = next(each for each in self.reads_requested if self.inboxes.get(each))
+            connection = next(number for number in self.reads_requested if self.inboxes.get(number))
             self.reads_requested[connection] -= 1
-            self.reads_requested += Counter()  # drops what is requested no more
+            self.reads_requested += Counter()  # removes connections without a requested read
             count = self.rng.choice((1, 1, 2, self.limits.frontend_batch))
             inbox = self.inboxes[connection]
             batch = [inbox.popleft() for _ in range(min(count, len(inbox)))]
@@ -173,16 +174,16 @@
     def on_read(self, connection):
         if self.connections.get(connection) in ("open", "connecting"):
             self.reads_requested[connection] += 1
-            assert self.reads_requested[connection] <= self.limits.read_ahead, "asked too often"
+            assert self.reads_requested[connection] <= self.limits.read_ahead, "too many reads requested"
 
     def on_connect(self, connection, kind, address):
-        assert address == getattr(self.addresses, kind), "not its address"
+        assert address == getattr(self.addresses, kind), "connects to a wrong address"
         self.connections[connection] = "connecting"
         self.store.calls[connection] = {}
         if kind == "pool":
-            before = self.pool.connection
-            left = before is None or before in self.closing or self.connections[before] != "open"
-            assert left, "two connections to the pool"
+            previous = self.pool.connection
+            is_free = previous is None or previous in self.closing or self.connections[previous] != "open"
+            assert is_free, "two connections to the worker pool"
             self.pool.connection = connection
 
     def on_send(self, connection, data):
@@ -205,17 +206,17 @@
         del self.reads_requested[connection]
 
     def on_drop(self, connection):
-        """At once: what was written and not read yet is lost."""
+        """Closes a connection immediately; data that was written and not read yet is lost."""
         self.commands = [command for command in self.commands if command[0] != connection]
         self.store.calls[connection] = {}
         self.on_close(connection)
 
     def try_close(self, connection):
-        """Closes a connection where nothing is under way, and tells whether it did."""
+        """Closes a connection if it is idle; returns whether it was."""
         if self.inboxes.get(connection) or connection in self.write_blocked:
             return False
         if self.connections.get(connection) == "open":
-            self.connections[connection] = "shut"  # what comes on it from now on crosses the close
+            self.connections[connection] = "shut"  # messages that arrive from now on cross the close
         return True
 
     def on_send_report(self, address, data):
@@ -227,26 +228,26 @@
 
     def on_stop_listening(self):
         times = self.core.shutdown.times
-        is_last_moment = times is not None and self.now >= times.kill_at - self.limits.finish_period_us
-        assert is_last_moment or not self.dispatchers.responses_pending()
+        is_finish_period = times is not None and self.now >= times.kill_at - self.limits.finish_period_us
+        assert is_finish_period or not self.dispatchers.responses_pending()
 
     def on_end(self):
         assert self.drain_notice_at is not None
-        read = [each for each in self.dispatchers.responses_pending() if not self.dispatchers.is_unread(each)]
-        assert read == [], "ended over RPCs that were read"
+        read = [name for name in self.dispatchers.responses_pending() if not self.dispatchers.is_unread(name)]
+        assert read == [], "ended while RPCs that were read were not answered"
         self.ended = True
 
-    # ---- Connections that end
+    # ---- Lost connections
 
     def lose_connection(self, connection, reason=""):
-        """The connection ends: what was under way in both directions is lost."""
+        """Ends a connection; data in transit in both directions is lost. `reason` is a protocol error's."""
         self.connections[connection] = "unread" if reason else "cut"
         self.inboxes.pop(connection, None)
         del self.reads_requested[connection]
         self.commands = [command for command in self.commands if command[0] != connection]
         self.feed(ConnectionEnded(connection, ProtocolError(reason) if reason else None))
 
-    # ---- The rules that are not checked as the core acts
+    # ---- Invariants that are checked after each step, not at single effects
 
     def check(self):
         self.dispatchers.check()
--- a/tests/random_core_runs.py
+++ b/tests/random_core_runs.py
@@ -1,4 +1,4 @@
-"""Seeded random runs of a core: dispatchers, worker pool and store act by chance."""
+"""Seeded random runs of a core: dispatchers, worker pool and store act at random."""
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.inputs import Drain
@@ -6,8 +6,8 @@
 
 
 def submit_randomly(harness, rng, load):
-    """Dispatchers connect, submit, retry, revoke and go."""
-    connections = [each for each, state in harness.connections.items() if state == "open" and each > 0]
+    """Have dispatchers connect, submit, retry, revoke and disconnect."""
+    connections = [number for number, state in harness.connections.items() if state == "open" and number > 0]
     if rng.random() < 0.1 or not connections:
         connections.append(harness.dispatchers.open())
     keyed = [name for name, attempt in harness.dispatchers.attempts.items() if attempt.kind == "keyed"]
@@ -26,7 +26,7 @@
 
 
 def change_runs_randomly(harness, rng):
-    """Runs end, and await calls."""
+    """Have runs end or await calls."""
     for name, run in list(harness.pool.active_runs.items()):
         attempt = harness.dispatchers.attempts[name]
         chance = rng.random()
@@ -39,7 +39,7 @@
 
 
 def reply_randomly(harness, rng):
-    """The store replies, or breaks a connection."""
+    """Have the store reply, or break a connection."""
     outcomes = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT)
     for connection, calls in list(harness.store.calls.items()):
         for name in [name for name in calls if name in harness.pool.active_runs]:
@@ -64,7 +64,7 @@
 
 
 def run_randomly(harness, rng, restart_at=None):
-    """A random day with a drain; returns how each attempt ended."""
+    """Act at random, with a drain at the end; return the outcome of each attempt."""
     load = rng.choice((1, 3, 12))
     drain_at = rng.randint(350, 600)
     for step in range(1200):
@@ -83,10 +83,13 @@
 
 
 def runs_in_progress_at_end(harness):
-    """What the node counts as running as it ends: it runs, may run, or its start is still to be read."""
+    """Return the RPCs that the node counts as running when it ends.
+
+    Each of them runs or may run at the worker pool, or its start command is not confirmed yet.
+    """
     running = harness.core.lifecycle.running_rpcs()
     commands = harness.core.pool.commands
     for rpc in running:
-        is_open = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
-        assert is_open or rpc.name in harness.pool.active_runs, "counted and over"
+        is_unconfirmed = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
+        assert is_unconfirmed or rpc.name in harness.pool.active_runs, "an ended run is counted as running"
     return running
