--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without sockets: seeded random runs, rules checked at every step; drain; nothing is kept."""
+"""Tests of the core without sockets: invariants in seeded random runs, drain, and release of all state."""
 
 import random
 
@@ -12,8 +12,8 @@
 from tests.random_core_runs import act_randomly, run_randomly
 
 
-@pytest.mark.parametrize("seed", [*range(20), 2008])  # 2008: an idempotent run starts again as it ends
-def test_rules_hold_in_random_runs(seed):
+@pytest.mark.parametrize("seed", [*range(20), 2008])  # 2008: an idempotent run is restarted when it ends
+def test_invariants_hold_in_random_runs(seed):
     rng = random.Random(seed)
     harness = CoreHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
@@ -21,7 +21,7 @@
     assert "ok" in run_randomly(harness, rng, rng.choice((None, 320)))
 
 
-def test_draining_tells_the_registry_at_once_and_ends_when_nothing_is_left():
+def test_drain_reports_to_the_registry_immediately_and_ends_the_node_once_it_is_idle():
     harness = plain_harness()
     name = start_run(harness, 1)
     harness.drain_notice_at = harness.now
@@ -36,7 +36,7 @@
     assert harness.now < harness.drain_notice_at + harness.limits.stop_timeout_us + 100 * MS
 
 
-def test_nothing_is_kept_once_all_windows_are_over():
+def test_all_state_is_released_once_all_key_windows_are_over():
     harness, rng = plain_harness(), random.Random(4)
     for _ in range(400):
         harness.step(10 * MS)
@@ -48,15 +48,15 @@
             harness.pool.end_run(name, Outcome.OK)
     core = harness.core
     assert len(harness.dispatchers.attempts) > 100
-    for piece, kept in (
+    for component, attributes in (
         (core.lifecycle, ("rpcs", "index_by_name")),
         (core.idempotency, ("entries", "with_result")),
         (core.store, ("connections",)),
         (core.pool.polls, ("pending_timers",)),
         (core.pool.commands, ("unconfirmed",)),
     ):
-        for name in kept:
-            assert not getattr(piece, name), name
-    assert all(harness.connections[link] != "closed" for link in core.effect_buffer.connection_owners)
+        for name in attributes:
+            assert not getattr(component, name), name
+    assert all(harness.connections[number] != "closed" for number in core.effect_buffer.connection_owners)
     assert not core.controller.state.table.active
     assert len(core.effect_buffer.timers) < 12 + 2 * len(harness.frontend.table.connections)
