--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -1,4 +1,4 @@
-"""Each part of a node alone, on a bare turn: no core, no decision module."""
+"""Tests of single components of a node, on an `EffectBuffer` without a core or decision module."""
 
 import random
 
@@ -44,17 +44,19 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_idempotency_cache_holds_one_entry_a_key_and_bounds_results(seed):
+def test_the_idempotency_cache_detects_duplicates_and_bounds_results(seed):
     rng, effect_buffer = random.Random(seed), EffectBuffer(1)
     cache, live, windows = IdempotencyCache(effect_buffer, 500 * MS, 40), [], {}
     for index in range(400):
         effect_buffer.begin(effect_buffer.now + rng.randrange(60) * MS)
         key = ("m0", rng.randrange(12))
-        reached = effect_buffer.now - rng.randrange(200) * MS
+        arrived_at = effect_buffer.now - rng.randrange(200) * MS
         rpc = rpc_of(index)
-        rpc.key_entry, repeats = cache.entry_for(key, index, digest_of(rpc.body), reached)
-        assert repeats or not any(until > reached and ran for until, ran in windows.get(key, ())), "forgotten"
-        if repeats:
+        rpc.key_entry, is_duplicate = cache.entry_for(key, index, digest_of(rpc.body), arrived_at)
+        assert is_duplicate or not any(until > arrived_at and ran for until, ran in windows.get(key, ())), (
+            "duplicate not detected"
+        )
+        if is_duplicate:
             cache.join_in_flight(rpc)
         else:
             cache.store(rpc, 2_000 * MS)
@@ -62,11 +64,11 @@
             windows.setdefault(key, []).append((rpc.key_entry.expires_at, rpc.key_entry.ran))
             live.append(rpc)
         if live and rng.random() < 0.7:
-            done = live.pop(rng.randrange(len(live)))
-            if done.key_entry.ran:
-                cache.complete(done.key_entry, rng.choice((rng.randbytes(9), NoResult.FAILED)))
+            ended = live.pop(rng.randrange(len(live)))
+            if ended.key_entry.ran:
+                cache.complete(ended.key_entry, rng.choice((rng.randbytes(9), NoResult.FAILED)))
             else:
-                cache.evict(done.key_entry)
+                cache.evict(ended.key_entry)
         assert cache.result_bytes == sum(len(entry.result) for entry in cache.with_result) <= 40
     for _ in range(3):
         effect_buffer.begin(effect_buffer.now + 4_000 * MS)
@@ -75,7 +77,7 @@
     assert not effect_buffer.timers
 
 
-def test_a_late_duplicate_of_what_ran_is_known_though_a_later_attempt_was_evicted():
+def test_a_duplicate_that_is_read_late_is_detected_even_if_a_later_attempt_was_evicted():
     effect_buffer = EffectBuffer(1)
     cache = IdempotencyCache(effect_buffer, 500 * MS, 100)
     effect_buffer.begin(1_000 * MS)
@@ -85,10 +87,10 @@
     ran.key_entry.ran = True
     cache.complete(ran.key_entry, b"result")
     effect_buffer.begin(1_150 * MS)
-    later.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), effect_buffer.now)
-    assert not repeats  # the window is over
+    later.key_entry, is_duplicate = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), effect_buffer.now)
+    assert not is_duplicate  # the window is over
     cache.store(later, 100 * MS)
-    cache.evict(later.key_entry)  # pushed back: it never ran
+    cache.evict(later.key_entry)  # as of an RPC that is rejected and never runs
     assert cache.entry_for(("m0", "k"), 2, digest_of(b"body"), 1_050 * MS) == (ran.key_entry, True)
     assert not cache.entry_for(("m0", "k"), 2, digest_of(b"body"), 1_160 * MS)[1]
 
@@ -100,9 +102,9 @@
     first.key_entry, _ = cache.entry_for(("m0", "k"), 0, digest_of(b"body"), 0)
     cache.store(first, 10)
     first.key_entry.ran = True
-    second.key_entry, repeats = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), 0)
+    second.key_entry, is_duplicate = cache.entry_for(("m0", "k"), 1, digest_of(b"body"), 0)
     cache.join_in_flight(second)
-    assert repeats
+    assert is_duplicate
     assert not effect_buffer.effects
     cache.complete(first.key_entry, b"result")
     assert same_input(effect_buffer.effects[0].input, DuplicateReady(1))
@@ -110,15 +112,15 @@
     assert cache.is_payload_mismatch(("m0", "k"), digest_of(b"x"))
 
 
-class CallsByChance:
-    """Calls to the store, and how each ends; checks that no copy of a reply can pass for another's."""
+class RandomCalls:
+    """Random calls to the store; checks that no duplicated reply can be taken for another call's."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.effect_buffer = EffectBuffer(1)
         self.ended = []
         self.store = StoreClient(self.effect_buffer, LIMITS, ("store", 1), self.call_ended)
-        self.in_flight = {}  # by number of the call
+        self.in_flight = {}  # RPC by number of the call
         self.calls_made = 0
         self.names_used = {}  # by connection
 
@@ -132,10 +134,10 @@
         self.in_flight[self.calls_made] = rpc
         self.calls_made += 1
         used = self.names_used.setdefault(rpc.call_connection, set())
-        assert rpc.name not in used, "a copy could pass for it"
+        assert rpc.name not in used, "a duplicated reply to an earlier call could be taken for the reply"
         used.add(rpc.name)
 
-    def end_by_chance(self, number, rpc):
+    def end_randomly(self, number, rpc):
         store = self.store
         connection = rpc.call_connection
         chance = self.rng.random()
@@ -144,12 +146,12 @@
         elif chance < 0.1:
             store.message_received(connection, StoreReply(rpc.name, Outcome.OK, b"!"))
         elif chance < 0.13:
-            # Corrupt: it never passes for the call's.
+            # A corrupt reply, which must not end the call.
             store.message_received(connection, StoreReply("another", Outcome.OK, b"!"))
             assert rpc.call_connection == connection
             assert store.connections[connection].retired
         elif chance < 0.16:
-            store.connection_ended(connection, ProtocolError("cut"))
+            store.connection_ended(connection, ProtocolError("lost"))
         elif chance < 0.18:
             store.drop(rpc)
             self.ended.append(rpc.index)
@@ -159,8 +161,8 @@
         self.effect_buffer.begin(self.effect_buffer.now + rng.randrange(20) * MS)
         if rng.random() < 0.4:
             self.call(rpc_of(rng.randrange(20) if rng.random() < 0.5 else 100 + number))
-        for each, rpc in list(self.in_flight.items()):
-            self.end_by_chance(each, rpc)
+        for call, rpc in list(self.in_flight.items()):
+            self.end_randomly(call, rpc)
         connections = self.store.connections.values()
         names = {connection.rpc.name for connection in connections if connection.rpc}
         assert len(names) == sum(1 for connection in connections if connection.rpc)
@@ -170,8 +172,8 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_each_call_ends_once_and_no_connection_serves_a_name_twice(seed):
-    calls = CallsByChance(seed)
+def test_each_call_ends_once_and_no_connection_carries_a_name_twice(seed):
+    calls = RandomCalls(seed)
     for number in range(600):
         calls.step(number)
     for _ in range(4):
@@ -181,83 +183,87 @@
     assert not calls.store.idle
 
 
-class Host:
+class ListenerDouble:
+    """Records what the worker pool client reports about runs and about the worker pool."""
+
     def __init__(self):
-        self.rpcs, self.told = {}, []
+        self.rpcs, self.reported = {}, []
 
     def find_running(self, name):
         return self.rpcs.get(name)
 
     def run_ended(self, rpc, outcome, spent, result):
-        self.told.append((rpc.name, outcome))
+        self.reported.append((rpc.name, outcome))
         self.rpcs.pop(rpc.name)
         self.pool.confirm(rpc)
 
     def longest_run_us(self, rpc):
         return 3_000 * MS
 
-    def __getattr__(self, word):
-        return lambda *more: self.told.append((word, *more))
+    def __getattr__(self, method):
+        return lambda *arguments: self.reported.append((method, *arguments))
 
 
-def test_the_pool_settles_what_a_lost_connection_may_have_lost():
-    effect_buffer, host = EffectBuffer(1), Host()
-    pool = host.pool = WorkerPoolClient(effect_buffer, LIMITS, ("pool", 1), ("core_use",), host, host)
+def test_the_worker_pool_client_settles_commands_that_may_have_been_lost_with_a_connection():
+    effect_buffer, listener = EffectBuffer(1), ListenerDouble()
+    pool = listener.pool = WorkerPoolClient(
+        effect_buffer, LIMITS, ("pool", 1), ("core_use",), listener, listener
+    )
     pool.connect()
     pool.message_received(pool.connection.number, Subscribed(False, 5_000))
-    safe, effect = rpc_of(1), rpc_of(2)
-    host.rpcs = {safe.name: safe, effect.name: effect}
-    pool.commands.send(safe, b"run safe", b"run safe", is_start=True)
-    pool.commands.send(effect, b"run effect", None)
+    idempotent, non_idempotent = rpc_of(1), rpc_of(2)
+    listener.rpcs = {idempotent.name: idempotent, non_idempotent.name: non_idempotent}
+    pool.commands.send(idempotent, b"run safe", b"run safe", is_start=True)
+    pool.commands.send(non_idempotent, b"run effect", None)
     pool.connection_ended(pool.connection.number, None)
     effect_buffer.begin(effect_buffer.now + 1_000 * MS)
     pool.message_received(pool.connection.number, Subscribed(False, 1_005_000))
-    settle = pool.commands.settlement_ticket
+    ticket = pool.commands.settlement_ticket
     effect_buffer.begin(effect_buffer.now)
-    pool.message_received(pool.connection.number, GaugesRead(settle, ()))
+    pool.message_received(pool.connection.number, GaugesRead(ticket, ()))
     assert Send(pool.connection.number, b"run safe") in [
         e for e in effect_buffer.effects if isinstance(e, Send)
     ]
     assert b"run effect" not in [e[-1] for e in effect_buffer.effects]
-    # It may be running: it counts, and is reported as over once the settings let it go on no longer.
-    assert effect.index in pool.commands.unconfirmed_runs
-    assert not any(told[0] == effect.name for told in host.told)
-    assert list(pool.commands.unconfirmed) == [1]  # written once more, and open again
-    pool.message_received(pool.connection.number, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
-    pool.message_received(pool.connection.number, RunEndedNotice(1, safe.name, Outcome.OK, 5, b""))
-    # The start written again may be read after that end: the second end counts, and one of them.
-    assert host.told.count((safe.name, Outcome.OK)) == 0
-    assert safe.index in pool.commands.unconfirmed_runs
-    pool.message_received(pool.connection.number, RunEndedNotice(2, safe.name, Outcome.OK, 5, b""))
-    assert host.told.count((safe.name, Outcome.OK)) == 1
+    # The non-idempotent run may be running: it counts as running until the longest possible run is over.
+    assert non_idempotent.index in pool.commands.unconfirmed_runs
+    assert not any(report[0] == non_idempotent.name for report in listener.reported)
+    assert list(pool.commands.unconfirmed) == [1]  # sent again, and unconfirmed again
+    pool.message_received(pool.connection.number, RunEndedNotice(1, idempotent.name, Outcome.OK, 5, b""))
+    pool.message_received(pool.connection.number, RunEndedNotice(1, idempotent.name, Outcome.OK, 5, b""))
+    # The worker pool may read the second start after that end, so only the end of the second run counts.
+    assert listener.reported.count((idempotent.name, Outcome.OK)) == 0
+    assert idempotent.index in pool.commands.unconfirmed_runs
+    pool.message_received(pool.connection.number, RunEndedNotice(2, idempotent.name, Outcome.OK, 5, b""))
+    assert listener.reported.count((idempotent.name, Outcome.OK)) == 1
     effect_buffer.begin(effect_buffer.now + 2_999 * MS)
-    assert (effect.name, Outcome.STOPPED) not in host.told
+    assert (non_idempotent.name, Outcome.STOPPED) not in listener.reported
     effect_buffer.begin(effect_buffer.now + MS)
-    assert (effect.name, Outcome.STOPPED) in host.told
+    assert (non_idempotent.name, Outcome.STOPPED) in listener.reported
 
 
 class ShutdownHostDouble:
     def __init__(self, busy):
         self.busy = busy
-        self.told = []
+        self.calls = []
 
     def is_busy(self):
         return self.busy[0]
 
     def announce_close(self):
-        self.told.append("announce close")
+        self.calls.append("announce close")
 
     def announce_close_of_new(self):
-        self.told.append("announce close of new")
+        self.calls.append("announce close of new")
 
     def close_now(self):
-        self.told.append("close now")
+        self.calls.append("close now")
 
     def before_end(self):
-        self.told.append("before end")
+        self.calls.append("before end")
 
 
-def test_the_end_waits_for_what_is_open_and_listens_no_more_before():
+def test_a_drain_waits_until_the_node_is_idle_and_stops_listening_before_the_end():
     effect_buffer, busy = EffectBuffer(1), [True]
     host = ShutdownHostDouble(busy)
     registration = Registration(effect_buffer, LIMITS, "n1", ("registry", 1))
@@ -267,45 +273,47 @@
     assert not schedule.drain(effect_buffer.now)
     registration.set_health(False)
     assert effect_buffer.effects[-1].data == b"HERE n1 off"
-    told = []
+    emitted = []
     for _ in range(60):
-        told += map(type, effect_buffer.begin(effect_buffer.now + 40 * MS))
+        emitted += map(type, effect_buffer.begin(effect_buffer.now + 40 * MS))
         schedule.end_if_idle()
-        told += [type(effect) for effect in effect_buffer.effects if isinstance(effect, StopListening | End)]
+        emitted += [
+            type(effect) for effect in effect_buffer.effects if isinstance(effect, StopListening | End)
+        ]
         busy[0] = effect_buffer.now < 600 * MS
-    assert [kind for kind in told if kind is not SendReport][:2] == [StopListening, End]
-    assert host.told[:2] == ["announce close", "before end"]
+    assert [kind for kind in emitted if kind is not SendReport][:2] == [StopListening, End]
+    assert host.calls[:2] == ["announce close", "before end"]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_turn_takes_own_connections_first_and_keeps_the_order_on_each(seed):
+def test_inputs_of_own_connections_come_first_and_the_order_on_each_connection_is_kept(seed):
     rng = random.Random(seed)
-    words = [Drain(), TimersDue(), ThreadDied("read 3")]
+    inputs = [Drain(), TimersDue(), ThreadDied("read 3")]
     for n in range(40):
-        link = rng.choice((-2, -1, 1, 2))
-        words.append(
+        connection = rng.choice((-2, -1, 1, 2))
+        inputs.append(
             rng.choice(
                 (
-                    MessagesReceived(link, [n], n),
-                    ConnectionEnded(link, ProtocolError(f"{n}")),
-                    CloseAttempted(link, n),
+                    MessagesReceived(connection, [n], n),
+                    ConnectionEnded(connection, ProtocolError(f"{n}")),
+                    CloseAttempted(connection, n),
                 )
             )
         )
-    rng.shuffle(words)
-    taken = own_connections_first(words)
+    rng.shuffle(inputs)
+    ordered = own_connections_first(inputs)
 
-    def of_connection(order, connection):
-        return [what for what in order if getattr(what, "connection", None) == connection]
+    def of_connection(received, number):
+        return [each for each in received if getattr(each, "connection", None) == number]
 
-    for connection in (-2, -1, 1, 2):
-        assert of_connection(taken, connection) == of_connection(words, connection)
-    signs = [what.connection < 0 for what in taken if hasattr(what, "connection")]
-    assert signs == sorted(signs, reverse=True)
+    for number in (-2, -1, 1, 2):
+        assert of_connection(ordered, number) == of_connection(inputs, number)
+    is_own = [each.connection < 0 for each in ordered if hasattr(each, "connection")]
+    assert is_own == sorted(is_own, reverse=True)
 
 
-def test_each_state_of_a_member_has_its_state_in_the_node():
+def test_each_member_state_of_the_fleet_has_a_counterpart_in_the_node():
     expected = {state: FleetMemberState(state.value) for state in MemberState}
     assert list(expected.values()) == list(FleetMemberState)
-    for state, seen in expected.items():
-        assert fleet_input(MemberChanged("n2", state, 1)) == FleetMemberChanged("n2", seen, 1)
+    for state, node_state in expected.items():
+        assert fleet_input(MemberChanged("n2", state, 1)) == FleetMemberChanged("n2", node_state, 1)
