--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -98,7 +98,7 @@
             self.effect_buffer.emit(Defer(CallNotMade(rpc.index)))
             return
         limit_us = permit.time_limit_us
-        rpc.call_time_cut = limit_us is not None and limit_us < timeout_us and not limiters.probing
+        rpc.call_timeout_capped = limit_us is not None and limit_us < timeout_us and not limiters.probing
         if limit_us is not None:
             timeout_us = min(timeout_us, limit_us)
         self.store.call(rpc, timeout_us, _awaited_call(rpc).body, permit.leased, permit.write_by)
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -80,7 +80,7 @@
         "body",
         "call_connection",
         "call_started_at",
-        "call_time_cut",
+        "call_timeout_capped",
         "calls_made",
         "completed",
         "counted_by",
@@ -115,7 +115,7 @@
         self.calls_made = 0
         self.call_started_at = 0
         self.joined_at: int | None = None  # when it began to wait for the first RPC of its key
-        self.call_time_cut = False  # a limit of this node shortened the timeout of its call
+        self.call_timeout_capped = False  # a limit of this node shortened the timeout of its call
         self.counted_by: tuple[InFlightCounter, ...] | None = None  # the limiters that count it as in flight
 
     @property
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -193,7 +193,7 @@
             rpc.awaited_call = None
             can_degrade = self.methods[rpc.method].degraded_value > 0
             self.pool.reply(rpc, cursor, body, can_degrade)
-        self.fleet.call_ended(outcome, spent_us, rpc.call_time_cut)
+        self.fleet.call_ended(outcome, spent_us, rpc.call_timeout_capped)
         _handle_of(rpc).call_ended(self.effect_buffer.now, outcome, spent_us)
 
     def call_not_made(self, index: int) -> None:
