--- a/finchcart/node/rpc_admission.py
+++ b/finchcart/node/rpc_admission.py
@@ -58,7 +58,7 @@
         rpc.arrival_uncertainty_us = attributes.arrival_uncertainty_us
         lifecycle = self._lifecycle
         if rpc.name in lifecycle.index_by_name:
-            raise InvalidRpcError(f"name {rpc.name!r}: already used by an open RPC")
+            raise InvalidRpcError(f"name {rpc.name!r}: in use by an open RPC")
         if key is None:
             lifecycle.open(rpc)
             self._admit(rpc, attributes)
@@ -66,7 +66,7 @@
         digest = digest_of(rpc.body)
         if self._idempotency.is_payload_mismatch((rpc.method, key), digest):
             # An RPC with another body is no retry, and must not get the result of the earlier RPC.
-            raise InvalidRpcError("body: differs from the body of an earlier RPC with this idempotency key")
+            raise InvalidRpcError("body: not that of the other tries with this key")
         lifecycle.open(rpc)
         rpc.key_entry, is_duplicate = self._idempotency.entry_for(
             (rpc.method, key), rpc.index, digest, attributes.arrived_at
