--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -1,4 +1,4 @@
-"""Starts the node's decision module and calls it on events of the worker pool.
+"""Starts the node's decision module when the worker pool is ready, and passes the pool's events to it.
 
 `ControllerHost` owns the only `Controller`, which is constructed when the worker pool is first connected. It
 must never decide about an RPC, nor start the decision module twice.
--- a/finchcart/node/controller_interface.py
+++ b/finchcart/node/controller_interface.py
@@ -1,8 +1,8 @@
 """The interface of the decision module as the node calls it.
 
 `NodeController` implements this interface; `ShadowController` does so in watch mode, in which a second
-decision module with other settings is observed (shadow.py). This module contains only types. Times are whole
-microseconds.
+decision module with other settings runs beside the active one and is only observed (shadow.py). This module
+contains only types. Times are whole microseconds.
 """
 
 from typing import Protocol
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -60,11 +60,11 @@
         seed: the seed of the decision module's random numbers.
         name: the name under which the node registers at the registry.
         addresses: the addresses of worker pool, store and registry.
-        make_frontends: returns the frontends by name.
+        make_frontends: constructs the frontends for a host and returns them by name.
         shadow: the settings of the shadow decision module, see shadow.py; None if there is none.
         limiters: the limiters for the fleet's limits; None if the fleet has no limits.
         observer: collects observations for the fleet's consensus; None if there is no consensus.
-        make_key_leases: returns the component that acquires key leases; None if runs need no lease.
+        make_key_leases: constructs the component that acquires key leases; None if runs need no lease.
     """
 
     def __init__(
@@ -185,7 +185,7 @@
             inputs.LoadMeasured: self._load.on_load_measured,
             inputs.AddressesChanged: self._on_addresses_changed,
             inputs.ThreadDied: self._on_thread_died,
-            inputs.Drain: self._drain.on_notice,
+            inputs.Drain: self._drain.on_drain,
         }
         if self.key_leases:
             handlers[inputs.KeyLeasesRequested] = self.key_leases.send_requests
--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -56,7 +56,7 @@
         self.frontends = frontends
         self.port = port
 
-    def on_notice(self, received_at: int | None = None) -> None:
+    def on_drain(self, received_at: int | None = None) -> None:
         """Begin the drain; grace period and kill time count from `received_at`, not from now."""
         now = self.effect_buffer.now
         times = self.shutdown.drain(min(received_at or now, now))
--- a/finchcart/node/frontend.py
+++ b/finchcart/node/frontend.py
@@ -11,7 +11,7 @@
    core has kept nothing of the RPC, and the frontend reports the error to the caller by its own protocol.
 2. If the caller of an accepted RPC is gone, the frontend calls `core.abandon(rpc)`, once. The core then sends
    no final answer.
-3. The frontend requests each read of a connection with `effect_buffer.emit(Read(connection))`; each read
+3. The frontend requests each read of a connection with `effect_buffer.emit(Read(connection))`; each `Read`
    delivers one batch of messages. To open a connection itself, it calls
    `effect_buffer.connect(kind, address, self)`.
 4. The frontend must not call `accept` before `core.ready` is true, which is when the worker pool was first
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -2,7 +2,7 @@
 
 `IdempotencyCache` owns the entry of each idempotency key: the RPC that holds the key, and its result. A
 result must never go to an RPC with another body, and an entry whose RPC may have run must not be removed
-before its window is over.
+while an RPC that arrived within its window can still be read.
 """
 
 from hashlib import blake2b
--- a/finchcart/node/registration.py
+++ b/finchcart/node/registration.py
@@ -36,7 +36,7 @@
         self.effect_buffer.schedule_after(self._interval_us, self._report_again, self._reports_sent)
 
     def change_address(self, address: Address) -> None:
-        """Send a report to a new address, and all later ones."""
+        """Change the registry's address, and send a report to the new one immediately."""
         self.address = address
         self.report()
 
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -124,7 +124,7 @@
         return self.methods[rpc.method].deadline_us
 
     def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
-        """Answer an RPC whose run ended, without waiting for a second run that may have been started."""
+        """Answer an RPC whose run ended, although it may have been started twice; `run_ended` follows."""
         self.answer(rpc, FinalOutcome.OK if outcome is Outcome.OK else FinalOutcome.FAILED, result)
 
     def run_ended(self, rpc: NodeRpc, outcome: Outcome, spent_us: int, result: bytes) -> None:
@@ -204,6 +204,6 @@
 
 
 def _handle_of(rpc: NodeRpc) -> ControlledRpc:
-    """Return the decision module's handle of an RPC; only admitted RPCs have one, and only they run."""
+    """Return the decision module's handle of an admitted RPC; no other RPC runs or makes calls."""
     assert rpc.handle is not None, f"RPC {rpc.index}: the decision module has not admitted it"
     return rpc.handle
--- a/finchcart/node/statistics.py
+++ b/finchcart/node/statistics.py
@@ -14,11 +14,11 @@
         self._logged: Counter[str] = Counter()
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Increase the counter `name`."""
         self.counts[name] += by
 
-    def line(self) -> str | None:
-        """Return a log line with the counts since the last line and the start; None if nothing changed."""
+    def take_log_line(self) -> str | None:
+        """Return a log line with the counts since the last line and in total; None if nothing changed."""
         changed = self.counts - self._logged
         self._logged = self.counts.copy()
         if not changed:
--- a/finchcart/node/statistics_log.py
+++ b/finchcart/node/statistics_log.py
@@ -9,7 +9,7 @@
 
 
 class StatisticsLog:
-    """Writes the statistics' log line, by one timer."""
+    """Writes the log line of the statistics periodically, with one timer."""
 
     def __init__(self, effect_buffer: EffectBuffer, lifecycle: RpcLifecycle, interval_us: int) -> None:
         self._effect_buffer = effect_buffer
@@ -22,7 +22,7 @@
 
     def write(self) -> None:
         """Write a line if any counter changed since the last line."""
-        line = self._effect_buffer.statistics.line()
+        line = self._effect_buffer.statistics.take_log_line()
         if line:
             runs = len(self._lifecycle.running_rpcs())
             self._effect_buffer.emit(Log(f"{line}; {runs} runs in progress"))
--- a/finchcart/node/wall_clock.py
+++ b/finchcart/node/wall_clock.py
@@ -20,9 +20,9 @@
 If there is no candidate, the timestamp is from a clock that this process has not observed: either the
 machine's clock stepped before the process started, or the dispatcher uses a clock of its own. In that case
 the connection alone bounds the arrival, and the offset is recorded as that of another clock. The offset is
-used for later timestamps, and is raised when an RPC shows that it is too low. A timestamp that differs by
-more than `MAX_CLOCK_DIFFERENCE_US` is not valid. A dispatcher gains nothing by a wrong timestamp: it would
-gain as much by a timestamp of the current time.
+used for later timestamps, and is raised when an RPC shows that it is too low. A timestamp that differs from
+the machine's wall clock by more than `MAX_CLOCK_DIFFERENCE_US` is not valid. A dispatcher gains nothing by a
+wrong timestamp: a timestamp of the current time makes its RPC look just as recent.
 
 The error of an RPC's computed age is the sum of the time between two readings of the clock if the step
 happened between them (one event-loop turn, or a suspension of the process), of the slew of the clock during
