--- a/tests/core_cases.py
+++ b/tests/core_cases.py
@@ -1,4 +1,4 @@
-"""Plain cases of a core with simulated peers round it: what many tests begin with."""
+"""Common first steps of tests of a core with simulated peers: start, run, call and duplicate."""
 
 from finchcart.decisions.outcome import Outcome
 from tests.core_harness import MS, CoreHarness
@@ -17,8 +17,8 @@
     return harness
 
 
-def running(harness, n=0):
-    """Return the name of an attempt that runs."""
+def start_run(harness, n=0):
+    """Submit an attempt and return its name once it runs."""
     name = harness.dispatchers.submit(harness.dispatchers.open(), n)
     harness.step(MS)
     harness.step(MS)
@@ -26,15 +26,15 @@
     return name
 
 
-def ends_well(harness, name):
+def end_run_with_success(harness, name):
     harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
 
 
-def calling(harness, n=0):
-    """Return the name of an attempt whose run awaits a call, and the connection that carries it."""
-    name = running(harness, n)
+def start_call(harness, n=0):
+    """Submit an attempt; return its name once its run awaits a call, and the connection of that call."""
+    name = start_run(harness, n)
     harness.pool.block_at_call(name)
     for _ in range(3):
         harness.step(MS)
@@ -42,8 +42,8 @@
     return name, connection
 
 
-def repeated(harness, outcome):
-    """Return the names of an attempt that ends so, and of a duplicate that came while it ran."""
+def run_with_duplicate(harness, outcome):
+    """Run an attempt to `outcome`, with a duplicate that arrives meanwhile; return the names of both."""
     first = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     second = harness.dispatchers.submit(harness.dispatchers.open(), 1, first)
@@ -53,5 +53,5 @@
     return first, second
 
 
-def how(harness, name):
+def outcome_of(harness, name):
     return harness.dispatchers.attempts[name].outcome
--- a/tests/random_core_runs.py
+++ b/tests/random_core_runs.py
@@ -1,13 +1,13 @@
-"""Seeded random runs of a core: dispatchers, worker pool and store act by chance."""
+"""Seeded random runs of a core: dispatchers, worker pool and store act at random."""
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.inputs import Drain
 from tests.core_harness import MS
 
 
-def submit_by_chance(harness, rng, load):
-    """Dispatchers connect, submit, retry, revoke and go."""
-    connections = [each for each, state in harness.connections.items() if state == "open" and each > 0]
+def submit_randomly(harness, rng, load):
+    """Have dispatchers connect, submit, retry, revoke and disconnect."""
+    connections = [number for number, state in harness.connections.items() if state == "open" and number > 0]
     if rng.random() < 0.1 or not connections:
         connections.append(harness.dispatchers.open())
     keyed = [name for name, attempt in harness.dispatchers.attempts.items() if attempt.kind == "keyed"]
@@ -25,8 +25,8 @@
         harness.dispatchers.end_connection(rng.choice(connections), rng.choice(("", "cut off")))
 
 
-def run_by_chance(harness, rng):
-    """Runs end, and await calls."""
+def change_runs_randomly(harness, rng):
+    """Have runs end or await calls."""
     for name, run in list(harness.pool.active_runs.items()):
         attempt = harness.dispatchers.attempts[name]
         chance = rng.random()
@@ -38,8 +38,8 @@
             harness.pool.end_run(name, Outcome.STOPPED)
 
 
-def reply_by_chance(harness, rng):
-    """The store replies, or breaks a connection."""
+def reply_randomly(harness, rng):
+    """Have the store reply, or break a connection."""
     outcomes = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT)
     for connection, calls in list(harness.store.calls.items()):
         for name in [name for name in calls if name in harness.pool.active_runs]:
@@ -51,10 +51,10 @@
             harness.store.lose_connection(connection)
 
 
-def one_step(harness, rng, load):
-    submit_by_chance(harness, rng, load)
-    run_by_chance(harness, rng)
-    reply_by_chance(harness, rng)
+def act_randomly(harness, rng, load):
+    submit_randomly(harness, rng, load)
+    change_runs_randomly(harness, rng)
+    reply_randomly(harness, rng)
     if rng.random() < 0.01:
         harness.store.accepts = not harness.store.accepts
     if rng.random() < 0.01:
@@ -63,15 +63,15 @@
         harness.pool.accepts = not harness.pool.accepts
 
 
-def play(harness, rng, restart_at=None):
-    """A random day with a drain; returns how each attempt ended."""
+def run_randomly(harness, rng, restart_at=None):
+    """Act at random, with a drain at the end; return the outcome of each attempt."""
     load = rng.choice((1, 3, 12))
     drain_at = rng.randint(350, 600)
     for step in range(1200):
         harness.step(rng.randint(1, 12) * MS)
         if harness.ended:
             break
-        one_step(harness, rng, load)
+        act_randomly(harness, rng, load)
         if step == restart_at:
             harness.pool.restart()
         if step == drain_at:
@@ -82,11 +82,14 @@
     return [attempt.outcome for attempt in harness.dispatchers.attempts.values()]
 
 
-def may_be_running_at_the_end(harness):
-    """What the node counts as running as it ends: it runs, may run, or its start is still to be read."""
+def runs_in_progress_at_end(harness):
+    """Return the RPCs that the node counts as running when it ends.
+
+    Each of them runs or may run at the worker pool, or its start command is not confirmed yet.
+    """
     running = harness.core.lifecycle.running_rpcs()
     commands = harness.core.pool.commands
     for rpc in running:
-        is_open = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
-        assert is_open or rpc.name in harness.pool.active_runs, "counted and over"
+        is_unconfirmed = rpc.index in commands.unconfirmed_runs or rpc.index in commands.unconfirmed
+        assert is_unconfirmed or rpc.name in harness.pool.active_runs, "an ended run is counted as running"
     return running
