--- a/finchcart/__init__.py
+++ b/finchcart/__init__.py
@@ -1,1 +1,1 @@
-"""finchcart: decides, inside each server of a fleet, what it takes, runs and turns away."""
+"""finchcart decides, inside each server of a fleet, which RPCs the server admits, runs and rejects."""
--- a/finchcart/__main__.py
+++ b/finchcart/__main__.py
@@ -1,15 +1,16 @@
-"""The program: `python -m finchcart` and the command `finchcart`.
+"""Entry point of `python -m finchcart` and of the command `finchcart`.
 
-Owns nothing: with arguments it runs the command line, without them one node and nothing else, which
-imports no part of the command line or of a fleet.
+With arguments it runs the command line in finchcart/cli/. Without arguments it runs one node, which must not
+import any module of the command line or of a fleet.
 """
 
 import os
 import signal
 import sys
 
-# Before the other imports, which take a while. A notice to leave that comes meanwhile ends the process
-# immediately: nothing is open yet. One to read the configuration again is ignored: it is not read yet.
+# Signals are handled before the other imports, which take a while. A signal to drain that arrives during the
+# imports ends the process immediately, since no connection is open yet. A signal to read the configuration
+# again is ignored, since the configuration has not been read yet.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 for number in (signal.SIGTERM, signal.SIGINT):
     signal.signal(number, lambda *_: os._exit(0))
@@ -18,7 +19,7 @@
 
 
 def start() -> None:
-    """Run what the arguments ask for, and end the process with its status."""
+    """Run the command that the arguments name, or a node, and end the process with the exit status."""
     if len(sys.argv) > 1:
         from finchcart.cli.commands import commands
 
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -175,11 +175,11 @@
         """Notify the other members of the end, and wait for the thread."""
         self._datagrams.stop()
 
-    def on_signal(self, notice: Drain | ReloadConfig) -> None:
-        """Pass a signal's notice on; called in its handler, which may not log."""
-        if isinstance(notice, Drain):
+    def on_signal(self, signal_input: Drain | ReloadConfig) -> None:
+        """Pass the input of a signal to the fleet's thread. Signal handlers call this, so it must not log."""
+        if isinstance(signal_input, Drain):
             self._datagrams.post(None, Leave())
-        elif isinstance(notice, ReloadConfig):
+        elif isinstance(signal_input, ReloadConfig):
             self._datagrams.post_reload()
 
     def _reload(self) -> list[tuple[bytes, MachineInput]]:
--- a/finchcart/errors.py
+++ b/finchcart/errors.py
@@ -1,25 +1,25 @@
-"""The errors of the program, in one tree.
+"""Base classes of all errors that the program expects.
 
-Each message says what was expected, what was found and where. An error that a peer, a caller or a
-configuration causes is of a type here, or of a subtype beside its codec; anything else is a defect of the
-program and is not caught, but where a comment names what is guarded.
+An error that a peer, a caller or a configuration causes has a type of this module, or a subtype that is
+defined next to its codec. Its message says what was expected, what was found and where. Any other exception
+is a defect of the program and must not be caught, except where a comment explains why it is.
 """
 
 
 class FinchcartError(Exception):
-    """Base of all errors that a peer, a caller or a configuration can cause."""
+    """Base class of all errors that a peer, a caller or a configuration can cause."""
 
 
 class ProtocolError(FinchcartError):
-    """Bytes that are no message of a protocol: a fault of the peer, whose connection is closed."""
+    """Invalid bytes from a peer, which are not a message of the protocol; the connection is closed."""
 
 
 class ConfigError(FinchcartError):
-    """A configuration that cannot be used."""
+    """An invalid configuration."""
 
 
 class SettingsError(ConfigError):
-    """A settings file that cannot be used. `mistakes` has one line for each reason."""
+    """An invalid settings file; `mistakes` holds one line for each mistake in it."""
 
     def __init__(self, mistakes: list[str]) -> None:
         super().__init__("\n".join(mistakes))
@@ -27,8 +27,8 @@
 
 
 class InvalidOverrideError(FinchcartError, ValueError):
-    """An operator's override of a decision that names no subject or value."""
+    """An operator's override whose subject or value does not exist."""
 
 
 class InvalidRpcError(FinchcartError, ValueError):
-    """An RPC that cannot be accepted, as one of its fields is not valid."""
+    """An RPC that is not accepted because one of its fields is invalid."""
--- a/finchcart/fleet_participant.py
+++ b/finchcart/fleet_participant.py
@@ -1,6 +1,7 @@
-"""What a node calls of its part in a fleet. Where no fleet is configured, there is none.
+"""The interface through which a node takes part in a fleet.
 
-Owns no state. A participant is made in finchcart/cli/fleet_node.py; a node without one imports nothing of it.
+The implementation is `FleetNode` in finchcart/cli/fleet_node.py. A node for which no fleet is configured has
+no participant, and must not import the modules of the fleet.
 """
 
 from collections.abc import Callable
@@ -9,7 +10,7 @@
 from finchcart.node.effects import Effect, KeyLeaseAction
 from finchcart.node.inputs import Drain, Input, ReloadConfig
 
-if TYPE_CHECKING:  # none is imported where no fleet is configured
+if TYPE_CHECKING:  # a node without a fleet must not import these modules at run time
     from finchcart.consensus.evidence import Evidence
     from finchcart.node.core import Core
     from finchcart.node.effect_buffer import EffectBuffer
@@ -21,28 +22,28 @@
 
 
 class FleetParticipant(Protocol):
-    """One node's part in a fleet: its thread, and what holds the node to the fleet's decisions."""
+    """A node's participant in a fleet: its thread, and the parts of the core that apply fleet decisions."""
 
     def limiters(self) -> "LimiterSet | None":
-        """Return what holds calls and RPCs to the limits of the fleet; None: there are none."""
+        """Return the limiters that enforce the fleet's limits, or None if no limits are configured."""
 
     def observer(self) -> "NodeObserver | None":
-        """Return what observes for the fleet's consensus; None: there is none."""
+        """Return the observer that collects evidence for the fleet's consensus, or None."""
 
     def key_lease_factory(self) -> "Callable[[EffectBuffer], KeyLeaseGate] | None":
-        """Return what makes the part of the core that gets key leases; None: there are none."""
+        """Return the factory for the core's key lease part, or None if key leases are not configured."""
 
     def reducer(self, core: "Core") -> Reduce:
-        """Return the core's `reduce`, with the boot clock set before each input."""
+        """Return a function like the core's `reduce` that also sets the boot clock before each input."""
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the fleet's thread."""
 
     def stop(self) -> None:
-        """Tell the others of the end, and wait for the thread."""
+        """Announce to the other members that this node ends, and wait until the fleet's thread has ended."""
 
-    def on_signal(self, notice: Drain | ReloadConfig) -> None:
-        """Take a signal's notice; called in its handler."""
+    def on_signal(self, signal_input: Drain | ReloadConfig) -> None:
+        """Handle the input of a signal; called within the signal handler."""
 
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
         """Carry out the effect `PublishUsage`."""
--- a/finchcart/fleet_queries.py
+++ b/finchcart/fleet_queries.py
@@ -1,7 +1,8 @@
-"""Queries to a running process of a fleet, as one datagram each way.
+"""Queries of the command line to a running process of a fleet.
 
-Owns the socket of one query and its retries. It must never keep a view between queries. All functions raise
-TimeoutError where the process does not respond in time.
+A request and its response are one datagram each; a response with several pages takes one request per page.
+This module owns the socket of a query and retries lost requests. It must never cache a response. All
+functions raise TimeoutError if the process does not respond in time.
 """
 
 import random
@@ -22,15 +23,18 @@
 ViewResponse = quota.QuotaStatusResponse | consensus.ConsensusStatusResponse
 
 TIMEOUT_S = 2.0
-ATTEMPTS = 8  # within the timeout
-MAX_ANSWER_BYTES = 65_536
+MAX_ATTEMPTS = 8  # of one query; each may take an equal share of the query's timeout
+MAX_DATAGRAM_BYTES = 65_536
 MICROSECONDS_PER_SECOND = 1e6
 
 
 def query_members(address: Address, timeout_s: float = TIMEOUT_S) -> View:
-    """Return the members as a process sees them, of all pages; a page that is lost is requested again."""
+    """Return the members as a process sees them, from all pages of its response.
+
+    A page whose request or response was lost is requested again.
+    """
     give_up_at = time.monotonic() + timeout_s
-    number = _random_number()
+    number = _random_request_number()
     pages: dict[int, View] = {}
     page_count = None
     with _connected_socket(address, timeout_s) as sock:
@@ -40,7 +44,7 @@
                 page = _request_page(sock, number, missing)
             except (OSError, DatagramError):
                 if time.monotonic() > give_up_at:
-                    raise _no_answer(address) from None
+                    raise _no_response_error(address) from None
                 continue
             page_count = page.page_count
             pages[page.page] = page.view
@@ -50,14 +54,14 @@
 
 
 def query_limits(address: Address, timeout_s: float = TIMEOUT_S) -> View:
-    """Return the fleet's limits as a node or planner holds them."""
-    request = quota.QuotaStatusRequest(_random_number())
+    """Return the fleet's limits as a node or planner knows them."""
+    request = quota.QuotaStatusRequest(_random_request_number())
     return _query(address, quota.CODEC, request, quota.QuotaStatusResponse, timeout_s)
 
 
 def query_consensus(address: Address, timeout_s: float = TIMEOUT_S) -> View:
-    """Return the fleet's decisions as a node holds them, of all pages."""
-    number = _random_number()
+    """Return the fleet's decisions as a node knows them, from all pages of its response."""
+    number = _random_request_number()
     view = _query_consensus(address, consensus.ConsensusStatusRequest(number), timeout_s)
     for page in range(1, view["pages"]):
         request = consensus.ConsensusStatusRequest(number + page, page)
@@ -73,12 +77,13 @@
     reason: str,
     timeout_s: float = TIMEOUT_S,
 ) -> View:
-    """Send an operator's override to a node, which gossips it; return whether it was accepted, and why not.
+    """Send an operator's override to a node, which gossips it to the other nodes.
 
-    A lifetime of 0 revokes the override of the subject.
+    Return the node's response: whether it accepted the override, and the reason if it did not. A lifetime of
+    0 revokes the override of the subject.
     """
     lifetime_us = int(lifetime_s * MICROSECONDS_PER_SECOND)
-    request = consensus.OverrideRequest(_random_number(), subject, value, lifetime_us, reason)
+    request = consensus.OverrideRequest(_random_request_number(), subject, value, lifetime_us, reason)
     return _query_consensus(address, request, timeout_s)
 
 
@@ -95,40 +100,40 @@
     response_type: type[ViewResponse],
     timeout_s: float,
 ) -> View:
-    """Return the view that answers a request; one that is lost is sent again."""
+    """Return the view in the response to a request, which is sent again if no response arrives."""
     with _connected_socket(address, timeout_s) as sock:
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 sock.send(codec.encode("", request))
-                response = codec.decode(None, sock.recv(MAX_ANSWER_BYTES))
+                response = codec.decode(None, sock.recv(MAX_DATAGRAM_BYTES))
             except (OSError, DatagramError):
                 continue
             if isinstance(response, response_type) and response.number == request.number:
                 return response.view
-    raise _no_answer(address)
+    raise _no_response_error(address)
 
 
 def _request_page(sock: socket.socket, number: int, page: int) -> membership.ViewPage:
     sock.send(membership.CODEC.encode("", membership.ViewRequest(number, page)))
     while True:
-        response = membership.CODEC.decode(None, sock.recv(MAX_ANSWER_BYTES))
+        response = membership.CODEC.decode(None, sock.recv(MAX_DATAGRAM_BYTES))
         if isinstance(response, membership.ViewPage) and response.number == number:
             return response
 
 
 @contextmanager
 def _connected_socket(address: Address, timeout_s: float) -> Iterator[socket.socket]:
-    """Hold a socket whose reads give up in time for all attempts."""
+    """Provide a connected socket whose read timeout leaves time for all attempts."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.connect(address)
-        sock.settimeout(timeout_s / ATTEMPTS)
+        sock.settimeout(timeout_s / MAX_ATTEMPTS)
         yield sock
 
 
-def _random_number() -> int:
+def _random_request_number() -> int:
     return random.SystemRandom().getrandbits(32)
 
 
-def _no_answer(address: Address) -> TimeoutError:
+def _no_response_error(address: Address) -> TimeoutError:
     host, port = address
-    return TimeoutError(f"no answer from {host}:{port}")
+    return TimeoutError(f"no response from {host}:{port}")
--- a/finchcart/log_sink.py
+++ b/finchcart/log_sink.py
@@ -1,27 +1,27 @@
-"""Where log lines go: standard error, which may be full, closed or broken for a while.
+"""The sink of the log: writes lines to standard error, which may temporarily be full, closed or broken.
 
-Owns the count of lines that could not be written. It must never raise, nor hold a node up: a log line that is
-lost costs nobody an RPC.
+The sink counts the lines that it could not write. It must never raise an exception or stop a node, since
+losing a log line is better than failing an RPC.
 """
 
 import os
 
-STANDARD_ERROR = 2
+STDERR_DESCRIPTOR = 2
 
 
 class LogSink:
-    """Writes whole lines to a file descriptor, and the count of lost ones once writing works again."""
+    """Writes whole lines to a file descriptor, and the number of lost lines once a write succeeds again."""
 
-    def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        self.lost = 0
+    def __init__(self, descriptor: int = STDERR_DESCRIPTOR) -> None:
+        self.lost_lines = 0
         self._descriptor = descriptor
 
     def __call__(self, line: str) -> None:
-        """Write one line, or count it as lost."""
-        if self.lost and self._write(f"{self.lost} log lines could not be written\n"):
-            self.lost = 0
+        """Write one line, or count it as lost if the write fails."""
+        if self.lost_lines and self._write(f"{self.lost_lines} log lines could not be written\n"):
+            self.lost_lines = 0
         if not self._write(line):
-            self.lost += 1
+            self.lost_lines += 1
 
     def _write(self, text: str) -> bool:
         data = text.encode(errors="replace")
