--- a/finchcart/cli/__init__.py
+++ b/finchcart/cli/__init__.py
@@ -1,4 +1,5 @@
-"""The command line and the settings file of installations whose nodes may talk.
+"""The command line of the program.
 
-Owns what a person types and reads. It must never be imported by a node that is started without arguments.
+The modules in this package parse arguments, start processes of a fleet and print results. A node that is
+started without arguments must never import them.
 """
--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -1,6 +1,6 @@
-"""The report of `finchcart check` on a settings file: the bounds that follow from it.
+"""The report of `finchcart check`: the bounds that follow from a valid settings file.
 
-Owns the wording. Each bound is a formula of the part that it is about.
+This module only formats the report. The formula of a bound is defined in the package that the bound is about.
 """
 
 from collections.abc import Iterator
@@ -20,14 +20,14 @@
 from finchcart.membership.config import SECOND, MembershipConfig
 from finchcart.quota.limits import Limit, QuotaConfig
 
-FLEET_SIZES = (3, 24, 200)  # for which bounds are printed
-LOSSES = (0.0, 0.3)  # parts of the messages that are lost
-JOINING = (0, 4)  # members that join meanwhile
+FLEET_SIZES = (3, 24, 200)  # the report prints the bounds for these numbers of members
+LOSS_RATES = (0.0, 0.3)  # the report prints the bounds for these fractions of lost messages
+JOINING_MEMBERS = (0, 4)  # numbers of members that join while the fleet is partitioned
 TYPICAL_FLEET_SIZE = 24
 
 
 def report(path: str, settings: Settings) -> Iterator[str]:
-    """Yield the lines on a file that was read without a mistake."""
+    """Yield the lines of the report on a valid settings file."""
     fleet = settings.fleet
     if fleet is UNSET:
         yield f"{path}: good; no fleet is asked for"
@@ -48,7 +48,7 @@
 
 def _membership_lines(config: MembershipConfig) -> Iterator[str]:
     for size in FLEET_SIZES:
-        calm, lossy = (config.staleness_bound(size, loss) / SECOND for loss in LOSSES)
+        calm, lossy = (config.staleness_bound(size, loss) / SECOND for loss in LOSS_RATES)
         yield f"  {size} members: a view is at most {calm:.1f} s old, {lossy:.1f} s at 30 % loss"
 
 
@@ -67,7 +67,9 @@
 
 def _loose_limit_lines(quota: QuotaConfig, limit: Limit) -> Iterator[str]:
     unit = "in hand" if limit.per == "in_hand" else f"a second, {limit.burst} at once"
-    over, more = (quota.loose_overshoot_bound(limit, TYPICAL_FLEET_SIZE, joining) for joining in JOINING)
+    over, more = (
+        quota.loose_overshoot_bound(limit, TYPICAL_FLEET_SIZE, joining) for joining in JOINING_MEMBERS
+    )
     yield f"  limit {limit.name}, loose: {limit.amount} {unit}; however the fleet is cut, over by"
     yield f"    at most {over} at 24 members, {more} with 4 that join meanwhile"
 
@@ -100,7 +102,7 @@
 
 def _consensus_lines(config: ConsensusConfig, membership: MembershipConfig) -> Iterator[str]:
     for size in FLEET_SIZES:
-        calm, lossy = (config.acts_within(membership, size, loss) / SECOND for loss in LOSSES)
+        calm, lossy = (config.acts_within(membership, size, loss) / SECOND for loss in LOSS_RATES)
         thresholds = fault_thresholds(config, size)
         yield (
             f"  verdicts at {size} members: all act {calm:.1f} s after enough have the evidence, "
--- a/finchcart/cli/commands.py
+++ b/finchcart/cli/commands.py
@@ -1,8 +1,8 @@
 """The command line: `finchcart serve | check | plan | fleet | trial`.
 
-Owns the commands that start or check one process; fleet_commands.py and trial_commands.py own the others. It
-must never be imported by `python -m finchcart` without arguments. What not every command needs is imported by
-the commands that do.
+This module defines the commands `serve`, `check` and `plan`; the groups `fleet` and `trial` are in
+fleet_commands.py and trial_commands.py. `python -m finchcart` without arguments must never import this
+module. Modules that only some commands need are imported within those commands.
 """
 
 import sys
@@ -18,14 +18,14 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def commands() -> None:
-    """One node of a fleet, and tools for the whole of it."""
+    """Run a node or a planner, check settings, query a fleet, or run fault-injection trials."""
 
 
 @commands.command()
 @settings_option
 @log_option
 def serve(settings: str | None, log: str) -> None:
-    """Serve as one node; its configuration is named by ROUTER_CONFIG."""
+    """Run one node; ROUTER_CONFIG names its configuration file."""
     from finchcart.cli.fleet_node import serve as serve_node
     from finchcart.node_process import exit_process
 
@@ -35,7 +35,7 @@
 @commands.command()
 @settings_option
 def check(settings: str | None) -> None:
-    """Read a settings file; tell all its mistakes, or the bounds that follow from it."""
+    """Check a settings file; print all mistakes or the resulting bounds."""
     from finchcart.cli.check_report import report
     from finchcart.errors import SettingsError
     from finchcart.fleet_settings.file import load_settings
@@ -53,11 +53,11 @@
 
 @commands.command()
 @settings_option
-@click.option("--place", required=True, help="its address as quota.planners names it")
-@click.option("--listen", help="where it listens, if elsewhere")
+@click.option("--place", required=True, help="the planner's address, as listed in the settings file")
+@click.option("--listen", help="the address to listen on, if different from --place")
 @log_option
 def plan(settings: str | None, place: str, listen: str | None, log: str) -> None:
-    """Be one of the planners that share the fleet's limits out."""
+    """Run one of the planners that allocate the fleet's limits to nodes."""
     from finchcart.cli.planner_process import plan as run_planner
 
     if not settings:
--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -1,7 +1,7 @@
-"""One node that takes part in a fleet: joins finchcart/node_process.py with the fleet's thread.
+"""A node that takes part in a fleet: connects the node of finchcart/node_process.py to the fleet's thread.
 
-Owns the start of what a settings file configures, and which of its changes need a restart. It must never be
-imported where no settings file is named.
+This module creates the parts that a settings file configures, and decides which changes of the file need a
+restart. It must never be imported when no settings file is given.
 """
 
 import random
@@ -46,16 +46,16 @@
 from finchcart.quota import messages as quota_messages
 from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 
-FIXED_FIELDS = ("name", "listen", "advertise", "seeds")  # for as long as the process lives
+FIXED_FIELDS = ("name", "listen", "advertise", "seeds")  # of the block `fleet`; changes need a restart
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 def serve(path: str | None, log_format: str) -> int:
-    """Serve as a node, in a fleet where the settings file configures one; return the status of the process.
+    """Serve as a node, in a fleet if the settings file configures one; return the exit status.
 
     Arguments:
-        path: of the settings file, or None.
-        log_format: one of `LOG_FORMATS`.
+        path: the path of the settings file, or None.
+        log_format: a key of `LOG_FORMATS`.
     """
 
     def join_fleet(inputs: SimpleQueue[Input], name: str) -> FleetParticipant | None:
@@ -71,11 +71,11 @@
     """The `FleetParticipant` of a node.
 
     Arguments:
-        inputs: of the node's core.
-        path: of the settings file.
-        settings: what the file says.
-        fleet: its block on the fleet.
-        name: of the node, which is its name in the fleet as well.
+        inputs: the input queue of the node's core.
+        path: the path of the settings file.
+        settings: the contents of the settings file.
+        fleet: the block `fleet` of the settings.
+        name: the name of the node, also within the fleet.
     """
 
     def __init__(
@@ -96,13 +96,13 @@
         )
 
     def _make_machines(self, now: int) -> dict[bytes, StateMachine]:
-        """Return the state machines by channel, of all that is configured."""
+        """Return the configured state machines by channel."""
         return make_state_machines(self._name, self._settings, self._fleet, self._random, self._wall_ms, now)
 
     # ---- Parts of the core that enforce the fleet's decisions
 
     def limiters(self) -> LimiterSet | None:
-        """Return the limiters of all limits that hold for this node; new ones wait for the next start."""
+        """Return the limiters of this node. Limits that are added later take effect at the next start."""
         if not self._quota:
             return None
         limiters = LimiterSet(self._quota.limits, self._quota.write_slack, self._quota.max_processes)
@@ -113,12 +113,12 @@
         return limiters
 
     def observer(self) -> NodeObserver | None:
-        """Return the observer for the fleet's consensus, or None."""
+        """Return the observer that collects evidence for the fleet's consensus, or None."""
         consensus = consensus_config(self._settings)
         return NodeObserver(consensus) if consensus else None
 
     def key_lease_factory(self) -> Callable[[EffectBuffer], KeyLeaseGate] | None:
-        """Return the factory of the core's part that acquires key leases, or None."""
+        """Return the factory for the core's key lease part, or None if key leases are not configured."""
         key_leases = key_lease_config(self._settings)
         return (
             (lambda effect_buffer: KeyLeaseGate(effect_buffer, key_leases.lease_duration))
@@ -127,7 +127,7 @@
         )
 
     def reducer(self, core: Core) -> Reduce:
-        """Return the core's `reduce`, with the boot clock set before each input."""
+        """Return a function like the core's `reduce` that also sets the boot clock before each input."""
         limiters = core.limiters
         key_leases = core.key_leases
         if limiters is None and key_leases is None:
@@ -146,7 +146,7 @@
     # ---- Effects of the core
 
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
-        """Post what this node uses and demands of a limit: to the lease holder, or by gossip."""
+        """Post this node's use of and demand for a limit, to the lease holder or to be gossiped."""
         usage = UsageReported(limit, in_use, demand, priority_demand)
         strict_limits = self._quota.strict_limits if self._quota else ()
         if any(strict.name == limit for strict in strict_limits):
@@ -155,11 +155,11 @@
             self._datagrams.post(membership_messages.CHANNEL, PiggybackInput(usage))
 
     def publish_evidence(self, evidence: Evidence) -> None:
-        """Post what the core observed to the consensus store."""
+        """Post the core's observations to the consensus store."""
         self._datagrams.post(consensus_messages.CHANNEL, EvidenceCollected(evidence))
 
     def command_key_lease(self, command: KeyLeaseAction) -> None:
-        """Post a command to the key lease client, to be handled immediately."""
+        """Post a command to the key lease client, which handles it without waiting for the next tick."""
         self._datagrams.post_now(key_lease_messages.CHANNEL, key_lease_client_input(command))
 
     # ---- The process
@@ -169,10 +169,10 @@
         self._datagrams.start()
         fleet = self._fleet
         line = logger.bind(fleet=fleet.name, listen=fleet.listen)
-        line.info("members: {} on {}", fleet.name, fleet.listen)
+        line.info("members: joining fleet {}, listening on {}", fleet.name, fleet.listen)
 
     def stop(self) -> None:
-        """Notify the other members of the end, and wait for the thread."""
+        """Announce to the other members that this node ends, and wait until the fleet's thread has ended."""
         self._datagrams.stop()
 
     def on_signal(self, signal_input: Drain | ReloadConfig) -> None:
@@ -183,7 +183,7 @@
             self._datagrams.post_reload()
 
     def _reload(self) -> list[tuple[bytes, MachineInput]]:
-        """Read the settings file again; return inputs by channel, none where it is rejected."""
+        """Read the settings file again; return the resulting inputs by channel, or none if it is rejected."""
         settings = reread_settings(self._path, self._changed_fixed_fields)
         if settings is None or settings.fleet is UNSET:
             return []
@@ -192,7 +192,7 @@
         return self._config_inputs()
 
     def _changed_fixed_fields(self, settings: Settings) -> list[str]:
-        """Return the paths of fields that differ and need a restart, of the first part that has any."""
+        """Return the paths of changed fields that need a restart, from the first block that has any."""
         used = self._settings
         fixed = [
             name
@@ -209,7 +209,7 @@
         return [f"fleet.{name}" for name in fixed]
 
     def _config_inputs(self) -> list[tuple[bytes, MachineInput]]:
-        """Return the inputs by which the state machines apply the settings in force."""
+        """Return the inputs that make the state machines apply the current settings."""
         settings = self._settings
         member_config = membership_config(self._fleet)
         inputs: list[tuple[bytes, MachineInput]] = [
--- a/finchcart/cli/fleet_state_machines.py
+++ b/finchcart/cli/fleet_state_machines.py
@@ -1,6 +1,6 @@
-"""The state machines of a node that takes part in a fleet, made from its settings.
+"""Creates the state machines of a node that takes part in a fleet from its settings.
 
-Owns which of them there are, and how they are connected. They are run by net/datagrams.py.
+This module decides which state machines exist, and connects them to each other. net/datagrams.py runs them.
 """
 
 import random
@@ -27,11 +27,15 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
 
-PROBE_LIMIT = "store, trial calls"  # the limit by which the fleet shares the calls to a store that is down
+# The limit on probe calls, which nodes make to a store that is down. The fleet shares it among its nodes.
+PROBE_LIMIT = "store, trial calls"
 
 
 def limits_with_probes(settings: Settings) -> QuotaConfig | None:
-    """Return the limits, with consensus the one on probe calls among them; None where there are neither."""
+    """Return the configured limits, and the limit on probe calls if consensus is configured.
+
+    Return None if there are neither.
+    """
     quota = quota_config(settings)
     consensus = consensus_config(settings)
     if not consensus:
@@ -44,14 +48,14 @@
 def make_state_machines(
     name: str, settings: Settings, fleet: FleetSettings, rng: random.Random, wall_ms: int, now: int
 ) -> dict[bytes, StateMachine]:
-    """Return by channel the member, and the state machines of what else is configured.
+    """Return the state machines by channel: the member, and those of all other configured features.
 
     Arguments:
-        name: of the node.
-        settings: what the settings file says.
-        fleet: its block on the fleet.
-        rng: for all of them.
-        wall_ms: the wall clock at the start, in milliseconds: the member's incarnation.
+        name: the name of the node.
+        settings: the contents of the settings file.
+        fleet: the block `fleet` of the settings.
+        rng: the random number generator that all state machines share.
+        wall_ms: the wall clock at the start, in milliseconds, which becomes the member's incarnation.
         now: the boot clock, in microseconds.
     """
     member = _make_member(name, fleet, rng, wall_ms, now)
--- a/finchcart/cli/log_output.py
+++ b/finchcart/cli/log_output.py
@@ -1,6 +1,6 @@
-"""The forms of the log on stderr: text lines and JSON lines.
+"""The formats of the log on standard error: text lines and JSON lines.
 
-Owns how a record is written. It must never drop a record or a field but where it can't be written.
+A record or a field must never be dropped, unless it cannot be written.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,10 @@
 
 
 def log_as_json() -> None:
-    """Log one object a line: `t_us` on the boot clock, time, level, message, and the fields of the line."""
+    """Write the log as JSON lines.
+
+    Each line has `t_us` (microseconds on the boot clock), time, level, message and the record's extra fields.
+    """
     encode = msgspec.json.Encoder().encode
     sink = LogSink()
 
@@ -40,5 +43,5 @@
     logger.add(write, format="{message}", backtrace=False, diagnose=False)
 
 
-# By the values of the option --log.
+# The keys are the values of the option --log.
 LOG_FORMATS: dict[str, Callable[[], None]] = {"text": log_as_text, "json": log_as_json}
--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -1,6 +1,7 @@
-"""One planner process: allocates the fleet's limits, and votes on key leases where the settings name it.
+"""A planner process, which allocates the fleet's limits and votes on key leases.
 
-Owns the life of the process, and which changes of the settings file need a restart.
+Which of both it does depends on the settings. This module starts and ends the process, and decides which
+changes of the settings file need a restart.
 """
 
 import queue
@@ -30,13 +31,13 @@
 
 
 def plan(path: str, address: str, listen: str | None, log_format: str) -> int:
-    """Serve as a planner until a signal to end; return the status of the process.
+    """Serve as a planner until a signal ends the process; return the exit status.
 
     Arguments:
-        path: of the settings file.
-        address: of this planner, as the settings name it.
-        listen: where it listens, if elsewhere.
-        log_format: one of `LOG_FORMATS`.
+        path: the path of the settings file.
+        address: the address of this planner, as listed in the settings.
+        listen: the address to listen on, if it differs from `address`.
+        log_format: a key of `LOG_FORMATS`.
     """
     LOG_FORMATS[log_format]()
     try:
@@ -60,7 +61,7 @@
         print(f"finchcart: {bound_to}: {error.strerror}", file=sys.stderr)
         return EXIT_NOT_STARTED
     datagrams.start()
-    logger.info("planner {} of {}", address, planner.fleet_name)
+    logger.info("planner {} of fleet {} started", address, planner.fleet_name)
     while signals.get() not in STOP_SIGNALS:
         datagrams.post_reload()
     datagrams.stop()
@@ -69,7 +70,7 @@
 
 
 class PlannerProcess:
-    """The state machines of a planner. Raises SettingsError where the settings do not name it."""
+    """The state machines of a planner. Raises SettingsError if the settings do not list its address."""
 
     def __init__(self, path: str, address: str) -> None:
         self._path = path
@@ -85,7 +86,7 @@
         self._random = random.Random(random.SystemRandom().getrandbits(64))
 
     def make_machines(self, now: int) -> dict[bytes, StateMachine]:
-        """Return by channel the planner of limits and the replica of key leases."""
+        """Return, by channel, the planner of limits and the key lease replica, as far as configured."""
         machines: dict[bytes, StateMachine] = {}
         if self._quota:
             machines[quota_messages.CHANNEL] = Planner(
@@ -96,7 +97,7 @@
         return machines
 
     def reload(self) -> list[tuple[bytes, MachineInput]]:
-        """Read the settings file again; return inputs by channel, none where it is rejected."""
+        """Read the settings file again; return the resulting inputs by channel, or none if it is rejected."""
         settings = reread_settings(self._path, self._changed_fixed_fields)
         quota = quota_config(settings) if settings else None
         if not self._quota or not quota:
@@ -104,7 +105,7 @@
         return [(quota_messages.CHANNEL, QuotaConfigChanged(quota))]
 
     def _changed_fixed_fields(self, settings: Settings) -> list[str]:
-        """Return the path of the first field that differs and needs a restart, or none."""
+        """Return the path of the first changed field that needs a restart, or an empty list."""
         quota = quota_config(settings)
         if self._quota and (not quota or quota.planners != self._quota.planners):
             return ["quota.planners"]
--- a/finchcart/cli/settings_reload.py
+++ b/finchcart/cli/settings_reload.py
@@ -1,6 +1,6 @@
-"""Reading the settings file of a running process again: accepted as a whole, or rejected.
+"""Reads the settings file of a running process again, and accepts or rejects it as a whole.
 
-Owns the log lines of both. It must never change what is in force: the caller does.
+This module logs the result. It must never apply the settings: the caller does.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,11 +13,11 @@
 
 
 def reread_settings(path: str, find_fixed: Callable[[Settings], Iterable[str]]) -> Settings | None:
-    """Return the settings of a file, or None where it is rejected; each mistake is logged.
+    """Return the settings in a file, or log each mistake and return None if the file is rejected.
 
     Arguments:
-        path: of the file.
-        find_fixed: gives the paths of the fields that differ from those in force and need a restart.
+        path: the path of the file.
+        find_fixed: returns the paths of the fields whose values have changed and need a restart.
     """
     try:
         settings = load_settings(path)
