--- a/tests/pins/__init__.py
+++ b/tests/pins/__init__.py
@@ -1,1 +1,1 @@
-"""What the pins of tests/test_pins.py are made of, and their data."""
+"""Inputs and recorded results of the regression tests in tests/test_pins.py."""
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, driven over its wire, whose words stay through every rename."""
+"""Drives the simulator adapter as a process over its line protocol, whose names never change."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 
 class WireLink:
-    """One instance in a process of the adapter that serves many of them."""
+    """Drives one instance in an adapter process, which serves many instances."""
 
     def __init__(self, adapter, instance):
         self.adapter = adapter
@@ -16,7 +16,7 @@
 
     def exchange(self, now, events):
         lines = [f"TICK\twall={now}\n"]
-        lines += [self.line(message, fields) for message, fields in events]
+        lines += [self.format_line(message, fields) for message, fields in events]
         self.adapter.stdin.write("".join(lines) + "END\n")
         self.adapter.stdin.flush()
         actions = []
@@ -26,7 +26,7 @@
             actions.append((name, dict(pair.split("=", 1) for pair in pairs)))
         return actions
 
-    def line(self, message, fields):
+    def format_line(self, message, fields):
         parts = [message, f"who={self.instance}"]
         for name, value in fields.items():
             if isinstance(value, dict):
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -1,7 +1,8 @@
-"""Present names of the codecs; a rename changes this file and no pinned byte.
+"""Examples for all codecs, with the current names of the code.
 
-Pinned are an example of each message that the program writes or reads, what it reads back as in plain values,
-and the digests and numbers by which keys, members and subjects are known to others.
+A rename in a codec changes this file and no recorded bytes. Recorded are the bytes of an example of each
+message that the program sends or receives, the values that it is decoded to, and the digests and numbers that
+identify keys, members and subjects in messages.
 """
 
 from functools import partial
@@ -51,7 +52,7 @@
 FLEET = "example"
 OUTCOME_CODES = {outcome: code for code, outcome in OUTCOMES.items()}
 
-# ---- Datagrams: the fields of all are told by their order, as on the wire
+# ---- Datagrams: fields are encoded and recorded in their order, without names
 
 MEMBER_RECORD = membership.MemberRecord(
     "n1", "10.0.0.7:7400", 2**63 + 5, 1_700_000_000_123, 1_700_000_000_456, 7, 1, [11, 2**64 - 1]
@@ -146,7 +147,7 @@
         0,
         FIELD.pack(I32, 1) + LENGTH.pack(7) + b"\0",
     ),
-    # What others know keys, members and subjects by.
+    # Identifiers of keys, members and subjects in messages.
     "member id": lambda: to_bytes(codec.name_hash("n1")),
     "member row digest": lambda: to_bytes(MEMBER_RECORD.digest()),
     "key digest": lambda: key_leases.key_digest("book", "token-1"),
@@ -178,8 +179,8 @@
     "store late": b"x LATE\r\n",
     "store moot": b"x VOID\r\n",
 }
-# Type of a message read -> pinned word.
-PINNED_TYPE_NAMES = {
+# Type of a decoded message -> recorded name.
+RECORDED_TYPE_NAMES = {
     Subscribed: "up",
     RunEndedNotice: "run ended",
     RunAwaitingCall: "at call",
@@ -193,7 +194,7 @@
     HeartbeatCall: "check",
     UnservedCall: "not served",
 }
-MAX_MESSAGE_BYTES = 16 * 1024  # of a message
+MAX_MESSAGE_BYTES = 16 * 1024
 THRIFT_CALLS = ("submit", "heartbeat", "other call", "other one-way call", "revoke")
 
 
@@ -202,7 +203,7 @@
 
 
 def to_plain(value):
-    """As JSON would have it."""
+    """Convert a value to types that JSON has; a dictionary becomes a list of pairs."""
     if isinstance(value, Outcome):
         return OUTCOME_CODES[value]
     if isinstance(value, bytes):
@@ -215,15 +216,15 @@
 
 
 def decode_frame(codec, data):
-    """The one message that the bytes are, with its end found as the links find it."""
+    """Decode the only message in the bytes, after finding its end as a connection does."""
     assert codec.find_frame_end(data[:-1], 0, MAX_MESSAGE_BYTES) is None
     assert codec.find_frame_end(data, 0, MAX_MESSAGE_BYTES) == len(data)
     message = codec.decode(data)
-    return [PINNED_TYPE_NAMES[type(message)], *to_plain(message)]
+    return [RECORDED_TYPE_NAMES[type(message)], *to_plain(message)]
 
 
 def decode_thrift_reply(data):
-    """Of the protocol's own reader, whatever the message is."""
+    """Decode a reply with the reader of the binary protocol, which accepts any message."""
     reader = Reader(data[4:])
     values = [
         reader.integer(I32),
@@ -234,7 +235,7 @@
 
 
 def decode_example(name, data):
-    """The message of that name in plain values; None where the program never reads it."""
+    """Return the decoded example as plain values, or None for a message that the program only sends."""
     kind, _, rest = name.partition(" ")
     if name in DATAGRAMS:
         return to_plain(decode_datagram(DATAGRAMS[name][0], data))
@@ -250,7 +251,7 @@
     return None
 
 
-# ---- What the fields of an RPC say
+# ---- The fields of an RPC
 
 LIMITS = Limits(memory_bytes=192 * 2**20, descriptors=1024, stop_timeout_us=3_000_000)
 NOW = 1_700_000_000_000_000
@@ -258,7 +259,7 @@
     name: MethodInfo(not is_keyed, is_keyed, 0.0, 0, late_read_us=5_000_000, has_priority=False)
     for name, is_keyed in {"look-up": False, "book": True}.items()
 }
-PINNED_FIELD_NAMES = {  # present name of what is read -> pinned word
+RECORDED_FIELD_NAMES = {  # current name of an attribute -> recorded name
     "arrived_at": "arrived",
     "caller": "caller",
     "is_retry": "retry",
@@ -269,7 +270,7 @@
 
 
 class FixedArrivalClock:
-    """Stamps of a wall clock that never stepped, read at `NOW`."""
+    """An arrival clock that always reads `NOW`, and whose wall clock never stepped."""
 
     def read_arrival(self, stamp, late_read_us):
         return WallClockHistory().arrival(stamp, 0, NOW, NOW - late_read_us, LIMITS.max_clock_lead_us)
@@ -279,10 +280,10 @@
 
 
 def read_rpc_fields(fields, body):
-    """What an RPC's fields give, or the text of what is wrong with them."""
+    """Return the attributes that are read from an RPC's fields, or the error text."""
     try:
         rpc = thrift_fields.read_rpc(fields, body, FixedArrivalClock(), LIMITS, METHODS, connection=1)
     except ValueError as error:
         return str(error)
-    attributes = {word: getattr(rpc.attributes, name) for name, word in PINNED_FIELD_NAMES.items()}
+    attributes = {word: getattr(rpc.attributes, name) for name, word in RECORDED_FIELD_NAMES.items()}
     return [rpc.name, rpc.method, rpc.attributes.idempotency_key, attributes]
--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -1,6 +1,7 @@
-"""Present names of the decision module and its port; a rename changes this file and no hash.
+"""Drives the decision module directly, and maps its current names to the recorded names.
 
-Pinned words are those of the adapter's wire, and a few more for what the wire does not carry.
+A rename in the decision module or its port changes this file and no recorded hash. The recorded names are
+those of the simulator's line protocol, and some more for values that the protocol does not carry.
 """
 
 from finchcart.decisions.arrival import FleetQuota, RpcArrival
@@ -10,7 +11,7 @@
 from finchcart.simulator.codec import OUTCOMES
 from tests.pins.adapter import as_text
 
-# Verb of the port -> pinned action, and the names of its values; "call" is the index of an RPC.
+# Method of the port -> recorded action and the names of its values; "call" is the index of an RPC.
 PORT_METHODS = {
     "run": ("TAKE", "call"),
     "stop": ("STOP", "call"),
@@ -29,7 +30,7 @@
     "log": ("TRACE", "what"),
     "release": ("RELEASE", "call"),
 }
-GAUGE_NAMES = {  # pinned name -> present gauge; those that the decision module does not read are left out
+GAUGE_NAMES = {  # recorded name -> current name; gauges that the decision module ignores are left out
     "core_use": "core_use",
     "on_cores": "on_cores",
     "callsRoom": "call_capacity",
@@ -39,8 +40,8 @@
     "intakeUse": "input_busy",
     "intakeAge": "input_age",
 }
-TIMER_NAME = "sweep"  # pinned name of the one timer
-ARRIVAL_KEYWORDS = {  # pinned field of an arrival -> present keyword
+TIMER_NAME = "sweep"  # recorded name of the only timer
+ARRIVAL_KEYWORDS = {  # recorded field of an arrival -> current keyword argument
     "expires": "expires_at",
     "backlogTime": "waited",
     "place": "shed_rank",
@@ -51,7 +52,7 @@
 
 
 class DirectLink:
-    """Calls the decision module in this process; also the port, whose every method is recorded."""
+    """Calls the decision module in this process; also implements its port, and records each call on it."""
 
     def __init__(self):
         self.actions = []
@@ -63,7 +64,7 @@
 
         def record(*values):
             if method == "reject":
-                index, _reason, *advice = values  # the wire carries no reason
+                index, _reason, *advice = values  # the line protocol carries no reason
                 values = index, *advice
             fields = {key: as_text(value) for key, value in zip(value_names, values, strict=True)}
             if name == "NOTIFY_ME":
@@ -94,9 +95,9 @@
             readings = fields["feedback"].items()
             gauges = Gauges(
                 **{
-                    GAUGE_NAMES[pinned_name]: value
-                    for pinned_name, value in readings
-                    if pinned_name in GAUGE_NAMES
+                    GAUGE_NAMES[recorded_name]: value
+                    for recorded_name, value in readings
+                    if recorded_name in GAUGE_NAMES
                 }
             )
             self.controller.on_timer(now, gauges)
@@ -120,9 +121,9 @@
         self.identifiers[index] = identifier
         self.rpcs[identifier] = index, None
         keywords = {
-            ARRIVAL_KEYWORDS[pinned_name]: value
-            for pinned_name, value in fields.items()
-            if pinned_name in ARRIVAL_KEYWORDS
+            ARRIVAL_KEYWORDS[recorded_name]: value
+            for recorded_name, value in fields.items()
+            if recorded_name in ARRIVAL_KEYWORDS
         }
         if "repeats" in fields:
             keywords["duplicate_of"] = self.rpcs.get(fields["repeats"], (-1, None))[0]
--- a/tests/pins/run_many.py
+++ b/tests/pins/run_many.py
@@ -1,7 +1,7 @@
-"""Runs `python -m finchcart` many times in one process, which is much quicker than a process for each.
+"""Runs `python -m finchcart` many times in one process, which is much faster than a process for each run.
 
-Reads a JSON list of `[arguments, environment]` on standard input; writes the list of what each run printed
-and its exit status.
+Reads a JSON list of `[arguments, environment]` from standard input, and writes a JSON list with the output
+and the exit status of each run.
 """
 
 import contextlib
@@ -12,8 +12,8 @@
 import sys
 
 
-def end(status):
-    """In place of `os._exit`, which would end this process."""
+def raise_system_exit(status):
+    """Replace `os._exit`, which would end this process."""
     raise SystemExit(status)
 
 
@@ -26,13 +26,13 @@
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         try:
             runpy.run_module("finchcart", run_name="__main__", alter_sys=True)
-        except SystemExit as ended:
-            status = ended.code or 0
+        except SystemExit as exit_request:
+            status = exit_request.code or 0
     return {"status": status, "out": out.getvalue(), "err": err.getvalue()}
 
 
 if __name__ == "__main__":
-    os._exit = end
+    os._exit = raise_system_exit
     results = [run(arguments, environment) for arguments, environment in json.load(sys.stdin)]
     json.dump(results, sys.stdout)
     sys.stdout.flush()
--- a/tests/pins/scenarios.py
+++ b/tests/pins/scenarios.py
@@ -1,4 +1,4 @@
-"""The simulated days that pin decisions, and the settings of each."""
+"""The scenarios of the simulated runs whose decisions are recorded, and the settings of each."""
 
 from dataclasses import dataclass, field
 
@@ -7,19 +7,20 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What a simulated day is made of; `settings` stand over those of every day."""
+    """The parameters of a simulated run."""
 
-    settings: dict = field(default_factory=dict)
-    effects: tuple = ("read_like", "idempotency_key")  # one class each
-    load: float = 1.0  # times what the cores can do, on average
-    mean_work: float = 100 * MS  # of an RPC on a core, on average
+    settings: dict = field(default_factory=dict)  # override the settings that all scenarios share
+    effects: tuple = ("read_like", "idempotency_key")  # the kind of each method
+    load: float = 1.0  # mean load, as a multiple of the capacity of the cores
+    mean_work: float = 100 * MS  # mean processor time of an RPC, in microseconds
     callers: int = 6
-    call_fraction: float = 0.4  # part of the RPCs that make a call
+    call_fraction: float = 0.4  # fraction of the RPCs that make a call to the dependency
     drains: bool = False
     is_killed: bool = False
-    has_late_timers: bool = False  # timers ring late at times
+    has_late_timers: bool = False  # some timers fire late
     sends_estimates: bool = False
-    fleet_inputs: tuple = ()  # what the fleet tells by gauges and arrivals; these days are driven directly
+    # Inputs from a fleet, which the line protocol lacks: the run calls the decision module directly.
+    fleet_inputs: tuple = ()
 
 
 READS, KEYED, ONCE = "read_like", "idempotency_key", "non_idempotent"
@@ -74,11 +75,11 @@
     "busy node": Scenario(effects=THREE_METHODS, fleet_inputs=("intakeUse", "intakeAge")),
     "worker pool restarted": Scenario(effects=THREE_METHODS, load=1.5, fleet_inputs=("restarted",)),
 }
-SEEDS = 5  # of each scenario
+SEEDS = 5  # runs of each scenario
 
 
 def make_settings(scenario, random):
-    """Settings of a day, as the adapter is told them."""
+    """Return the settings of a run, as values of the simulator's line protocol."""
     count = len(scenario.effects)
     calls = ["true" if scenario.call_fraction and random.random() < 0.8 else "false" for _ in range(count)]
     out = {
--- a/tests/pins/settings_files.py
+++ b/tests/pins/settings_files.py
@@ -1,4 +1,4 @@
-"""Settings files and configurations, good and mistaken, made from those that the project ships."""
+"""Valid and invalid settings files and configurations, derived from those that the project ships."""
 
 import copy
 import json
@@ -15,14 +15,14 @@
 
 
 def load_all_settings():
-    """`deploy/finchcart.json5` with every setting that is commented out put in force."""
+    """Return the settings of `deploy/finchcart.json5` with all settings that are commented out enabled."""
     setting = re.compile(r"^(\s*)// ((?:  )*(?:\w+: .*|\{name: .*|\},|\],))$", re.MULTILINE)
     text = setting.sub(r"\1\2", SHIPPED_SETTINGS)
     return json5.loads(text)
 
 
 def apply_changes(tree, *changes):
-    """A copy of the tree with values put at dotted paths; `...` takes a name away."""
+    """Return a copy of the tree with values set at dotted paths; the value `...` deletes the name."""
     tree = copy.deepcopy(tree)
     for path, value in changes:
         *parents, last = [int(part) if part.isdigit() else part for part in path.split(".")]
@@ -129,8 +129,8 @@
     **{name: json.dumps(apply_changes(EXAMPLE_CONFIG, *changes)) for name, changes in CONFIG_CHANGES.items()},
 }
 
-# What is wrong with these is told in the interpreter's words, which other versions of it change. Pinned are
-# the status, and that it is one line which names the file.
+# The error texts of these cases come from the interpreter and differ between its versions. Only the exit
+# status is compared, and that the output is one line that names the file.
 PYTHON_ERROR_CASES = (
     "not an object",
     "nested too deep",
@@ -142,11 +142,11 @@
 )
 
 
-UNPINNED_FIELDS = ("feedback_lifetime_us", "marks_retries")
+UNRECORDED_FIELDS = ("feedback_lifetime_us", "marks_retries")
 
 
 def example_config():
-    """What the example configuration gives, but for names of settings and limits: their values, sorted."""
+    """Return the values of the example configuration. Settings and limits are sorted values without names."""
     config = read_config(str(EXAMPLE_CONFIG_PATH))
     limits = config.limits
     return {
@@ -157,17 +157,20 @@
         "watch": config.watch,
         "limits": sorted(limits),
         "connections, and those on their way out": [limits.max_connections, limits.max_accepted],
-        "settings": sorted(str(value) for value in pinned_values(config.settings)),
+        "settings": sorted(str(value) for value in recorded_values(config.settings)),
     }
 
 
-def pinned_values(settings):
-    """The values that the example tells, but for words; those of two fields of the methods as lists."""
+def recorded_values(settings):
+    """Return the values of all settings that are neither text nor enum members.
+
+    The values of `makes_call` and `degraded_value` are one tuple each, with a value per method.
+    """
     methods = settings.methods
     values = [len(methods), tuple(method.makes_call for method in methods)]
     values.append(tuple(method.degraded_value for method in methods))
     for part in (settings, *methods):
         for name, value in part._asdict().items():
-            if name not in ("methods", "makes_call", "degraded_value", *UNPINNED_FIELDS):
+            if name not in ("methods", "makes_call", "degraded_value", *UNRECORDED_FIELDS):
                 values.append(value)
     return [value for value in values if not isinstance(value, str | Enum)]
--- a/tests/pins/simulated_host.py
+++ b/tests/pins/simulated_host.py
@@ -1,8 +1,8 @@
-"""A seeded host of the decision module: its cores, callers and dependency.
+"""A simulated host of the decision module, with seeded random cores, callers and dependency.
 
-Sends events over a link (`WireLink` or `DirectLink`), carries out the actions that come back, and keeps a
-transcript of them. The words of operators' log lines and the names of timers are left out of it; numbers in
-log lines are not.
+The host sends events over a link (`WireLink` or `DirectLink`), carries out the actions that it receives, and
+records them in a transcript. The transcript omits the names of timers and the words of log messages, but
+contains the numbers in log messages.
 """
 
 import re
@@ -21,26 +21,26 @@
     key: str
     attempt: int
     deadline: int
-    work: float  # microseconds on a core that are left
-    work_at_call: float  # it stands at a call when so much is left; less than 0: no call
-    state: str = "queued"  # running, waiting, calling, paused, sharing, over
-    schedule_version: int = 0  # planned events with another version are void
-    started_at: int = 0  # when the run or call began
-    slowdown: float = 1.0  # microseconds that one of work takes
+    work: float  # remaining processor time in microseconds
+    work_at_call: float  # remaining work at which the run reaches its call; negative: no call
+    state: str = "queued"  # or "running", "waiting", "calling", "paused", "sharing", "finished"
+    schedule_version: int = 0  # scheduled events with an older version are ignored
+    started_at: int = 0  # start of the current run or call
+    slowdown: float = 1.0  # elapsed time per unit of work
     answered: bool = False
 
 
 def may_be_duplicated(message, fields):
-    """Whether an event may come twice without a change of what it tells."""
+    """Return whether a duplicate of this event is consistent with the first one."""
     if message in ("WOUND_UP", "DOWNSTREAM"):
         return fields["how"] == 200
     return message in ("LEFT", "WANTS_CALL")
 
 
 class SimulatedHost:
-    """Cores, callers and a dependency, seeded; sends events over a link and carries the actions out."""
+    """Simulates cores, callers and a dependency; sends events over a link and carries out the actions."""
 
-    ARRIVAL_TIME = 3 * SECOND  # time in which new RPCs come
+    ARRIVAL_TIME = 3 * SECOND  # new RPCs arrive during this time from the start of the run
     RUN_TIME = 5 * SECOND
 
     def __init__(self, link, name, seed):
@@ -55,7 +55,7 @@
         self.transcript = []
 
     def run(self):
-        """The transcript of the whole day."""
+        """Run the scenario; return the transcript."""
         self.schedule(self.began_at, self.create)
         self.schedule(self.began_at + 5 * MS, self.new_request)
         if self.scenario.drains:
@@ -86,7 +86,7 @@
         version = request.schedule_version if request else 0
         heappush(self.scheduled, (int(at), self.sequence, act, request, version))
 
-    # what happens: each returns the events that are told
+    # Occurrences in the simulation: each method returns the events that it sends.
 
     def create(self):
         return [("CREATE", {"randomSeed": self.random.randrange(2**50)} | self.settings)]
@@ -106,7 +106,7 @@
     def new_request(self):
         elapsed = self.now - self.began_at
         if elapsed < self.ARRIVAL_TIME:
-            # A calm start, then twice the load, then calm again.
+            # Low load in the first second, four times as much in the next one, then low load again.
             load = self.scenario.load * (2.0 if SECOND < elapsed < 2 * SECOND else 0.5)
             gap = self.random.expovariate(load * self.cores / self.scenario.mean_work)
             self.schedule(self.now + gap, self.new_request)
@@ -117,7 +117,7 @@
         draw = self.random.random
         place = draw()
         if place < self.level and draw() < 0.5:
-            return []  # a caller that minds the level
+            return []  # a caller that respects the shed level
         self.arrived += 1
         work = self.scenario.mean_work * (0.3 + 1.4 * draw()) * (3 if draw() < 0.1 else 1)
         waited = int(draw() * 20 * MS) + (200 * MS if draw() < 0.05 else 0)
@@ -152,12 +152,12 @@
         if kept and until > self.now:
             fields["repeats"] = kept
         elif self.scenario.effects[method_index] == KEYED and draw() < 0.02:
-            fields["repeats"] = "f" * 16  # of a try that is not known here any more
+            fields["repeats"] = "f" * 16  # an attempt that is no longer known
         self.schedule_followups(request, fields)
         return [("KNOCK", self.with_direct_fields(fields))]
 
     def with_direct_fields(self, fields):
-        """Besides, what only a direct drive takes."""
+        """Add the fields that only a direct call of the decision module accepts."""
         if isinstance(self.link, WireLink):
             return fields
         if "room" in self.scenario.fleet_inputs:
@@ -165,7 +165,7 @@
         return fields | {"number": self.arrived}
 
     def schedule_followups(self, request, fields):
-        """What follows from an arrival alone: a caller that gives up, a second copy."""
+        """Schedule what may follow an arrival: a caller that gives up, and a duplicate RPC."""
         patience = 0.3 if self.random.random() < 0.1 else 1.0
         gives_up = self.now + (request.deadline - self.now) * patience + 40 * MS
         departure = Request(request.identifier, *(None,) * 6)
@@ -217,7 +217,7 @@
             "heap_share": 0.4,
         }
         if self.random.random() < 0.05:
-            feedback = {}  # the gauges were not to be had
+            feedback = {}  # the gauges were unavailable
         return [("WAKE", {"name": name, "feedback": feedback | self.fleet_gauges()})]
 
     def fleet_gauges(self):
@@ -232,7 +232,7 @@
         }
         return {word: value for word, value in readings.items() if word in self.scenario.fleet_inputs}
 
-    # what the module asks for
+    # Actions of the decision module.
 
     def apply_action(self, action, fields):
         assert action != "BROKEN", fields
@@ -269,7 +269,7 @@
                 self.execute(request)
 
     def execute(self, request):
-        """On a core, until a call or the end."""
+        """Run a request on a core until its call to the dependency or its end."""
         running = 1 + sum(r.state == "running" for r in self.requests.values())
         request.state, request.started_at = "running", self.now
         request.slowdown = max(1.0, running / self.cores)
@@ -282,7 +282,7 @@
 
     def on_stop(self, request, fields):
         if request.state != "running" or self.random.random() < 0.1:
-            return  # too late, or a stall: it has no effect
+            return  # the action came too late or was lost in a stall, so it has no effect
         if request.answered or self.settings["familyInfo.preemption"] == "drop":
             self.schedule(self.now + MS, lambda r: self.end_run(r, 444), request)
             return
@@ -318,7 +318,7 @@
         if request.state != "waiting":
             return
         request.state, request.started_at = "calling", self.now
-        # The dependency is well, then slow and failing, then not to be reached, then well again.
+        # The dependency works, then is slow and fails often, then fails almost always, then works again.
         step = (self.now - self.began_at) // (700 * MS)
         failing = (0.05, 0.4, 0.9, 0.1)[step % 4]
         how = 200
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -1,13 +1,18 @@
-"""Pins: what the program decided, wrote and said before the refactoring for readability began.
+"""Regression tests against recorded results, which a refactoring must not change.
 
-Three kinds. *Decisions*: a seeded simulated host drives the decision module, through the adapter's wire and,
-for what the wire does not carry, directly; the hash of all that came back must stay. *Bytes*: one example of
-each message of each codec. *Settings*: what a good file gives, and the text of each mistake. Present names of
-the code stand in pins/decision_module.py and pins/codec_examples.py alone.
+The results were recorded before a refactoring for readability. There are three kinds:
 
-`python -m tests.test_pins transcript SCENARIO SEED` prints what a hash was made of, to be compared with the
-same of an older commit; `python -m tests.test_pins record` writes the data anew. The hashes hold for
-Python 3.11; from 3.12 on the interpreter adds floats up in another way.
+- Decisions: a seeded simulated host drives the decision module, through the line protocol of the simulator
+  adapter or, for inputs that the protocol lacks, by direct calls. The hash of all actions must not change.
+- Bytes: one example of each message of each codec.
+- Settings: the result of a valid file, and the error text for each mistake.
+
+Only pins/decision_module.py and pins/codec_examples.py use names of the program's code, so that a rename
+changes no other file here.
+
+`python -m tests.test_pins transcript SCENARIO SEED` prints the transcript behind a hash, for comparison with
+another commit. `python -m tests.test_pins record` records all results again. The hashes are valid for
+Python 3.11; from 3.12 on, `sum()` of floats rounds differently.
 """
 
 import hashlib
@@ -28,7 +33,7 @@
 from tests.pins.settings_files import INVALID_CONFIGS, PYTHON_ERROR_CASES, SETTINGS_FILES, example_config
 from tests.pins.simulated_host import SimulatedHost
 
-PROCESS_TIMEOUT_S = 60  # of a process; one that takes a mistaken configuration would serve for ever
+PROCESS_TIMEOUT_S = 60  # a node that accepted an invalid configuration would run forever
 DATA_DIRECTORY = Path(__file__).parent / "pins"
 
 
@@ -49,13 +54,13 @@
         process.stdin.close()
 
 
-def read_pinned(file):
+def read_recorded(file):
     return json.loads((DATA_DIRECTORY / file).read_text(encoding="utf-8"))
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_the_same_calls_come_in_the_same_order(name, adapter):
-    assert transcript_hashes(name, adapter) == read_pinned("decisions.json")[name]
+def test_the_decision_module_returns_the_recorded_actions(name, adapter):
+    assert transcript_hashes(name, adapter) == read_recorded("decisions.json")[name]
 
 
 # ---- Bytes
@@ -71,8 +76,8 @@
 
 
 @pytest.mark.parametrize("name", [*ENCODED, *RECEIVED])
-def test_a_message_has_the_same_bytes_and_is_read_back(name):
-    assert encoded_and_decoded(name) == read_pinned("bytes.json")[name]
+def test_a_message_has_the_recorded_bytes_and_is_decoded_to_the_recorded_values(name):
+    assert encoded_and_decoded(name) == read_recorded("bytes.json")[name]
 
 
 RPC_FIELDS = {"c": "book", "k": "key-1", "i": "9b1f03aa5c7e2d41", "f": "17", "s": "1699999999990"}
@@ -106,11 +111,11 @@
 
 
 @pytest.mark.parametrize("name", RPC_FIELD_CASES)
-def test_the_fields_of_an_rpc_say_the_same(name):
-    assert read_rpc_case(name) == read_pinned("rpc_fields.json")[name]
+def test_the_fields_of_an_rpc_are_read_as_recorded(name):
+    assert read_rpc_case(name) == read_recorded("rpc_fields.json")[name]
 
 
-def test_an_rpc_without_fields_or_body_or_with_too_large_a_one_is_refused_in_the_same_words():
+def test_an_rpc_without_fields_or_body_or_with_too_large_a_body_is_rejected_with_the_same_text():
     refusals = [read_rpc_fields(None, b""), read_rpc_fields(RPC_FIELDS, None)]
     refusals.append(read_rpc_fields(RPC_FIELDS, b"x" * 2049))
     missing = "the call carries no fields or no body"
@@ -121,7 +126,10 @@
 
 
 def run_programs(runs):
-    """What each run of the program printed and its exit status; runs: name -> (arguments, environment)."""
+    """Return the output and exit status of each run of the program, by name.
+
+    `runs` maps a name to (arguments, environment).
+    """
     command = [sys.executable, "-m", "tests.pins.run_many"]
     request = json.dumps(list(runs.values()))
     completed = subprocess.run(
@@ -132,7 +140,7 @@
 
 
 def run_settings_cases(directory):
-    """Of each settings file that is checked, each mistaken configuration, and starts without a file."""
+    """Return the results of checking each settings file, and of starting with each invalid configuration."""
     absent = str(directory / "absent")
     runs = {
         "start without a configuration": ([], {}),
@@ -154,7 +162,7 @@
 
 
 def normalize_result(name, result, directory):
-    """Takes out the directory, names of types of errors, and what the interpreter says in its own words."""
+    """Remove what may differ: the directory, the names of error types, and messages of the interpreter."""
     case = name.partition(": ")[2]
     for stream in ("out", "err"):
         text = result[stream].replace(f"{directory}/", "").replace(f"{case}/", "")
@@ -170,16 +178,16 @@
     return run_settings_cases(tmp_path_factory.mktemp("settings"))
 
 
-@pytest.mark.parametrize("name", read_pinned("settings.json"))
-def test_a_check_or_a_mistaken_start_prints_the_same(name, settings_results):
-    assert settings_results[name] == read_pinned("settings.json")[name]
+@pytest.mark.parametrize("name", read_recorded("settings.json"))
+def test_a_check_or_a_failed_start_prints_the_recorded_text(name, settings_results):
+    assert settings_results[name] == read_recorded("settings.json")[name]
 
 
-def test_each_settings_file_and_mistake_is_pinned(settings_results):
-    assert set(settings_results) == set(read_pinned("settings.json"))
+def test_each_settings_file_and_mistake_has_a_recorded_result(settings_results):
+    assert set(settings_results) == set(read_recorded("settings.json"))
 
 
-def test_a_process_that_cannot_start_ends_with_the_same_status(tmp_path):
+def test_a_process_that_cannot_start_exits_with_the_recorded_status(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(INVALID_CONFIGS["cores"], encoding="utf-8")
     environment = os.environ | {"ROUTER_CONFIG": str(path)}
@@ -188,14 +196,16 @@
         command, capture_output=True, text=True, cwd=ROOT, env=environment, timeout=PROCESS_TIMEOUT_S
     )
     result = {"status": completed.returncode, "out": completed.stdout, "err": completed.stderr}
-    assert normalize_result("start: cores", result, tmp_path) == read_pinned("settings.json")["start: cores"]
+    assert (
+        normalize_result("start: cores", result, tmp_path) == read_recorded("settings.json")["start: cores"]
+    )
 
 
-def test_the_example_configuration_gives_the_same():
-    assert example_config() == read_pinned("example_config.json")
+def test_the_example_configuration_is_read_as_recorded():
+    assert example_config() == read_recorded("example_config.json")
 
 
-# ---- Writing the data files
+# ---- Recording the results
 
 
 def write(file, values):
