--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -55,16 +55,14 @@
     load_interval_us: int = 40 * MS  # between two measurements of the share of time spent on inputs
     busy_threshold: float = 0.2  # the loop pauses between turns while that share is above this value
     busy_pause_us: int = 2 * MS  # length of the pause; inputs that arrive in it are processed in one turn
-    log_interval_us: int = (
-        10 * SECOND
-    )  # of the statistics in the log, and of the limit on fault lines per peer
+    log_interval_us: int = 10 * SECOND  # of statistics in the log, and of the limit on fault lines per peer
 
     # RPCs
     open_rpcs: int = 32  # maximum per connection
     max_body_bytes: int = 2 * 1024
     late_read_grace_us: int = (
         1 * SECOND
-    )  # past its deadline, an RPC may still be read this long, as a duplicate
+    )  # how long past its deadline an RPC may still be read, as a duplicate
     max_expected_run_us: int = 600 * SECOND  # the longest expected run time that an RPC may announce
     max_clock_lead_us: int = 1 * SECOND  # an RPC whose timestamp is further in the future is invalid
 
@@ -84,8 +82,7 @@
 
     # Closing connections of dispatchers
     health_check_idle_timeout_us: int = 5 * SECOND  # of a connection that carried only health checks
-    # Idle time after which connections are closed while many are open.
-    silent_timeout_us: int = 500 * MS
+    silent_timeout_us: int = 500 * MS  # idle time after which connections are closed while many are open
     unused_timeout_us: int = 1500 * MS  # a new connection without a message by then is told of its close
     # From that notice until the close. A request that crosses the notice is sent again to another node.
     unused_close_delay_us: int = 250 * MS
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -163,11 +163,9 @@
     """The settings that a configuration sets, by typed field, to be applied to other or default settings."""
 
     node: Mapping[str, Any]  # by field of NodeSettings
-    methods: Mapping[
-        str, Mapping[str, Any]
-    ]  # by the method's position as text, then by field of MethodSettings
+    methods: Mapping[str, Mapping[str, Any]]  # by the position as text, then by field of MethodSettings
     method_count: int | None  # None: not configured
-    per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all methods, or one per method
+    per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all, or a tuple with one each
 
     def apply_to(self, base: NodeSettings) -> NodeSettings:
         """Return `base` with the values of these overrides in place of its own.
@@ -195,7 +193,10 @@
 
 
 def from_json(tree: Mapping[str, object]) -> NodeSettings:
-    """Return the settings that the nested object of a configuration describes; see `overrides_from_json`."""
+    """Return the settings that the nested object of a configuration describes.
+
+    See `overrides_from_json` for errors.
+    """
     return overrides_from_json(tree).apply_to(NodeSettings())
 
 
@@ -218,7 +219,7 @@
 
 
 def parse_whole_number(text: str) -> int:
-    """Return the whole number that the text is. Raise ValueError for any other text."""
+    """Convert decimal digits, with an optional minus sign, to a number. Raise ValueError for other text."""
     if not text.isascii() or not text.lstrip("-").isdigit():
         raise ValueError(text)
     return int(text)
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -56,9 +56,9 @@
 
 
 class FieldType(NamedTuple):
-    """How the text of a field is parsed; `read` raises ValueError or KeyError for invalid text."""
+    """How the text of a field is parsed; `parse` raises ValueError or KeyError for invalid text."""
 
-    read: Callable[[str], object]
+    parse: Callable[[str], object]
     expected: str
 
 
@@ -84,22 +84,22 @@
     optional: tuple[Field, ...] = ()
 
 
-def _read_id(text: str) -> str:
+def _parse_id(text: str) -> str:
     if len(text) != ID_LENGTH or not HEX_DIGITS.issuperset(text):
         raise ValueError(text)
     return text
 
 
-def _read_optional_id(text: str) -> str | None:
-    return None if text == ABSENT_ID else _read_id(text)
+def _parse_optional_id(text: str) -> str | None:
+    return None if text == ABSENT_ID else _parse_id(text)
 
 
-def _read_gauges(text: str) -> Gauges:
+def _parse_gauges(text: str) -> Gauges:
     pairs = (part.partition(":") for part in text.split(",") if part)
     return Gauges.from_readings({name: float(value) for name, _, value in pairs})
 
 
-def _read_outcome(text: str) -> Outcome:
+def _parse_outcome(text: str) -> Outcome:
     return OUTCOMES[int(text)]
 
 
@@ -107,15 +107,15 @@
 NUMBER = FieldType(float, "a number")
 TEXT = FieldType(str, "text")
 FLAG = FieldType(FLAG_VALUES.__getitem__, "1 or 0")
-ID = FieldType(_read_id, "16 hex digits")
-OPTIONAL_ID = FieldType(_read_optional_id, "16 hex digits or 0")
-OUTCOME = FieldType(_read_outcome, "a known outcome code")
-GAUGES = FieldType(_read_gauges, "name:value pairs")
+ID = FieldType(_parse_id, "16 hex digits")
+OPTIONAL_ID = FieldType(_parse_optional_id, "16 hex digits or 0")
+OUTCOME = FieldType(_parse_outcome, "a known outcome code")
+GAUGES = FieldType(_parse_gauges, "name:value pairs")
 
 INSTANCE = Field("who", WHOLE_NUMBER, "instance")
 RPC = Field("call", ID, "rpc")
 OUTCOME_FIELDS = (INSTANCE, RPC, Field("how", OUTCOME, "outcome"))
-DURATION = Field("spent", WHOLE_NUMBER, "spent")
+DURATION = Field("spent", WHOLE_NUMBER, "duration")
 
 MESSAGE_FORMATS = {
     "CREATE": MessageFormat(InstanceStarted, (INSTANCE, Field("randomSeed", WHOLE_NUMBER, "seed"))),
@@ -148,7 +148,7 @@
 MESSAGE_NAMES = {message_format.event: message for message, message_format in MESSAGE_FORMATS.items()}
 
 
-def parse(line: str) -> Event:
+def parse_line(line: str) -> Event:
     """Return the event that a line describes. Unknown fields are ignored.
 
     Raise WireError for an invalid line.
@@ -164,10 +164,10 @@
     for field in required:
         if field.key not in raw:
             raise WireError(f"{message}: field {field.key} is missing, expected {field.type.expected}")
-        _read_field(message, field, raw, fields)
+        _parse_field(message, field, raw, fields)
     for field in optional:
         if raw.get(field.key, "") != "":
-            _read_field(message, field, raw, fields)
+            _parse_field(message, field, raw, fields)
     if event is InstanceStarted:
         fields["settings"] = raw
     return event(**fields)
@@ -183,11 +183,11 @@
     return raw
 
 
-def _read_field(message: str, field: Field, raw: dict[str, str], fields: dict[str, object]) -> None:
+def _parse_field(message: str, field: Field, raw: dict[str, str], fields: dict[str, object]) -> None:
     key, field_type, event_field = field
     text = raw[key]
     try:
-        value = field_type.read(text)
+        value = field_type.parse(text)
     except (ValueError, KeyError):
         found = f"{key}={text[:MAX_QUOTED_LENGTH]!r}"
         raise WireError(f"{message}: field {found}: expected {field_type.expected}") from None
@@ -198,20 +198,20 @@
 # ---- Errors in the order of messages
 
 
-def out_of_order(event: Event, batch_is_open: bool) -> WireError:
+def out_of_order_error(event: Event, batch_is_open: bool) -> WireError:
     """Return the error for a message that is invalid inside a batch, or outside one."""
     expected = "an event or END" if batch_is_open else "TICK"
     return WireError(f"{MESSAGE_NAMES[type(event)]}: expected {expected} here")
 
 
-def no_such_instance(event: Event, instance: int) -> WireError:
+def unknown_instance_error(event: Event, instance: int) -> WireError:
     """Return the error for an event that names an instance that was not started."""
     return WireError(
         f"{MESSAGE_NAMES[type(event)]}: field who={instance}: expected an instance that was started"
     )
 
 
-def unfinished_batch() -> WireError:
+def unfinished_batch_error() -> WireError:
     """Return the error for an input that ends inside a batch."""
     return WireError("the input ends inside a batch, expected END")
 
@@ -219,7 +219,7 @@
 # ---- Formatting: each function returns one line of the response to a batch. The functions and their
 # arguments correspond to the methods of `Port` (finchcart/decisions/port.py).
 
-BATCH_ANSWERED = "FINISHED"
+RESPONSE_END = "FINISHED"
 
 
 def run(instance: int, rpc: str) -> str:
--- a/finchcart/simulator/events.py
+++ b/finchcart/simulator/events.py
@@ -74,7 +74,7 @@
     instance: int
     rpc: str
     outcome: Outcome
-    spent: int = 0  # duration in microseconds
+    duration: int = 0  # microseconds
 
 
 class CallerGone(NamedTuple):
@@ -97,7 +97,7 @@
     instance: int
     rpc: str
     outcome: Outcome
-    spent: int = 0  # duration in microseconds
+    duration: int = 0  # microseconds
 
 
 RpcEvent = RunEnded | CallerGone | CallAwaited | CallEnded  # events of an RPC that arrived earlier
--- a/finchcart/simulator/host.py
+++ b/finchcart/simulator/host.py
@@ -29,27 +29,27 @@
         """Create a host without instances that writes its responses to `sink`."""
         self.sink = sink
         self.instances: dict[int, SimulatorInstance] = {}  # by instance number of the protocol
-        self.lines: list[str] = []
+        self.response_lines: list[str] = []
         self.now: int | None = None  # the time of the open batch; None between two batches
 
     def handle(self, event: Event) -> None:
         """Handle one event. Raise WireError if the event is out of order."""
         if isinstance(event, BatchStarted):
             if self.now is not None:
-                raise codec.out_of_order(event, batch_is_open=True)
+                raise codec.out_of_order_error(event, batch_is_open=True)
             self.now = event.now
         elif self.now is None:
-            raise codec.out_of_order(event, batch_is_open=False)
+            raise codec.out_of_order_error(event, batch_is_open=False)
         elif isinstance(event, BatchEnded):
-            self._answer_batch()
+            self._write_response()
         else:
             self._handle_instance_event(self.now, event)
 
-    def _answer_batch(self) -> None:
-        self.lines.append(codec.BATCH_ANSWERED)
-        self.sink.write("\n".join(self.lines) + "\n")
+    def _write_response(self) -> None:
+        self.response_lines.append(codec.RESPONSE_END)
+        self.sink.write("\n".join(self.response_lines) + "\n")
         self.sink.flush()
-        self.lines.clear()
+        self.response_lines.clear()
         self.now = None
 
     def _handle_instance_event(
@@ -57,7 +57,7 @@
     ) -> None:
         number = event.instance
         if number not in self.instances and not isinstance(event, InstanceStarted):
-            raise codec.no_such_instance(event, number)
+            raise codec.unknown_instance_error(event, number)
         if isinstance(event, InstanceKilled):
             del self.instances[number]
             return
@@ -73,14 +73,14 @@
 
     def _start(self, now: int, event: InstanceStarted) -> None:
         node_settings = settings.from_pairs(event.settings)
-        instance = SimulatorInstance(event.instance, self.lines.append, node_settings, event.seed)
+        instance = SimulatorInstance(event.instance, self.response_lines.append, node_settings, event.seed)
         self.instances[event.instance] = instance
         instance.controller.start(now)
 
     def _report_failure(self, number: int, error: Exception) -> None:
         if number in self.instances:
             self.instances[number].failed = True
-        self.lines.append(codec.instance_failed(number, error))
+        self.response_lines.append(codec.instance_failed(number, error))
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
@@ -95,8 +95,8 @@
         if not text:
             continue
         try:
-            host.handle(codec.parse(text))
+            host.handle(codec.parse_line(text))
         except WireError as error:
             raise WireError(f"line {line_number}: {error}") from None
     if host.now is not None:
-        raise WireError(f"line {line_number}: {codec.unfinished_batch()}")
+        raise WireError(f"line {line_number}: {codec.unfinished_batch_error()}")
--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -157,10 +157,10 @@
 def _handle_rpc_event(handle: RpcHandle, now: int, event: RpcEvent) -> None:
     match event:
         case RunEnded():
-            handle.run_ended(now, event.outcome, event.spent)
+            handle.run_ended(now, event.outcome, event.duration)
         case CallerGone():
             handle.caller_gone(now)
         case CallAwaited():
             handle.awaiting_call(now)
         case CallEnded():
-            handle.call_ended(now, event.outcome, event.spent)
+            handle.call_ended(now, event.outcome, event.duration)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -108,13 +108,13 @@
     ],
 )
 def test_a_line_is_parsed_into_an_event(line, event):
-    parsed = codec.parse(line.replace(" ", "\t"))
+    parsed = codec.parse_line(line.replace(" ", "\t"))
     assert parsed == event
     assert type(parsed) is type(event)
 
 
 def test_the_event_of_a_started_instance_holds_its_settings():
-    event = codec.parse(CREATE.rstrip("\n"))
+    event = codec.parse_line(CREATE.rstrip("\n"))
     assert (event.instance, event.seed) == (3, 7)
     assert event.settings["familyInfo.cores"] == "2"
 
@@ -138,7 +138,7 @@
 )
 def test_the_error_for_an_invalid_line_names_what_was_expected(line, expected):
     with pytest.raises(codec.WireError) as raised:
-        codec.parse(line.replace(" ", "\t"))
+        codec.parse_line(line.replace(" ", "\t"))
     assert expected in str(raised.value)
 
 
