--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -1,7 +1,6 @@
-"""A planner process, which allocates the fleet's limits and votes on key leases.
+"""A planner process: allocates the fleet's limits, votes on key leases, or both, as the settings say.
 
-Which of both it does depends on the settings. This module starts and ends the process, and decides which
-changes of the settings file need a restart.
+This module starts and ends the process, and decides which changes of the settings file need a restart.
 """
 
 import queue
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -62,8 +62,8 @@
     configured. It raises ConfigError if its settings are invalid.
     """
     inputs: Inputs = SimpleQueue()  # a queue whose put() is safe to call from a signal handler
-    listeners: list[Callable[[Drain | ReloadConfig], None]] = [inputs.put]
-    _handle_signals(listeners)
+    signal_listeners: list[Callable[[Drain | ReloadConfig], None]] = [inputs.put]
+    _handle_signals(signal_listeners)
     configure_log()
     path = os.environ.get(PATH_VARIABLE)
     try:
@@ -75,7 +75,7 @@
             print(f"finchcart: {error}", file=sys.stderr)
         return EXIT_NOT_STARTED
     if fleet:
-        listeners.append(fleet.on_signal)
+        signal_listeners.append(fleet.on_signal)
     _configure_threads(inputs, config.limits.thread_stack_bytes)
     core = _make_core(config, fleet)
     connections = ConnectionTable(
@@ -94,14 +94,14 @@
     os._exit(status)
 
 
-def _handle_signals(listeners: list[Callable[[Drain | ReloadConfig], None]]) -> None:
-    """Make each signal create an input and pass it to all `listeners` that are registered at that time."""
+def _handle_signals(signal_listeners: list[Callable[[Drain | ReloadConfig], None]]) -> None:
+    """Make each signal create an input, which all `signal_listeners` of that moment receive."""
 
     def handle(number: int, _: FrameType | None) -> None:
         # The input holds the time of the signal, from which the grace period counts: the turn that processes
         # the input may run late.
         signal_input = SIGNAL_INPUTS[number](boot_clock())
-        for notify in listeners:
+        for notify in signal_listeners:
             notify(signal_input)
 
     for number in SIGNAL_INPUTS:
