--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -7,8 +7,8 @@
 - Bytes: one example of each message of each codec.
 - Settings: the result of a valid file, and the error text for each mistake.
 
-Only pins/decision_module.py and pins/codec_examples.py use names of the program's code, so that a rename
-changes no other file here.
+Names of the program's code are used only in pins/decision_module.py, pins/codec_examples.py and
+pins/settings_files.py, so that a rename changes no recorded result.
 
 `python -m tests.test_pins transcript SCENARIO SEED` prints the transcript behind a hash, for comparison with
 another commit. `python -m tests.test_pins record` records all results again. The hashes are valid for
