--- a/tests/pins/decision_module.py
+++ b/tests/pins/decision_module.py
@@ -1,6 +1,7 @@
-"""Present names of the decision module and its port; a rename changes this file and no hash.
+"""Drives the decision module directly, and maps its current names to the recorded names.
 
-Pinned words are those of the adapter's wire, and a few more for what the wire does not carry.
+A rename in the decision module or its port changes this file and no recorded hash. The recorded names are
+those of the simulator's line protocol, and some more for values that the protocol does not carry.
 """
 
 from finchcart.decisions.arrival import FleetQuota, RpcArrival
@@ -10,8 +11,8 @@
 from finchcart.simulator.codec import OUTCOMES
 from tests.pins.adapter import as_text
 
-# Verb of the port -> pinned action, and the names of its values; "call" is the index of an RPC.
-VERBS = {
+# Method of the port -> recorded action and the names of its values; "call" is the index of an RPC.
+PORT_METHODS = {
     "run": ("TAKE", "call"),
     "stop": ("STOP", "call"),
     "reject": ("BUSY", "call", "wait", "last"),
@@ -29,7 +30,7 @@
     "log": ("TRACE", "what"),
     "release": ("RELEASE", "call"),
 }
-GAUGES = {  # pinned word -> present gauge; those that the decision module does not read are left out
+GAUGE_NAMES = {  # recorded name -> current name; gauges that the decision module ignores are left out
     "core_use": "core_use",
     "on_cores": "on_cores",
     "callsRoom": "call_capacity",
@@ -39,8 +40,8 @@
     "intakeUse": "input_busy",
     "intakeAge": "input_age",
 }
-TIMER_NAME = "sweep"  # pinned name of the one timer
-ARRIVAL = {  # pinned field of an arrival -> present keyword
+TIMER_NAME = "sweep"  # recorded name of the only timer
+ARRIVAL_KEYWORDS = {  # recorded field of an arrival -> current keyword argument
     "expires": "expires_at",
     "backlogTime": "waited",
     "place": "shed_rank",
@@ -51,19 +52,19 @@
 
 
 class DirectLink:
-    """Calls the decision module in this process; also the port, whose every verb is recorded."""
+    """Calls the decision module in this process; also implements its port, and records each call on it."""
 
     def __init__(self):
         self.actions = []
         self.identifiers = {}  # index -> identifier
         self.rpcs = {}  # identifier -> (index, handle)
 
-    def __getattr__(self, verb):
-        name, *value_names = VERBS[verb]
+    def __getattr__(self, method):
+        name, *value_names = PORT_METHODS[method]
 
         def record(*values):
-            if verb == "reject":
-                index, _reason, *advice = values  # the wire carries no reason
+            if method == "reject":
+                index, _reason, *advice = values  # the line protocol carries no reason
                 values = index, *advice
             fields = {key: as_text(value) for key, value in zip(value_names, values, strict=True)}
             if name == "NOTIFY_ME":
@@ -86,18 +87,24 @@
         if message == "CREATE":
             self.identifiers, self.rpcs = {}, {}
             settings = from_pairs({name: as_text(value) for name, value in fields.items()})
-            self.control = NodeController(self, settings, fields["randomSeed"])
-            self.control.start(now)
+            self.controller = NodeController(self, settings, fields["randomSeed"])
+            self.controller.start(now)
         elif message == "KNOCK":
-            self.arrive(now, fields)
+            self.handle_arrival(now, fields)
         elif message == "WAKE":
             readings = fields["feedback"].items()
-            gauges = Gauges(**{GAUGES[word]: value for word, value in readings if word in GAUGES})
-            self.control.on_timer(now, gauges)
+            gauges = Gauges(
+                **{
+                    GAUGE_NAMES[recorded_name]: value
+                    for recorded_name, value in readings
+                    if recorded_name in GAUGE_NAMES
+                }
+            )
+            self.controller.on_timer(now, gauges)
         elif message == "DRAIN":
-            self.control.drain(now, fields["expires"])
+            self.controller.drain(now, fields["expires"])
         elif message == "RESTARTED":
-            self.control.worker_pool_restarted(now, fields["cold"])
+            self.controller.worker_pool_restarted(now, fields["cold"])
         elif message != "KILL" and fields["call"] in self.rpcs:
             rpc = self.rpcs[fields["call"]][1]
             if message == "WOUND_UP":
@@ -109,16 +116,20 @@
             else:
                 rpc.awaiting_call(now)
 
-    def arrive(self, now, fields):
+    def handle_arrival(self, now, fields):
         identifier, index = fields["call"], fields["number"]
         self.identifiers[index] = identifier
         self.rpcs[identifier] = index, None
-        keywords = {ARRIVAL[word]: value for word, value in fields.items() if word in ARRIVAL}
+        keywords = {
+            ARRIVAL_KEYWORDS[recorded_name]: value
+            for recorded_name, value in fields.items()
+            if recorded_name in ARRIVAL_KEYWORDS
+        }
         if "repeats" in fields:
             keywords["duplicate_of"] = self.rpcs.get(fields["repeats"], (-1, None))[0]
         if "room" in fields:
             keywords["quota"] = FleetQuota(*fields["room"])
         arrival = RpcArrival(fields["profile"], fields["footprint"], **keywords)
-        rpc = self.control.admit(now, index, arrival)
+        rpc = self.controller.admit(now, index, arrival)
         if identifier in self.rpcs:
             self.rpcs[identifier] = index, rpc
