--- a/finchcart/decisions/arrival.py
+++ b/finchcart/decisions/arrival.py
@@ -1,30 +1,32 @@
-"""What a host reports of an RPC that was read.
+"""Types in which a host reports an RPC that was read.
 
-Owns the types alone; it must never decide what becomes of the RPC. Times are whole microseconds on the host's
-one clock.
+Times are whole microseconds on the host's clock.
 """
 
 from typing import NamedTuple
 
 
 class FleetQuota(NamedTuple):
-    """What is left here of the fleet's limits on an RPC, of the limit that has the least left."""
+    """This node's remaining quota under the fleet's limits on an RPC.
+
+    Where several limits apply, this is the quota of the limit with the fewest RPCs left.
+    """
 
     available: int  # RPCs that may be admitted now
-    capacity: int  # of how many at most
-    retry_after: int  # microseconds until there may be more
+    capacity: int  # upper bound of `available`
+    retry_after: int  # microseconds until more may be available
 
 
 class RpcArrival(NamedTuple):
-    """An RPC that was read to its end, for `NodeController.admit`."""
-
-    method: str  # its name in the settings
-    memory_kb: float  # held until it is completed
-    caller: str | int | None = None  # whose connections and retries it shares
-    expires_at: int = 0  # its deadline; 0: not sent, the method's deadline stands in
-    waited: int = 0  # microseconds from when it reached the machine until it was read
-    shed_rank: float | None = None  # 0 to 1, of its user; the lowest are shed first
-    service_time_hint: int = 0  # microseconds on a core, by the caller's estimate; 0: no hint
+    """An RPC that was read completely, for `NodeController.admit`."""
+
+    method: str  # name of the method in the settings
+    memory_kb: float  # held until the RPC is completed
+    caller: str | int | None = None  # identifies the caller; RPCs of one caller share its connections
+    expires_at: int = 0  # deadline of the RPC; 0: none was sent, the method's default deadline applies
+    waited: int = 0  # microseconds from when the RPC reached the machine until it was read
+    shed_rank: float | None = None  # 0 to 1, by the RPC's user; RPCs of the lowest rank are shed first
+    service_time_hint: int = 0  # the caller's estimate of the time on a core, in microseconds; 0: no hint
     is_retry: bool = False
-    duplicate_of: int | None = None  # index of the first RPC of its key; -1: released; None: no duplicate
-    quota: FleetQuota | None = None  # what is left here of the fleet's limits on it
+    duplicate_of: int | None = None  # index of the first RPC with the key; -1: released; None: no duplicate
+    quota: FleetQuota | None = None  # remaining quota under the fleet's limits; None: no limit applies
--- a/finchcart/decisions/arrival_statistics.py
+++ b/finchcart/decisions/arrival_statistics.py
@@ -1,26 +1,27 @@
-"""Averages over the latest arrivals: how long they waited to be read, and how many are retries.
+"""Moving averages over the latest arrivals: the delay before they were read, and the ratio of retries.
 
-Owns the averages alone; what follows from them is decided by their users. Times are microseconds.
+Times are microseconds.
 """
 
-INGRESS_DELAY_SAMPLES = 8  # arrivals that the average follows
+# Numbers of arrivals over which the moving averages are taken.
+INGRESS_DELAY_SAMPLES = 8
 RETRY_SAMPLES = 32
-INGRESS_DELAY_FADE = 0.98  # in a maintenance interval, so that it ends where nothing arrives
+INGRESS_DELAY_FADE = 0.98  # factor per maintenance interval: the delay decays even if no RPC arrives
 
 
 class ArrivalStatistics:
-    """Averages over arrivals. Invariant: `retry_ratio` is from 0 to 1."""
+    """Moving averages over arrivals. Invariant: `retry_ratio` is between 0 and 1."""
 
     def __init__(self) -> None:
-        """Nothing has arrived."""
+        """Begin without arrivals."""
         self.ingress_queueing_delay = 0.0  # from when an RPC reached the machine until it was read
-        self.retry_ratio = 0.0  # part of the arrivals that are retries
+        self.retry_ratio = 0.0  # fraction of the arrivals that are retries
 
     def record(self, ingress_delay: int, is_retry: bool) -> None:
-        """Count an arrival."""
+        """Add an arrival to the averages."""
         self.ingress_queueing_delay += (ingress_delay - self.ingress_queueing_delay) / INGRESS_DELAY_SAMPLES
         self.retry_ratio += (is_retry - self.retry_ratio) / RETRY_SAMPLES
 
     def fade(self) -> None:
-        """Let the delay fade by a maintenance interval."""
+        """Decay the delay by one maintenance interval."""
         self.ingress_queueing_delay *= INGRESS_DELAY_FADE
--- a/finchcart/decisions/caller_reuse.py
+++ b/finchcart/decisions/caller_reuse.py
@@ -1,30 +1,33 @@
-"""How many of the arrivals come from callers that were seen shortly before.
+"""Caller reuse ratio: the fraction of the arrivals that come from recently seen callers.
 
-Owns when each caller was last seen. What follows for connections is decided by idle_timeout.py, for advice by
-rejection.py, for credit by feedback.py.
+This module records when each caller was last seen. The ratio is used for the idle timeout of connections
+(idle_timeout.py) and for retry advice (rejection.py), the number of callers for the credit (feedback.py).
 """
 
 from finchcart.decisions.units import SECOND
 from finchcart.decisions.warm_up import WarmUp
 
-REUSE_WINDOW = 8 * SECOND  # a caller seen within it can reuse its connection: the longest idle timeout
-SAMPLES = 16  # arrivals that the ratio is averaged over
-MAX_CALLERS_REMEMBERED = 999  # then those are forgotten that were not seen within the window
+REUSE_WINDOW = 8 * SECOND  # longest idle timeout: a caller seen within it can reuse its connection
+SAMPLES = 16  # arrivals over which the ratio is averaged
+MAX_CALLERS_REMEMBERED = 999  # with more callers, those not seen within the window are forgotten
 
 Caller = str | int | None
 
 
 class CallerReuse:
-    """Callers and the caller reuse ratio. Invariant: `ratio` is from 0 to 1."""
+    """Recently seen callers and the caller reuse ratio. Invariant: `ratio` is between 0 and 1."""
 
     def __init__(self, warm_up: WarmUp) -> None:
-        """No caller was seen; the first window after a start or restart counts no caller as new."""
+        """Begin without callers.
+
+        Within one window after each start or restart, unknown callers do not count as new in the ratio.
+        """
         self._warm_up = warm_up
         self.last_seen: dict[Caller, int] = {}  # time by caller
-        self.ratio = 0.0  # part of the arrivals whose caller was seen within the window
+        self.ratio = 0.0  # fraction of the arrivals whose caller was seen within the window
 
     def record(self, now: int, caller: Caller) -> None:
-        """Count an arrival from this caller."""
+        """Record an arrival from this caller."""
         seen_at = self.last_seen.get(caller)
         self.last_seen[caller] = now
         if seen_at is not None or now - self._warm_up.began_at > REUSE_WINDOW:
@@ -32,11 +35,11 @@
             self.ratio += (is_reuse - self.ratio) / SAMPLES
 
     def forget_unseen(self, now: int) -> None:
-        """Forget callers that were not seen within the window, where too many are remembered."""
+        """Forget callers that were not seen within the window if too many callers are recorded."""
         if len(self.last_seen) > MAX_CALLERS_REMEMBERED:
             oldest = now - REUSE_WINDOW
             self.last_seen = {caller: at for caller, at in self.last_seen.items() if at > oldest}
 
     def count_seen_within(self, now: int, window: int) -> int:
-        """Return how many callers were seen within the last `window` microseconds."""
+        """Return the number of callers seen within the last `window` microseconds."""
         return sum(now - seen_at < window for seen_at in self.last_seen.values())
--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -1,6 +1,7 @@
-"""How many runs may be on cores and in progress at once.
+"""Limits of concurrent runs: of those on cores, and of all in progress.
 
-Owns the concurrency limit, and the bounds that follow from what the node survives. It must never start a run.
+This module adjusts the concurrency limit, and derives its bounds from the overload that the node survives. It
+must not start a run.
 """
 
 from finchcart.decisions.gauges import LatestGauges
@@ -9,24 +10,24 @@
 from finchcart.decisions.runs import RunCounts
 from finchcart.decisions.warm_up import WarmUp
 
-# Bounds of the runs in progress, at calls too.
-IN_PROGRESS_PART = 0.8  # of the maximum concurrency
+# Bounds of the runs in progress, including those that wait for calls.
+IN_PROGRESS_PART = 0.8  # fraction of the maximum concurrency
 MAX_RUNS_PER_CORE = 4
 
 # Bounds of the concurrency limit.
 LIMIT_PER_CORE = 2
-LIMIT_PART = 0.4  # of the maximum concurrency
-LIMIT_GROWTH = 4  # the limit grows by the cores over this in a maintenance interval
-LIMIT_CUT = 0.9  # factor in a maintenance interval
+LIMIT_PART = 0.4  # fraction of the maximum concurrency
+LIMIT_GROWTH = 4  # per maintenance interval, the limit grows by the number of cores divided by this
+LIMIT_CUT = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
 
 
 class ConcurrencyLimit:
-    """The limit of runs on cores. Invariant: `limit` is above 0, LIMIT_PER_CORE a core at most."""
+    """Limit of the runs on cores. Invariant: `limit` is above 0, and at most LIMIT_PER_CORE per core."""
 
     def __init__(
         self, settings: NodeSettings, warm_up: WarmUp, runs: RunCounts, queue: RunQueue, gauges: LatestGauges
     ) -> None:
-        """Begin with one run a core."""
+        """Begin with a limit of one run per core."""
         self._overload_factor = settings.overload_factor
         self._warm_up = warm_up
         self._runs = runs
@@ -36,17 +37,21 @@
         self.limit = float(runs.cores)
 
     def maximum(self, now: int) -> float:
-        """Return the runs at once that the node survives; those at calls count, as they may come back."""
+        """Return the maximum concurrency: the number of concurrent runs that the node survives.
+
+        Runs that wait for calls count, as all of them may return to the cores at the same time.
+        """
         return self._cores * (1 + (self._overload_factor - 1) * self._warm_up.progress(now))
 
     def max_in_progress(self, now: int) -> float:
-        """Return the runs that may be in progress, on cores and at calls."""
+        """Return how many runs may be in progress, on cores or waiting for calls."""
         return min(IN_PROGRESS_PART * self.maximum(now), MAX_RUNS_PER_CORE * self._cores)
 
     def adjust(self, now: int) -> None:
-        """Grow the limit while cores are free and RPCs wait; cut it while more wants a core than there are.
+        """Raise the limit while cores are free and RPCs are queued; cut it while demand exceeds the cores.
 
-        Follows what wants a core now: after the averaged gauge too many runs would be on cores at once.
+        This uses the present demand for cores: the averaged utilization lags, and following it would put too
+        many runs on cores at once.
         """
         wanted = self._gauges.on_cores
         if self._queue.entries and wanted < self._cores and self._runs.on_cores >= self.limit - 1:
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -1,6 +1,6 @@
-"""The control loop of the node: what is adjusted and published in each maintenance interval.
+"""Control loop of the node, which runs once per maintenance interval.
 
-Owns the order of its steps. Times are microseconds.
+This module defines the order of the loop's steps. Times are microseconds.
 """
 
 from finchcart.decisions.admission_control import AdmissionControl
@@ -15,12 +15,12 @@
 
 
 class ControlLoop:
-    """Admission, concurrency limit, feedback, grace period, health, idle timeout: in this order."""
+    """Updates admission, concurrency limit, feedback, grace period, health, idle timeout, in this order."""
 
     def __init__(
         self, port: Port, settings: NodeSettings, state: NodeState, pausing: Pausing, wait: WaitForecast
     ) -> None:
-        """Control a node in this state."""
+        """Control the node with this state."""
         self._gauges = state.gauges
         self._arrivals = state.arrivals
         self._concurrency = state.concurrency
@@ -32,8 +32,8 @@
         self.idle_timeout = IdleTimeout(port, settings, state)
 
     def turn(self, now: int) -> None:
-        """Adjust and publish once."""
-        # Added twice: the ends of runs and calls wait in the same inputs as the RPC itself.
+        """Run one iteration of the loop."""
+        # The input age counts twice: an RPC's arrival and the end of its run both wait in the host's inputs.
         input_age = self._gauges.input_age
         ingress_delay = max(self._arrivals.ingress_queueing_delay, input_age) + input_age
         self._admission.update(now, ingress_delay)
--- a/finchcart/decisions/duplicates.py
+++ b/finchcart/decisions/duplicates.py
@@ -1,7 +1,7 @@
-"""Duplicates: RPCs whose idempotency key is known here.
+"""Handling of duplicates: RPCs whose idempotency key is stored on this node.
 
-Owns no state. A duplicate must never run, lest it take effect twice. See "Guards for the rules" in
-docs/design.md. Times are microseconds.
+This module has no state. A duplicate must not run, as its method would take effect twice. See "Guards for the
+rules" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.completion import Completion
@@ -11,10 +11,10 @@
 
 
 class Duplicates:
-    """Shares results among the RPCs of one key."""
+    """Has duplicates share the result of the first RPC with the same idempotency key."""
 
     def __init__(self, port: Port, state: NodeState, completion: Completion) -> None:
-        """Find the first RPC of a key in this state."""
+        """Look up first RPCs in this state."""
         self._port = port
         self._table = state.table
         self._memory = state.memory
@@ -22,7 +22,10 @@
         self._completion = completion
 
     def answer(self, now: int, rpc: RpcHandle, first_index: int) -> bool:
-        """Have a duplicate share the first RPC's result, or fail it; false where that one never ran."""
+        """Have a duplicate share the first RPC's result, or fail the duplicate, and return true.
+
+        Return false, and do nothing, if the first RPC was completed without having run.
+        """
         first = self._table.find(first_index)
         has_failed = False
         if first is not None and first.state is COMPLETED:
--- a/finchcart/decisions/expected_wait.py
+++ b/finchcart/decisions/expected_wait.py
@@ -1,6 +1,7 @@
-"""How long an RPC of some priority would wait for a core.
+"""Forecast of the time that an RPC of a given priority would wait for a core.
 
-Owns no state; worked out from the runs and the queue each time. Times are microseconds.
+This module has no state: it computes the forecast from the runs and the queue each time. Times are
+microseconds.
 """
 
 from finchcart.decisions.node_state import NodeState
@@ -9,10 +10,10 @@
 
 
 class WaitForecast:
-    """The forecast of the wait in the queue."""
+    """Forecast of the wait in the queue."""
 
     def __init__(self, state: NodeState, pausing: Pausing) -> None:
-        """Forecast by this state."""
+        """Forecast for the node with this state."""
         self._runs = state.runs
         self._queue = state.queue
         self._pausing = pausing
@@ -30,7 +31,7 @@
         slowdown = self._slowdown.factor
         pausing = self._pausing
         work = pausing.work_not_yielding(-priority[0]) if pausing.is_enabled else runs.expected_work
-        work *= slowdown / 2  # on average, half of a run is over
+        work *= slowdown / 2  # on average, half of a run is done
         if runs.on_cores < limit:
             work *= runs.on_cores / limit / 2
         for queued_priority, _, rpc in self._queue.entries:
--- a/finchcart/decisions/expiry.py
+++ b/finchcart/decisions/expiry.py
@@ -1,7 +1,7 @@
-"""What is overdue at a timer: RPCs whose response must be sent, or that are no longer useful.
+"""Expiry of RPCs whose response must be sent now, or whose result would be of no value.
 
-Owns no state: it looks at all active RPCs. See "Departures, and when they act" in docs/design.md. Times are
-microseconds.
+This module has no state: on each timer event, it checks all active RPCs. See "Departures, and when they act"
+in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.completion import Completion
@@ -11,7 +11,7 @@
 
 
 class Expiry:
-    """Rejects or fails what is overdue."""
+    """Rejects or fails overdue RPCs."""
 
     def __init__(self, state: NodeState, completion: Completion) -> None:
         """Expire RPCs of this state."""
@@ -21,7 +21,7 @@
         self._completion = completion
 
     def expire_overdue(self, now: int) -> None:
-        """Respond to each RPC that is overdue, in the order of arrival."""
+        """Reject or fail each overdue RPC, in the order of arrival."""
         for rpc in list(self._table.active.values()):
             if rpc.response_sent:
                 continue
@@ -36,5 +36,5 @@
 
 
 def _is_worthless(rpc: RpcHandle) -> bool:
-    """Return whether a run that missed its objective may end without a result."""
+    """Return whether the result of a run has no value after the objective, so that the RPC may be failed."""
     return rpc.method.worthless_when_late and (rpc.state is RUNNING or rpc.state is AWAITING_CALL)
--- a/finchcart/decisions/gauges.py
+++ b/finchcart/decisions/gauges.py
@@ -1,6 +1,6 @@
-"""The measurements that a host hands over with each timer.
+"""Measurements that the host passes with each timer event.
 
-Owns the last ones. It must never read a clock or measure anything itself.
+This module stores the latest measurements. It must not read a clock or measure anything itself.
 """
 
 from collections.abc import Mapping
@@ -8,35 +8,35 @@
 
 
 class Gauges(NamedTuple):
-    """Measurements that a host hands over with each timer."""
+    """Measurements that the host passes with each timer event, and decisions of the fleet's consensus."""
 
-    core_use: float | None = None  # busy part of the cores, averaged; None: not measured
-    on_cores: float | None = None  # what wants a core now, runs and reads; None: not measured
-    call_capacity: int | None = None  # calls that the fleet's limit allows here at once; None: no such limit
-    ejected: bool = False  # the fleet's consensus: this node is to report itself unhealthy
-    min_shed_level: float = 0.0  # the fleet's consensus: the least shed level to publish and to keep to
-    dependency_down: bool = False  # the fleet's consensus; `call_capacity` then counts probe calls
-    input_busy: float = 0.0  # part of the time in which the host worked on its inputs
-    input_age: int = 0  # microseconds that the oldest input waited lately
+    core_use: float | None = None  # utilization of the cores, averaged; None: not measured
+    on_cores: float | None = None  # runs and reads that need a core now; None: not measured
+    call_capacity: int | None = None  # concurrent calls that the fleet's limit allows; None: no such limit
+    ejected: bool = False  # decided by the consensus: this node must report itself unhealthy
+    min_shed_level: float = 0.0  # decided by the consensus: lowest shed level to publish and to apply
+    dependency_down: bool = False  # decided by the consensus; `call_capacity` then limits probe calls
+    input_busy: float = 0.0  # fraction of the time in which the host processed its inputs
+    input_age: int = 0  # microseconds that the oldest recent input waited in the host
 
     @classmethod
     def from_readings(cls, readings: Mapping[str, float]) -> "Gauges":
-        """Return the gauges of a worker pool or simulator, given by name; other readings are ignored."""
+        """Return the gauges among readings of a worker pool or simulator; ignore readings of other names."""
         return cls(core_use=readings.get("core_use"), on_cores=readings.get("on_cores"))
 
 
 class LatestGauges:
-    """The gauges of the last timer, as fields that are read on the path of each RPC.
+    """The latest gauges, as plain fields, as they are read for each RPC.
 
-    Invariant: what the host did not measure is taken from the counts of runs.
+    Invariant: a gauge that the host did not measure is derived from the counts of runs.
     """
 
     def __init__(self) -> None:
-        """Begin without a measurement."""
+        """Begin with all gauges at zero."""
         self.update(Gauges(core_use=0.0, on_cores=0.0), 0, 1)
 
     def update(self, gauges: Gauges, runs_on_cores: int, cores: float) -> None:
-        """Take over the gauges of a timer."""
+        """Store the gauges of a timer event."""
         core_use = gauges.core_use
         on_cores = gauges.on_cores
         self.core_use = min(1.0, runs_on_cores / cores) if core_use is None else core_use
--- a/finchcart/decisions/node_state.py
+++ b/finchcart/decisions/node_state.py
@@ -1,6 +1,6 @@
-"""The state of one node, by the parts that own it.
+"""State of one node, as a set of components.
 
-Owns the parts, and no field besides: each part's module says what it owns and what always holds of it.
+Each component's module describes the component's state and its invariant.
 """
 
 from finchcart.decisions.arrival_statistics import ArrivalStatistics
@@ -23,22 +23,22 @@
 
 
 class NodeState:
-    """The parts that own the state of a node."""
+    """Components that hold the state of a node."""
 
     def __init__(self, port: Port, settings: NodeSettings) -> None:
-        """Begin without an RPC."""
-        # What is known of methods and callers
+        """Begin without RPCs."""
+        # Methods, callers and arrivals
         self.methods = MethodSet(settings)
         self.warm_up = WarmUp(settings)
         self.callers = CallerReuse(self.warm_up)
         self.arrivals = ArrivalStatistics()
-        # RPCs and what they hold
+        # RPCs and their resources
         self.table = RpcTable()
         self.memory = MemoryAccount(settings.memory_kb)
         self.keys = IdempotencyKeys(settings, port, self.memory)
         self.queue = RunQueue()
         self.runs = RunCounts(settings.cores)
-        # What is measured, and the limits that follow
+        # Measurements, and the limits derived from them
         self.gauges = LatestGauges()
         self.slowdown = Slowdown(self.methods.all, self.runs)
         self.concurrency = ConcurrencyLimit(settings, self.warm_up, self.runs, self.queue, self.gauges)
--- a/finchcart/decisions/outcome.py
+++ b/finchcart/decisions/outcome.py
@@ -1,22 +1,19 @@
-"""How a run, a call or the wait of a duplicate ended.
-
-Owns the type alone; what follows from an outcome is decided by its user.
-"""
+"""Outcomes of runs, of calls to the dependency, and of duplicates' waits for a result."""
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """How a run, a call or the wait of a duplicate ended."""
+    """How a run, a call or a duplicate's wait for a result ended."""
 
     OK = "ok"
-    ERROR = "error"  # it failed, and may have had its effect
-    REJECTED = "rejected"  # rejected unseen: proves that it never ran
-    TIMEOUT = "timeout"  # abandoned; may have had its effect
-    UNREACHABLE = "unreachable"  # never connected: proves that it never ran
+    ERROR = "error"  # failed, and may have had its effect
+    REJECTED = "rejected"  # rejected before any work was done: proves that it never ran
+    TIMEOUT = "timeout"  # abandoned, and may have had its effect
+    UNREACHABLE = "unreachable"  # no connection was established: proves that it never ran
     CONNECTION_LOST = "connection lost"  # may have had its effect
     STOPPED = "stopped"  # the run was stopped or paused, or ended while awaiting a call
-    NOT_STARTED = "not started"  # cancelled before start: proves that it never ran
+    NOT_STARTED = "not started"  # cancelled before its start: proves that it never ran
 
     @property
     def never_ran(self) -> bool:
