--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -1,7 +1,7 @@
-"""What is published to callers with each response: the shed level, or a credit.
+"""Feedback that is published to callers with each response: the shed level, or a credit.
 
-Owns what was published last. It must never decide what is rejected here. See "Missing signals, and what
-stands in" in docs/design.md. Times are microseconds.
+This module keeps the value that was published last. It must not decide which RPCs this node rejects. See
+"Missing signals, and what stands in" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.admission_control import SETPOINT_PART
@@ -11,17 +11,19 @@
 from finchcart.decisions.units import SECOND
 
 LEVEL_STEP = 0.02  # smaller changes of the level are not published
-CLOSED_PROBABILITY = 0.06  # the level reaches the next rank once one is admitted with no more than this
-CREDIT_FACTOR = 4  # a credit knows no criticality: the queue needs some RPCs to choose from
+CLOSED_PROBABILITY = 0.06  # the level rises into the next rank once a rank's probability is at most this
+# A credit does not depend on criticality, so the queue needs a surplus of RPCs from which to run the most
+# critical ones.
+CREDIT_FACTOR = 4
 CREDIT_DEAD_BAND = 0.8, 1.25  # changes of the credit by a factor between these are not published
-MIN_COMPARED_CREDIT = 0.001
+MIN_COMPARED_CREDIT = 0.001  # avoids a division by zero
 
 
 class CallerFeedback:
-    """The published feedback. Invariant: `published` is the last value given to the port, 0 before it."""
+    """Publishes feedback. Invariant: `published` is the last value passed to the port, initially 0."""
 
     def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
-        """Nothing is published yet."""
+        """Begin without a published value."""
         self._kind = settings.feedback
         self._lifetime = settings.feedback_lifetime_us
         self._port = port
@@ -30,18 +32,18 @@
         self._callers = state.callers
         self._concurrency = state.concurrency
         self._slowdown = state.slowdown
-        self.own_level = 0.0  # the shed level that this node alone would publish
+        self.own_level = 0.0  # shed level that follows from this node's load alone
         self.published = 0.0  # shed level or credit
 
     def publish(self, now: int) -> None:
-        """Publish what the settings ask for, where it changed."""
+        """Publish the feedback that the settings select, if its value changed enough."""
         if self._kind is Feedback.LEVEL:
             self._publish_level()
         elif self._kind is Feedback.CREDIT:
             self._publish_credit(now)
 
     def _publish_level(self) -> None:
-        """Publish what is cut here: of the lowest rank, and of the next one up when that is closed."""
+        """Publish the shed level: this node's own, or the fleet's minimum where that is higher."""
         self.own_level = self._level()
         level = max(self.own_level, self._gauges.min_shed_level)
         if abs(level - self.published) > LEVEL_STEP or (level == 0) != (self.published == 0):
@@ -49,6 +51,11 @@
             self.published = level
 
     def _level(self) -> float:
+        """Return this node's own shed level.
+
+        The level expresses the cut of the lowest rank, and of the next rank as soon as the lower one is
+        closed.
+        """
         level = 0.0
         rank_count = self._methods.rank_count
         for rank in range(rank_count):
@@ -60,7 +67,7 @@
         return level
 
     def _publish_credit(self, now: int) -> None:
-        """Publish how many RPCs a caller may have open: its part of what ends within the objective."""
+        """Publish how many RPCs a caller may have open: its share of those that can end in time."""
         callers = self._callers.count_seen_within(now, self._lifetime)
         service_times = (method.estimates.service_time.mean for method in self._methods.all)
         service_time = max(service_times, default=SECOND) * self._slowdown.factor
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""The graceful shutdown: from the notice over the grace period to the termination deadline.
+"""Graceful shutdown: the drain notice, the grace period, and the termination deadline.
 
-Owns these times. Until the grace period ends the node serves as ever, but reports itself unhealthy; what
-arrives later is rejected (admission.py), and what still runs is failed before the termination deadline
+Until the grace period ends, the node reports itself unhealthy but serves all RPCs. RPCs that arrive later are
+rejected (admission_checks.py), and those still running are failed before the termination deadline
 (expiry.py). See "Goodbye to connections: kept and changed" in docs/design.md.
 """
 
@@ -12,20 +12,20 @@
 from finchcart.decisions.runs import RunCounts
 from finchcart.decisions.units import MS
 
-DRAINING_IDLE_TIMEOUT = 10 * MS  # of connections, once the grace period is over
-RUN_FACTOR_AFTER_GRACE = 2  # a run may last so many times its method's usual run duration after the grace
-USUAL_RUN_QUANTILE = 0.9  # of its method's run durations: the usual one
+DRAINING_IDLE_TIMEOUT = 10 * MS  # idle timeout of connections after the grace period
+RUN_FACTOR_AFTER_GRACE = 2  # after the grace period, a run may take this many times its usual duration
+USUAL_RUN_QUANTILE = 0.9  # the usual duration is this quantile of the method's run durations
 
 
 class GracefulShutdown:
-    """The shutdown of this node. Times are microseconds.
+    """Shutdown of this node. Times are microseconds.
 
-    Invariant: `grace_end` and `termination_deadline` are both None before the notice and both set after it;
-    the deadline only moves to earlier times; `is_past_grace` is set once, after the notice.
+    Invariant: `grace_end` and `termination_deadline` are None before the drain notice and set after it. The
+    deadline only moves to earlier times. `is_past_grace` is set once, after the notice.
     """
 
     def __init__(self, settings: NodeSettings, port: Port, runs: RunCounts, queue: RunQueue) -> None:
-        """No notice was given."""
+        """Begin without a drain notice."""
         self._port = port
         self._runs = runs
         self._queue = queue
@@ -35,7 +35,10 @@
         self.is_past_grace = False
 
     def begin(self, now: int, termination_deadline: int) -> None:
-        """Act on a notice, and report the node unhealthy; a further notice may only bring the end nearer."""
+        """Handle a drain notice: report the node unhealthy and set the deadline.
+
+        A further notice can only move the deadline to an earlier time.
+        """
         if self.termination_deadline is None:
             self.grace_end = now + self._grace_period
             self._port.set_health(False, True)
@@ -45,7 +48,7 @@
         self._port.log(f"drain: {self._in_hand()}, kill in {self.termination_deadline - now} us")
 
     def end_grace(self, now: int) -> None:
-        """End the grace period where it is over: idle connections are closed."""
+        """End the grace period if its time is over; from then on, idle connections are closed."""
         if self.grace_end is None or self.is_past_grace or now < self.grace_end:
             return
         self.is_past_grace = True
@@ -57,7 +60,7 @@
         return self.grace_end is not None and rpc.reached_at > self.grace_end
 
     def outlives_grace(self, now: int, rpc: RpcHandle) -> bool:
-        """Return whether an RPC takes too long for a node past its grace period."""
+        """Return whether an RPC takes longer than it may after the grace period."""
         if self.grace_end is None or not self.is_past_grace:
             return False
         began = max(self.grace_end, rpc.started_at)
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -1,7 +1,7 @@
-"""Whether the node reports itself healthy in service.
+"""Health that the node reports while it serves.
 
-Owns the reported health until the graceful shutdown begins, which reports it unhealthy for good. See *Health*
-in docs/design.md.
+This module reports the health until the graceful shutdown begins, which then reports the node unhealthy
+permanently. See *Health* in docs/design.md.
 """
 
 from finchcart.decisions.admission_control import BUSY_THRESHOLD
@@ -10,12 +10,13 @@
 from finchcart.decisions.port import Port
 from finchcart.decisions.rejection import FULL_FLEET_RETRY_RATIO
 
-UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)  # ingress queueing delay, as part of the shortest objective
-READS_PART = 0.5  # of the cores: above it reads keep the node from its runs
+# Thresholds of the ingress queueing delay, as fractions of the shortest latency objective.
+UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)
+READS_PART = 0.5  # above this fraction of the cores, reads take core time that runs need
 
 
 class Health:
-    """The reported health. Invariant: `is_healthy` is the last value reported in service."""
+    """Reported health. Invariant: `is_healthy` is the last value reported before the shutdown."""
 
     def __init__(self, port: Port, state: NodeState) -> None:
         """Begin healthy."""
@@ -27,10 +28,12 @@
         self.is_healthy = True
 
     def update(self, delay_part: float) -> None:
-        """Report a change; `delay_part`: ingress queueing delay, as part of the shortest objective.
+        """Report a change of the health.
 
-        Unhealthy while the fleet ejects the node, or while reads take its cores and RPCs wait too long to be
-        read; not where retries show a full fleet, as all nodes would leave at once.
+        `delay_part` is the ingress queueing delay as a fraction of the shortest latency objective. The node
+        is unhealthy while the fleet ejects it, or while reads take its cores and RPCs wait too long to be
+        read. It stays healthy if the ratio of retries shows that the whole fleet is full, as otherwise all
+        nodes would become unhealthy at once.
         """
         reads = self._gauges.on_cores - self._runs.on_cores
         is_busy_reading = reads > self._runs.cores * READS_PART or self._gauges.input_busy > BUSY_THRESHOLD
--- a/finchcart/decisions/histogram.py
+++ b/finchcart/decisions/histogram.py
@@ -1,33 +1,33 @@
-"""A coarse histogram of positive values on a logarithmic scale, in which old samples fade.
-
-Owns bins and their sums only; which values are kept, and what follows from them, is decided by its user.
-"""
+"""Coarse histogram of positive values on a logarithmic scale, with decay of old samples."""
 
 from math import log2
 
 BIN_COUNT = 16
 BINS_PER_OCTAVE = 2
-BIN_MIDDLE = 1.19  # a quarter of an octave: the middle of a bin over its lower end
+BIN_MIDDLE = 1.19  # 2**(1/4): ratio of a bin's geometric middle to its lower end
 
 
 class Histogram:
-    """Sixteen bins, two to the octave from `low` up. All bins are halved each time `max_count` is reached."""
+    """Histogram of sixteen bins, two per octave, starting at `low`.
+
+    The counts of all bins are halved each time the total reaches `max_count`.
+    """
 
     __slots__ = ("bins", "count", "low", "max_count", "mean", "weighted_sum")
 
     WEIGHTS = tuple(2 ** (position / BINS_PER_OCTAVE) for position in range(BIN_COUNT))
 
     def __init__(self, low: float, prior: float, max_count: float) -> None:
-        """Begin with one sample, `prior`."""
+        """Begin with the single sample `prior`."""
         self.low = low
         self.max_count = max_count
         self.bins = [0.0] * BIN_COUNT
         self.count = 0.0
-        self.weighted_sum = 0.0  # of the bins' counts, in multiples of `low`
+        self.weighted_sum = 0.0  # sum of the samples' lower bin ends, in multiples of `low`
         self.add(prior)
 
     def add(self, value: float) -> None:
-        """Count a sample; values below the first bin or above the last count there."""
+        """Count a sample; the first and the last bin also count the values outside of the range."""
         position = 0
         if value > self.low:
             position = min(BIN_COUNT - 1, int(BINS_PER_OCTAVE * log2(value / self.low)))
@@ -39,7 +39,7 @@
         self.mean = BIN_MIDDLE * self.low * self.weighted_sum / self.count
 
     def quantile(self, part: float) -> float:
-        """Return the upper end of the bin in which `part` (0 to 1) of the samples is reached."""
+        """Return the upper end of the bin that contains the quantile `part` (0 to 1) of the samples."""
         left = part * self.count
         position = 0
         for count in self.bins:
--- a/finchcart/decisions/hysteresis.py
+++ b/finchcart/decisions/hysteresis.py
@@ -1,11 +1,11 @@
-"""Two thresholds for one state, so that a value near a threshold does not switch it back and forth.
+"""Hysteresis: two thresholds for one state, so that a value near a threshold does not make it oscillate.
 
-Owns the comparison alone; the state belongs to its user.
+The user of the class holds the state.
 """
 
 
 class Hysteresis:
-    """A state begins at the `enter` threshold, and ends only at the `exit` threshold."""
+    """Thresholds of a state that begins at the `enter` threshold and ends at the `exit` threshold."""
 
     __slots__ = ("enter", "exit")
 
@@ -15,9 +15,9 @@
         self.exit = exit
 
     def is_exceeded(self, value: float, is_active: bool) -> bool:
-        """Return whether `value` is above the threshold of a state that `is_active` or not."""
+        """Return whether `value` is above `exit` if the state is active, or above `enter` if it is not."""
         return value > (self.exit if is_active else self.enter)
 
     def is_undercut(self, value: float, is_active: bool) -> bool:
-        """Return whether `value` is below the threshold of a state that `is_active` or not."""
+        """Return whether `value` is below `exit` if the state is active, or below `enter` if it is not."""
         return value < (self.exit if is_active else self.enter)
--- a/finchcart/decisions/idempotency_keys.py
+++ b/finchcart/decisions/idempotency_keys.py
@@ -1,6 +1,6 @@
-"""The idempotency keys that the host stores for this node: until when, and their memory.
+"""Idempotency keys that the host stores for this node: their expiry and their memory.
 
-Owns the times of expiry. Which RPC is a duplicate is found by the host, what becomes of it by admission.py.
+The host finds out which RPC is a duplicate; duplicates.py handles it. Times are microseconds.
 """
 
 from heapq import heappop, heappush
@@ -11,22 +11,26 @@
 from finchcart.decisions.rpc import RpcHandle
 from finchcart.decisions.units import MS
 
-EXTRA_TTL = 200 * MS  # keys are stored so much longer than their window
+EXTRA_TTL = 200 * MS  # time for which a key is stored beyond its window
 
 
 class IdempotencyKeys:
-    """The stored keys. Invariant: each RPC with `key_expires_at` has one entry in the heap and is counted."""
+    """Stored idempotency keys.
+
+    Invariant: each RPC whose `key_expires_at` is set has one entry in the heap, and its key's memory is
+    reserved.
+    """
 
     def __init__(self, settings: NodeSettings, port: Port, memory: MemoryAccount) -> None:
-        """No key is stored."""
+        """Begin without keys."""
         self._port = port
         self._memory = memory
         self._entry_kb = settings.key_entry_kb
-        self._expiry_margin = 2 * settings.tick_us  # after it the host has surely expired the key
+        self._expiry_margin = 2 * settings.tick_us  # by then the host has removed an expired key
         self._expirations: list[tuple[int, int, RpcHandle]] = []  # heap of (time, index, RPC)
 
     def store(self, now: int, rpc: RpcHandle) -> None:
-        """Have the key of an RPC stored for its method's window after it reached the machine."""
+        """Have the host store an RPC's key for the method's window, counted from the RPC's arrival."""
         expires_at = rpc.reached_at + rpc.method.key_window + EXTRA_TTL
         self._port.store_key(rpc.index, expires_at - now)
         rpc.key_expires_at = expires_at
@@ -34,12 +38,12 @@
         heappush(self._expirations, (expires_at + self._expiry_margin, rpc.index, rpc))
 
     def evict(self, rpc: RpcHandle) -> None:
-        """Have the stored key of an RPC removed."""
+        """Have the host remove the stored key of an RPC."""
         self._port.evict_key(rpc.index)
         self._forget(rpc)
 
     def expire(self, now: int) -> list[RpcHandle]:
-        """Count out the keys that are no longer stored, and return their RPCs."""
+        """Free the memory of expired keys, and return their RPCs."""
         expired = []
         while self._expirations and self._expirations[0][0] <= now:
             rpc = heappop(self._expirations)[2]
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -1,7 +1,8 @@
-"""After how long idle connections are closed.
+"""Idle timeout of callers' connections.
 
-Owns whether idle connections are kept; once the grace period is over, graceful_shutdown.py has set the
-timeout for good. See "Goodbye to connections: kept and changed" in docs/design.md. Times are microseconds.
+This module decides whether idle connections are kept. When the grace period of a shutdown ends,
+graceful_shutdown.py sets the final timeout. See "Goodbye to connections: kept and changed" in docs/design.md.
+Times are microseconds.
 """
 
 from finchcart.decisions.caller_reuse import REUSE_WINDOW
@@ -15,17 +16,17 @@
 MIN_IDLE_TIMEOUT = DRAINING_IDLE_TIMEOUT
 MAX_IDLE_TIMEOUT = REUSE_WINDOW
 
-# Idle connections are kept above, above and below these.
+# Idle connections are kept while the first or second value is above its thresholds, or the third below.
 KEPT_REUSE = Hysteresis(enter=0.75, exit=0.6)  # caller reuse ratio
-KEPT_DELAY = Hysteresis(enter=0.2, exit=0.04)  # ingress queueing delay, as part of the shortest objective
-KEPT_PROBABILITY = Hysteresis(enter=0.6, exit=0.9)  # least admission probability, where no level is published
+KEPT_DELAY = Hysteresis(enter=0.2, exit=0.04)  # ratio of ingress queueing delay to shortest objective
+KEPT_PROBABILITY = Hysteresis(enter=0.6, exit=0.9)  # lowest admission probability, if no level is published
 
 
 class IdleTimeout:
-    """The idle timeout. Invariant: `keeps_connections` tells which of the two values was set."""
+    """Idle timeout. Invariant: `keeps_connections` tells which of the two timeouts was set last."""
 
     def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
-        """Begin with connections that are not kept."""
+        """Begin without keeping idle connections."""
         self._publishes_level = settings.feedback is Feedback.LEVEL
         self._highest = settings.idle_timeout_max_us
         self._port = port
@@ -35,15 +36,15 @@
         self.keeps_connections = False
 
     def start(self) -> None:
-        """Set the first idle timeout."""
+        """Set the initial idle timeout."""
         self._port.set_idle_timeout(MIN_IDLE_TIMEOUT)
 
     def update(self, delay_part: float) -> None:
-        """Set the timeout where it changed; `delay_part`: see `Health.update`.
+        """Set the timeout if it changes; `delay_part` is described at `Health.update`.
 
-        Idle connections are kept where callers soon reuse them: else they cost more than new ones. Also where
-        RPCs wait too long to be read, or no shed level is published: a full connection table rejects new
-        callers at the least cost.
+        Idle connections are kept if callers reuse them soon; otherwise keeping them costs more than opening
+        new ones. They are also kept if RPCs wait too long to be read, or if admission is cut and no shed
+        level is published: a full connection table is the cheapest way to reject new callers.
         """
         keep = self._should_keep(delay_part)
         if self._shutdown.is_past_grace or keep == self.keeps_connections:
--- a/finchcart/decisions/memory.py
+++ b/finchcart/decisions/memory.py
@@ -1,10 +1,11 @@
-"""The memory that RPCs, runs and stored idempotency keys are counted with.
+"""Accounting of the memory that RPCs, runs and stored idempotency keys use.
 
-Owns the sum and its limits. It must never know which RPC a kilobyte belongs to. Later uses have higher
-limits: a run takes more than a queued RPC, and duplicates are the last to fail.
+This module keeps the sum and checks it against limits, without reference to single RPCs. The limit for the
+start of a run is the lowest, as a run adds more memory than a queued RPC; the limit for duplicates is the
+highest, as they are the last to be failed.
 """
 
-# Parts of the memory of the node.
+# Limits, as fractions of the memory of the node.
 START_BELOW = 0.85
 REJECT_ABOVE = 0.9
 FAIL_DUPLICATES_ABOVE = 0.95
@@ -18,24 +19,24 @@
     """
 
     def __init__(self, limit_kb: float) -> None:
-        """Begin with nothing in use; `limit_kb`: memory of the node."""
+        """Begin with no memory in use; `limit_kb` is the memory of the node."""
         self.limit_kb = limit_kb
         self.used_kb = 0.0
 
     def reserve(self, memory_kb: float) -> None:
-        """Count memory that was taken."""
+        """Add memory to the memory in use."""
         self.used_kb += memory_kb
 
     def free(self, memory_kb: float) -> None:
-        """Count memory that was given back."""
+        """Subtract memory from the memory in use."""
         self.used_kb -= memory_kb
 
     def can_admit(self, further_kb: float) -> bool:
-        """Return whether an RPC that takes `further_kb` besides its counted memory may be queued."""
+        """Return whether an RPC may be queued that needs `further_kb` in addition to its reserved memory."""
         return self.used_kb + further_kb <= REJECT_ABOVE * self.limit_kb
 
     def can_start(self, further_kb: float) -> bool:
-        """Return whether a run that takes `further_kb` may start."""
+        """Return whether a run that needs `further_kb` may start."""
         return self.used_kb + further_kb <= START_BELOW * self.limit_kb
 
     def can_share(self) -> bool:
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -1,7 +1,7 @@
-"""The methods of a node: what their settings mean, the estimates of their runs, and how much is admitted.
+"""Methods of a node: values derived from their settings, estimates of their runs, and their admission state.
 
-Owns these facts, worked out once at start. `admission_probability` and `relative_latency` are written by
-admission_control.py alone, the estimates by rpc_events.py. Times are microseconds.
+The derived values are computed once at start. Only admission_control.py writes `admission_probability` and
+`relative_latency`, and only rpc_events.py updates the estimates. Times are microseconds.
 """
 
 from finchcart.decisions.node_settings import (
@@ -15,16 +15,16 @@
 from finchcart.decisions.units import SECOND
 
 OBJECTIVE_WITHOUT_METHODS = SECOND
-MIN_COLD_SPEED = 0.1  # part of the full speed; slower starts are not believed
+MIN_COLD_SPEED = 0.1  # fraction of the full speed; a slower configured cold start is raised to this
 
 
 class Method:
-    """One method. Invariant: `admission_probability` is above 0, and 1 at most."""
+    """One method. Invariant: `admission_probability` is above 0, and at most 1."""
 
     def __init__(self, settings: MethodSettings, can_stop: bool, cold_factor: float) -> None:
-        """Work out the method's facts.
+        """Derive the method's values from its settings.
 
-        `can_stop`: running work can be stopped; `cold_factor`: see `ServiceTimeEstimates`.
+        `can_stop` tells whether runs can be stopped; `cold_factor` is described at `ServiceTimeEstimates`.
         """
         criticality = settings.criticality
         deadline_us = settings.deadline_us
@@ -33,7 +33,7 @@
         self.keyed = settings.kind is MethodKind.KEYED
         self.idempotent = settings.kind is MethodKind.IDEMPOTENT
         self.criticality: float = DEFAULT_CRITICALITY if criticality is None else criticality
-        self.criticality_rank = 0  # among those of the node; 0: the least critical
+        self.criticality_rank = 0  # rank among the criticalities of the node's methods; 0: the lowest
         self.more_critical: list[Method] = []
         self.less_critical: list[Method] = []
         self.deadline = DEFAULT_DEADLINE_US if deadline_us is None else deadline_us
@@ -45,14 +45,14 @@
         self.worthless_when_late = self.stoppable and not settings.late_value
         self.estimates = ServiceTimeEstimates(self.latency_objective, cold_factor)
         self.admission_probability = 1.0
-        self.relative_latency = 0.0  # expected latency over its setpoint
+        self.relative_latency = 0.0  # ratio of the expected latency to its setpoint
 
 
 class MethodSet:
     """All methods of a node. Invariant: the criticality ranks of `all` are 0 to `rank_count` - 1."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Take the methods of these settings, in their order."""
+        """Create the methods of these settings, in their order."""
         cold_speed = settings.cold_start_speed if settings.fresh_start else 1
         cold_factor = 1 / max(cold_speed, MIN_COLD_SPEED)
         self.all = [Method(method, settings.can_stop, cold_factor) for method in settings.methods]
@@ -62,7 +62,7 @@
         self.shortest_objective = min(objectives, default=OBJECTIVE_WITHOUT_METHODS)
 
     def _rank_by_criticality(self) -> int:
-        """Set each method's rank, and those above and below it; return the number of ranks."""
+        """Set each method's rank and its more and less critical methods; return the number of ranks."""
         criticalities = sorted({method.criticality for method in self.all})
         for method in self.all:
             method.criticality_rank = criticalities.index(method.criticality)
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -1,7 +1,7 @@
-"""Runs that yield their core to RPCs that are more than twice as critical.
+"""Pausing of runs that yield their core to RPCs that are more than twice as critical.
 
-Owns the choice of what is paused; which runs are pausing is counted in runs.py. See "Intake: the loop" in
-docs/design.md. It acts only where the settings say that runs can be paused.
+This module chooses the runs to pause, if the settings state that runs can be paused; runs.py keeps track of
+the runs that are pausing. See "Intake: the loop" in docs/design.md. Times are microseconds.
 """
 
 from finchcart.decisions.method import Method
@@ -10,15 +10,16 @@
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import RUNNING, RpcHandle
 
-YIELDS_BELOW = 0.5  # part of the other's criticality
-MIN_REMAINING_FRACTION = 4  # a paused run has its expected service time over this left at least
+YIELDS_BELOW = 0.5  # a run yields to an RPC if its criticality is below this fraction of the RPC's
+# The remaining service time of a paused run is at least its expected service time divided by this.
+MIN_REMAINING_FRACTION = 4
 
 
 class Pausing:
-    """The pausing of runs. Invariant: only runs whose response is pending are paused."""
+    """Pauses and requeues runs. Invariant: only runs whose response is pending are paused."""
 
     def __init__(self, port: Port, settings: NodeSettings, state: NodeState) -> None:
-        """Nothing is paused."""
+        """Begin without paused runs."""
         self.is_enabled = settings.can_pause
         self._port = port
         self._table = state.table
@@ -27,7 +28,7 @@
         self._slowdown = state.slowdown
 
     def yields(self, method: Method, criticality: float) -> bool:
-        """Return whether a run of the method may be paused for an RPC of this criticality."""
+        """Return whether runs of the method may be paused for an RPC of this criticality."""
         return self.is_enabled and method.criticality < YIELDS_BELOW * criticality
 
     def work_not_yielding(self, criticality: float) -> float:
@@ -36,8 +37,11 @@
         return sum(rpc.expected_service_time for rpc in running if not self.yields(rpc.method, criticality))
 
     def pause_least_critical(self, criticality: float) -> bool:
-        """Pause the least critical run that yields, the last started of its like; false where none does."""
-        # Not one without a pending response: a stop would end it for good, with effects half done.
+        """Pause the least critical run that yields, or return false if no run does.
+
+        Among runs of the same criticality, the one that was started last is paused.
+        """
+        # A run without a pending response is not paused: the host would end it, with its effects incomplete.
         pausable = [
             rpc
             for rpc in self._table.active.values()
@@ -54,7 +58,7 @@
         return True
 
     def requeue(self, rpc: RpcHandle, spent: int) -> None:
-        """Queue a run that was paused after `spent` microseconds; it keeps its memory and what was done."""
+        """Queue a run that was paused after `spent` microseconds; the run keeps its memory and its work."""
         expected = rpc.expected_service_time
         remaining = max(expected / MIN_REMAINING_FRACTION, expected - spent / self._slowdown.factor)
         self._slowdown.record_work(expected - remaining)
--- a/finchcart/decisions/rejection_reason.py
+++ b/finchcart/decisions/rejection_reason.py
@@ -1,19 +1,19 @@
-"""Why an RPC is rejected: one name for each reason, in code and documentation.
+"""Reasons for the rejection of an RPC, under the names that logs and documentation use as well.
 
-Owns the names alone. Reasons without another module in the comment are given by admission_checks.py.
+The reasons are given by admission_checks.py and admission.py, and by the modules named in the comments.
 """
 
 from enum import Enum
 
 
 class RejectionReason(Enum):
-    """Why an RPC was rejected. Each proves that it never ran here."""
+    """Reason for a rejection. Each reason proves that the RPC never ran on this node."""
 
-    QUOTA_EXHAUSTED = "quota exhausted"  # the fleet's, less a reserve for more critical methods
-    SHUTTING_DOWN = "shutting down"  # it came after the grace period
+    QUOTA_EXHAUSTED = "quota exhausted"  # the fleet's quota, less the reserve for more critical methods
+    SHUTTING_DOWN = "shutting down"  # the RPC arrived after the grace period
     MEMORY_EXHAUSTED = "memory exhausted"
     DEADLINE_TOO_NEAR = "deadline too near"  # no response can be sent in time; also expiry.py
-    DEPENDENCY_DOWN = "dependency down"  # and all probe calls are taken
-    FLEET_SHED_LEVEL = "fleet shed level"  # the whole fleet sheds its rank
-    LOAD_SHED = "load shed"  # by its method's admission probability
-    MISSES_OBJECTIVE = "misses objective"  # by its expected latency; also run_starter.py, expiry.py
+    DEPENDENCY_DOWN = "dependency down"  # and no probe call is left for the RPC
+    FLEET_SHED_LEVEL = "fleet shed level"  # the whole fleet sheds RPCs of this rank
+    LOAD_SHED = "load shed"  # not admitted by the method's admission probability
+    MISSES_OBJECTIVE = "misses objective"  # the expected latency is too long; also run_starter.py, expiry.py
--- a/finchcart/decisions/rpc_table.py
+++ b/finchcart/decisions/rpc_table.py
@@ -1,25 +1,25 @@
-"""The RPCs that the decision module knows, by index.
+"""Table of the RPCs that are not released, by index.
 
-Owns which RPCs are active and which are completed but still known by a stored key. Decides nothing.
+An RPC is active until it is completed; a completed RPC stays in the table while its key is stored.
 """
 
 from finchcart.decisions.rpc import RpcHandle
 
 
 class RpcTable:
-    """The known RPCs. Invariant: `active` holds none that is COMPLETED, `completed` no other."""
+    """Table of RPCs. Invariant: all RPCs in `completed` are in the state COMPLETED, none in `active` is."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Begin with an empty table."""
         self.active: dict[int, RpcHandle] = {}  # in the order of arrival
-        self.completed: dict[int, RpcHandle] = {}  # known for as long as their keys are stored
+        self.completed: dict[int, RpcHandle] = {}  # kept for as long as their keys are stored
 
     def add(self, rpc: RpcHandle) -> None:
         """Add an RPC that has arrived."""
         self.active[rpc.index] = rpc
 
     def find(self, index: int) -> RpcHandle | None:
-        """Return the RPC of this index, or None where it is released."""
+        """Return the RPC with this index, or None if it was released."""
         return self.active.get(index) or self.completed.get(index)
 
     def complete(self, rpc: RpcHandle) -> None:
@@ -27,5 +27,5 @@
         self.completed[rpc.index] = self.active.pop(rpc.index)
 
     def remove(self, rpc: RpcHandle) -> None:
-        """Forget a completed RPC."""
+        """Remove a completed RPC from the table."""
         del self.completed[rpc.index]
--- a/finchcart/decisions/run_queue.py
+++ b/finchcart/decisions/run_queue.py
@@ -1,6 +1,6 @@
-"""The queue of RPCs that wait for a core, in the order in which they are to run.
+"""Priority queue of the RPCs that wait for a core.
 
-Owns the order. It must never decide when an RPC starts or leaves.
+This module defines the order of the queue. It must not decide when an RPC starts or leaves the queue.
 """
 
 from bisect import insort
@@ -11,24 +11,27 @@
 
 
 class RunQueue:
-    """The queued and paused RPCs, the most critical first, then by the latest start that meets the objective.
+    """Queue of the queued and paused RPCs.
 
-    Invariant: `entries` is sorted, and holds exactly the active RPCs in the states QUEUED and PAUSED between
-    two calls of the host.
+    The most critical RPCs are first; among these, the one that must start first to meet its objective.
+
+    Invariant: `entries` is sorted. Between two calls of the host, it holds exactly the active RPCs in the
+    states QUEUED and PAUSED.
     """
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self.entries: list[tuple[Priority, int, RpcHandle]] = []  # (priority, index, RPC); read by others
+        """Begin with an empty queue."""
+        # (priority, index, RPC); other modules may read this list, but must not change it.
+        self.entries: list[tuple[Priority, int, RpcHandle]] = []
 
     def push(self, rpc: RpcHandle) -> None:
-        """Insert an RPC by its priority; equal ones by their index."""
+        """Insert an RPC by its priority, and RPCs of equal priority by index."""
         insort(self.entries, (rpc.priority, rpc.index, rpc))
 
     def remove(self, rpc: RpcHandle) -> None:
-        """Take an RPC out, wherever it stands."""
+        """Remove an RPC from any position of the queue."""
         self.entries.remove((rpc.priority, rpc.index, rpc))
 
     def remove_first(self) -> None:
-        """Take the first RPC out."""
+        """Remove the first RPC."""
         del self.entries[0]
--- a/finchcart/decisions/service_time.py
+++ b/finchcart/decisions/service_time.py
@@ -1,29 +1,31 @@
-"""Estimates of how long the runs of one method take on a core.
+"""Estimates of the service time and the duration of a method's runs.
 
-Owns what is learned from runs that ended well, fading as new runs end. It must never know a single RPC. See
-"Departures, and when they act" in docs/design.md. Times are microseconds; a service time leaves out the time
-at calls to the dependency.
+The estimates are learned from successful runs; old runs lose weight as new runs end. This module must not
+refer to single RPCs. See "Departures, and when they act" in docs/design.md. Times are microseconds. The
+service time of a run excludes the time of its calls to the dependency.
 """
 
 from math import log2
 
 from finchcart.decisions.histogram import Histogram
 
-HISTOGRAM_SAMPLES = 120  # histograms are halved when they reach it, so that old samples fade
-MIN_HINT_RATIO_LOG2 = 0.5  # hints closer than this tell too little of the power between them
+HISTOGRAM_SAMPLES = 120  # counts are halved at this number of samples, so that old samples decay
+MIN_HINT_RATIO_LOG2 = 0.5  # lower bound, as small and large hints that are closer give no reliable exponent
 
 
 class ServiceTimeEstimates:
-    """What the runs of one method took.
+    """Histograms of the runs of one method.
 
-    Invariant: each `learn` adds one sample to `service_time` and to `run_duration`, and with a hint one to
-    the pair of small or of large hints.
+    Invariant: each call of `learn` adds one sample to `service_time` and to `run_duration`. With a hint, it
+    also adds one sample to both histograms of the small hints, or to both of the large hints.
     """
 
     def __init__(self, objective: int, cold_factor: float) -> None:
-        """Assume a sixth of the latency objective, and half-believed hints, until runs end.
+        """Set prior estimates, which apply until runs end.
 
-        `cold_factor`: how much longer runs take on a node that starts cold.
+        The prior service time is a sixth of the latency objective, and the prior for hints is a service time
+        proportional to about the square root of the hint. `cold_factor` is the factor by which runs take
+        longer on a node that starts cold.
         """
         lowest = objective / 96
         self.service_time = Histogram(lowest, objective / 6 * cold_factor, HISTOGRAM_SAMPLES)
@@ -36,8 +38,8 @@
     def expected(self, hint: int) -> float:
         """Return the expected service time of a run with this service time hint (0: no hint).
 
-        How far hints can be believed shows in what runs with small and with large hints took lately: a power
-        function goes through these two points.
+        The result is a power function of the hint, through two points: the mean service times of recent runs
+        with small hints and with large hints. The more reliable the hints, the closer the exponent is to 1.
         """
         if not hint:
             return self.service_time.mean
@@ -49,7 +51,7 @@
         return small_service_time * (hint / small_hint) ** max(0.0, min(1.0, power))
 
     def learn(self, hint: int, service_time: int, run_duration: int) -> None:
-        """Add a run that ended well; `run_duration` includes its time at calls."""
+        """Add a successful run; `run_duration` includes the time of its calls."""
         self.service_time.add(service_time)
         self.run_duration.add(run_duration)
         if not hint:
--- a/finchcart/decisions/slowdown.py
+++ b/finchcart/decisions/slowdown.py
@@ -1,6 +1,6 @@
-"""How much longer runs take than expected, whatever slows the machine.
+"""Slowdown factor: how much longer runs take than expected, for whatever reason.
 
-Owns the sums of the last second or two that it is worked out from. It must never look at single RPCs. See
+This module keeps decaying sums over the last one to two seconds, and must not depend on single RPCs. See
 "Departures, and when they act" in docs/design.md.
 """
 
@@ -9,31 +9,33 @@
 from finchcart.decisions.method import Method
 from finchcart.decisions.runs import RunCounts
 
-SUM_FADE = 0.975  # in a maintenance interval: the sums hold the last second or two
+SUM_FADE = 0.975  # decay factor per maintenance interval: the sums cover the last one to two seconds
 MIN_SLOWDOWN = 0.3
 MAX_SLOWDOWN = 16.0
 
 
 class Slowdown:
-    """Core time spent over expected service time of what ended; `factor` stretches every forecast.
+    """Ratio of the core time spent to the expected service time of the completed work.
 
-    Invariant: `factor` is from MIN_SLOWDOWN to MAX_SLOWDOWN. Times are microseconds.
+    All forecasts of service times are multiplied by `factor`. Times are microseconds.
+
+    Invariant: `factor` is between MIN_SLOWDOWN and MAX_SLOWDOWN.
     """
 
     def __init__(self, methods: Sequence[Method], runs: RunCounts) -> None:
-        """Begin as fast as expected."""
+        """Begin with a factor of 1."""
         self._methods = methods
         self._runs = runs
         self.factor = 1.0
         self.core_time_spent = 0.0  # by all runs
-        self.work_completed = 0.0  # expected service time of the runs, or parts of runs, that ended
+        self.work_completed = 0.0  # expected service time of the runs, or portions of runs, that ended
 
     def record_work(self, expected_service_time: float) -> None:
-        """Count work that was completed, by what it was expected to take."""
+        """Add completed work, measured by its expected service time."""
         self.work_completed += expected_service_time
 
     def update(self, elapsed: int) -> None:
-        """Add the core time of the runs over the last `elapsed` microseconds, and work the factor out."""
+        """Add the core time of the runs in the last `elapsed` microseconds, and recompute the factor."""
         spent = self._runs.on_cores * elapsed
         self.core_time_spent = self.core_time_spent * SUM_FADE + spent
         self.work_completed *= SUM_FADE
--- a/finchcart/decisions/units.py
+++ b/finchcart/decisions/units.py
@@ -1,4 +1,4 @@
-"""Units of time of the decision module: every point in time and duration is in whole microseconds."""
+"""Units of time in the decision module, where points in time and durations are whole microseconds."""
 
 MS = 1_000
 SECOND = 1_000_000
