--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -14,8 +14,8 @@
 
 QUOTA_RESERVE = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
 # With a free core, an RPC is admitted if its expected service time is below this fraction of the time left.
-FREE_CORE_PART = 0.8
-IDLE_NODE_PART = 1.2  # the same fraction while less than half of the cores are in use
+FREE_CORE_FRACTION = 0.8
+IDLE_NODE_FRACTION = 1.2  # the same fraction while less than half of the cores are in use
 # Probability of running an RPC that is expected to be late: without these runs, the estimates of a slow node
 # would stay high after its recovery.
 EXPLORATION_PROBABILITY = 0.1
@@ -110,8 +110,8 @@
         cores = self._runs.cores
         if on_cores >= cores or self._queue.entries:
             return False
-        part = IDLE_NODE_PART if on_cores * 2 < cores else FREE_CORE_PART
-        fits = rpc.expected_service_time < part * (rpc.objective_at - now)
+        fraction = IDLE_NODE_FRACTION if on_cores * 2 < cores else FREE_CORE_FRACTION
+        fits = rpc.expected_service_time < fraction * (rpc.objective_at - now)
         return fits or not rpc.service_time_hint or self._random() < EXPLORATION_PROBABILITY
 
     def _misses_objective(self, starts_at: float, rpc: RpcHandle) -> bool:
--- a/finchcart/decisions/admission_control.py
+++ b/finchcart/decisions/admission_control.py
@@ -10,7 +10,7 @@
 from finchcart.decisions.pausing import Pausing
 
 BUSY_THRESHOLD = 0.9  # admission is cut above this utilization of the cores or of the host process
-SETPOINT_PART = 0.6  # setpoint of the control loop, as a fraction of the latency objective
+SETPOINT_FRACTION = 0.6  # setpoint of the control loop, as a fraction of the latency objective
 MIN_PROBABILITY = 0.05  # lower bound of an admission probability
 MAX_CUT = 0.95  # lower bound of the factor by which a cut multiplies a probability in one interval
 # Growth of a probability in one interval at the setpoint. The growth is divided by the relative latency, and
@@ -43,7 +43,7 @@
             priority = (-method.criticality, now + method.latency_objective)
             latency = ingress_delay + self._wait.expected_wait(priority)
             latency += method.estimates.service_time.mean * self._slowdown.factor
-            method.relative_latency = latency / (SETPOINT_PART * method.latency_objective)
+            method.relative_latency = latency / (SETPOINT_FRACTION * method.latency_objective)
 
     def _adjust_probabilities(self) -> None:
         """Adjust the probabilities by the relative latencies, the least critical methods first.
--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -11,12 +11,12 @@
 from finchcart.decisions.warm_up import WarmUp
 
 # Bounds of the runs in progress, including those that wait for calls.
-IN_PROGRESS_PART = 0.8  # fraction of the maximum concurrency
+IN_PROGRESS_FRACTION = 0.8  # fraction of the maximum concurrency
 MAX_RUNS_PER_CORE = 4
 
 # Bounds of the concurrency limit.
 LIMIT_PER_CORE = 2
-LIMIT_PART = 0.4  # fraction of the maximum concurrency
+LIMIT_FRACTION = 0.4  # fraction of the maximum concurrency
 LIMIT_GROWTH = 4  # per maintenance interval, the limit grows by the number of cores divided by this
 LIMIT_CUT = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
 
@@ -45,7 +45,7 @@
 
     def max_in_progress(self, now: int) -> float:
         """Return how many runs may be in progress, on cores or waiting for calls."""
-        return min(IN_PROGRESS_PART * self.maximum(now), MAX_RUNS_PER_CORE * self._cores)
+        return min(IN_PROGRESS_FRACTION * self.maximum(now), MAX_RUNS_PER_CORE * self._cores)
 
     def adjust(self, now: int) -> None:
         """Raise the limit while cores are free and RPCs are queued; cut it while demand exceeds the cores.
@@ -55,7 +55,7 @@
         """
         wanted = self._gauges.on_cores
         if self._queue.entries and wanted < self._cores and self._runs.on_cores >= self.limit - 1:
-            ceiling = min(LIMIT_PER_CORE * self._cores, LIMIT_PART * self.maximum(now))
+            ceiling = min(LIMIT_PER_CORE * self._cores, LIMIT_FRACTION * self.maximum(now))
             self.limit = min(self.limit + self._cores / LIMIT_GROWTH, ceiling)
         elif wanted > self._cores:
             self.limit = max(self._cores, self.limit * LIMIT_CUT)
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -40,6 +40,6 @@
         self._concurrency.adjust(now)
         self.feedback.publish(now)
         self._shutdown.end_grace(now)
-        delay_part = ingress_delay / self._shortest_objective
-        self.health.update(delay_part)
-        self.idle_timeout.update(delay_part)
+        delay_fraction = ingress_delay / self._shortest_objective
+        self.health.update(delay_fraction)
+        self.idle_timeout.update(delay_fraction)
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -17,7 +17,7 @@
 TERMINATION_MARGIN = 50 * MS  # during a shutdown, responses are due this long before the termination deadline
 MAX_LATENESS_MARGIN = SECOND  # upper bound of the margin that is added for late timers
 LATENESS_FADE = 63, 64  # numerator and denominator of the decay per maintenance interval; fades in seconds
-BEST_CASE_PART = 0.6  # fraction of its expected service time that a short run is assumed to take
+BEST_CASE_FRACTION = 0.6  # fraction of its expected service time that a short run is assumed to take
 
 
 class ResponseDeadlines:
@@ -49,7 +49,7 @@
 
     def misses_objective(self, now: float, rpc: RpcHandle) -> bool:
         """Return whether a run that begins at `now` would miss the objective even if the run is short."""
-        return now + rpc.expected_service_time * self._slowdown.factor * BEST_CASE_PART > rpc.objective_at
+        return now + rpc.expected_service_time * self._slowdown.factor * BEST_CASE_FRACTION > rpc.objective_at
 
     def _set_timer_lateness(self, lateness: int) -> None:
         self.timer_lateness = lateness
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -5,7 +5,7 @@
 follows from a failed call. See "Guards for the rules" in docs/design.md. Times are microseconds.
 """
 
-from finchcart.decisions.deadlines import BEST_CASE_PART, ResponseDeadlines
+from finchcart.decisions.deadlines import BEST_CASE_FRACTION, ResponseDeadlines
 from finchcart.decisions.gauges import LatestGauges
 from finchcart.decisions.histogram import Histogram
 from finchcart.decisions.node_settings import (
@@ -25,13 +25,13 @@
 
 # Token bucket of call time: one token is one microsecond of a call. The first value is a fraction of the
 # node's share of the dependency, the others are fractions of the share times its window.
-REFILL_PART = 0.8  # refill rate; below 1, so that the mean over the window stays below the share
-BUCKET_PART = 0.2  # size of the bucket
-AMPLE_TOKENS_PART = 0.1  # with more tokens than this, more calls may be in flight
+REFILL_FRACTION = 0.8  # refill rate; below 1, so that the mean over the window stays below the share
+BUCKET_FRACTION = 0.2  # size of the bucket
+AMPLE_TOKENS_FRACTION = 0.1  # with more tokens than this, more calls may be in flight
 
 # Limits of the calls in flight, as fractions of the node's share.
-AMPLE_CALLS_PART = 0.8
-CAUTIOUS_CALLS_PART = 0.5
+AMPLE_CALLS_FRACTION = 0.8
+CAUTIOUS_CALLS_FRACTION = 0.5
 SHORT_CALLS = 32  # calls count as short if this many mean calls fit in the shortest latency objective
 
 SHORTEST_CALL_BIN = 2 * MS
@@ -77,7 +77,7 @@
         self.abandoned: list[int] = []  # when the dependency presumably ends each abandoned call
         self.unreachable_at = LONG_AGO  # when a call last failed to reach the dependency
         self.call_time = Histogram(SHORTEST_CALL_BIN, PRIOR_CALL_TIME, HISTOGRAM_SAMPLES)
-        self.bucket = TokenBucket(BUCKET_PART * self._share * self._window)
+        self.bucket = TokenBucket(BUCKET_FRACTION * self._share * self._window)
 
     def start(self, now: int) -> None:
         """Refill the token bucket from `now` on."""
@@ -97,8 +97,8 @@
         # The dependency may be cold after an outage: the share ramps up from when it was last unreachable.
         progress = self._settings.warm_up_progress(now - self.unreachable_at)
         share = self._share * progress
-        size = BUCKET_PART * share * self._window
-        self.bucket.refill(now, REFILL_PART * share, size)
+        size = BUCKET_FRACTION * share * self._window
+        self.bucket.refill(now, REFILL_FRACTION * share, size)
         self._forget_abandoned(now)
         if not self.awaiting:
             return
@@ -140,10 +140,10 @@
 
     def _limit(self, share: float) -> int:
         """Return the limit of calls in flight, which is lower for a slow dependency or with few tokens."""
-        ample_tokens = AMPLE_TOKENS_PART * self._share * self._window
+        ample_tokens = AMPLE_TOKENS_FRACTION * self._share * self._window
         are_short = SHORT_CALLS * self.call_time.mean < self._shortest_objective
         is_ample = are_short and not self.abandoned and self.bucket.tokens > ample_tokens
-        return max(1, int((AMPLE_CALLS_PART if is_ample else CAUTIOUS_CALLS_PART) * share))
+        return max(1, int((AMPLE_CALLS_FRACTION if is_ample else CAUTIOUS_CALLS_FRACTION) * share))
 
     def _make_call(self, now: int, rpc: RpcHandle, limit: int) -> None:
         is_full = self.in_flight + len(self.abandoned) >= limit
@@ -160,7 +160,7 @@
 
     def _lacks_time(self, now: int, rpc: RpcHandle) -> bool:
         """Return whether the call and the rest of the run no longer fit in the time until the objective."""
-        rest = BEST_CASE_PART * rpc.expected_service_time * self._slowdown.factor
+        rest = BEST_CASE_FRACTION * rpc.expected_service_time * self._slowdown.factor
         return rpc.objective_at - now < DEGRADE_MARGIN * self.call_time.mean + rest
 
     def _timeout(self, now: int, rpc: RpcHandle, limit: int) -> int:
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -4,7 +4,7 @@
 "Missing signals, and what stands in" in docs/design.md. Times are microseconds.
 """
 
-from finchcart.decisions.admission_control import SETPOINT_PART
+from finchcart.decisions.admission_control import SETPOINT_FRACTION
 from finchcart.decisions.node_settings import Feedback, NodeSettings
 from finchcart.decisions.node_state import NodeState
 from finchcart.decisions.port import Port
@@ -71,7 +71,7 @@
         callers = self._callers.count_seen_within(now, self._lifetime)
         service_times = (method.estimates.service_time.mean for method in self._methods.all)
         service_time = max(service_times, default=SECOND) * self._slowdown.factor
-        turns = max(1.0, SETPOINT_PART * self._methods.shortest_objective / service_time)
+        turns = max(1.0, SETPOINT_FRACTION * self._methods.shortest_objective / service_time)
         credit = CREDIT_FACTOR * (self._concurrency.limit * turns) / max(1, callers)
         lowest, highest = CREDIT_DEAD_BAND
         if not lowest < credit / max(MIN_COMPARED_CREDIT, self.published) < highest:
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -12,7 +12,7 @@
 
 # Thresholds of the ingress queueing delay, as fractions of the shortest latency objective.
 UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)
-READS_PART = 0.5  # above this fraction of the cores, reads take core time that runs need
+READS_FRACTION = 0.5  # above this fraction of the cores, reads take core time that runs need
 
 
 class Health:
@@ -27,24 +27,26 @@
         self._shutdown = state.shutdown
         self.is_healthy = True
 
-    def update(self, delay_part: float) -> None:
+    def update(self, delay_fraction: float) -> None:
         """Report a change of the health.
 
-        `delay_part` is the ingress queueing delay as a fraction of the shortest latency objective. The node
-        is unhealthy while the fleet ejects it, or while reads take its cores and RPCs wait too long to be
-        read. It stays healthy if the ratio of retries shows that the whole fleet is full, as otherwise all
-        nodes would become unhealthy at once.
+        `delay_fraction` is the ingress queueing delay as a fraction of the shortest latency objective. The
+        node is unhealthy while the fleet ejects it, or while reads take its cores and RPCs wait too long to
+        be read. It stays healthy if the ratio of retries shows that the whole fleet is full, as otherwise
+        all nodes would become unhealthy at once.
         """
         reads = self._gauges.on_cores - self._runs.on_cores
-        is_busy_reading = reads > self._runs.cores * READS_PART or self._gauges.input_busy > BUSY_THRESHOLD
+        is_busy_reading = (
+            reads > self._runs.cores * READS_FRACTION or self._gauges.input_busy > BUSY_THRESHOLD
+        )
         is_alone = is_busy_reading and self._arrivals.retry_ratio < FULL_FLEET_RETRY_RATIO
-        is_delayed = UNHEALTHY_DELAY.is_exceeded(delay_part, not self.is_healthy)
+        is_delayed = UNHEALTHY_DELAY.is_exceeded(delay_fraction, not self.is_healthy)
         is_unhealthy = self._gauges.ejected or (is_alone and is_delayed)
         if self._shutdown.termination_deadline is not None or self.is_healthy != is_unhealthy:
             return
         self.is_healthy = not self.is_healthy
         self._port.set_health(self.is_healthy, True)
-        reason = f"{delay_part:.2f} of the objective lost unread"
+        reason = f"{delay_fraction:.2f} of the objective lost unread"
         if self._gauges.ejected:
             reason = "ejected by the fleet"
         self._port.log(f"{'healthy' if self.is_healthy else 'unhealthy'}: {reason}")
--- a/finchcart/decisions/histogram.py
+++ b/finchcart/decisions/histogram.py
@@ -38,14 +38,14 @@
             self._fade()
         self.mean = BIN_MIDDLE * self.low * self.weighted_sum / self.count
 
-    def quantile(self, part: float) -> float:
-        """Return the upper end of the bin that contains the quantile `part` (0 to 1) of the samples."""
-        left = part * self.count
+    def quantile(self, fraction: float) -> float:
+        """Return the upper end of the bin that contains the quantile `fraction` (0 to 1) of the samples."""
+        remaining = fraction * self.count
         position = 0
         for count in self.bins:
-            left -= count
+            remaining -= count
             position += 1
-            if left <= 0:
+            if remaining <= 0:
                 break
         return self.low * 2 ** (position / BINS_PER_OCTAVE)
 
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -39,27 +39,27 @@
         """Set the initial idle timeout."""
         self._port.set_idle_timeout(MIN_IDLE_TIMEOUT)
 
-    def update(self, delay_part: float) -> None:
-        """Set the timeout if it changes; `delay_part` is described at `Health.update`.
+    def update(self, delay_fraction: float) -> None:
+        """Set the timeout if it changes; `delay_fraction` is described at `Health.update`.
 
         Idle connections are kept if callers reuse them soon; otherwise keeping them costs more than opening
         new ones. They are also kept if RPCs wait too long to be read, or if admission is cut and no shed
         level is published: a full connection table is the cheapest way to reject new callers.
         """
-        keep = self._should_keep(delay_part)
+        keep = self._should_keep(delay_fraction)
         if self._shutdown.is_past_grace or keep == self.keeps_connections:
             return
         self.keeps_connections = keep
         timeout = MAX_IDLE_TIMEOUT if keep else MIN_IDLE_TIMEOUT
         self._port.set_idle_timeout(min(self._highest, timeout))
-        reason = f"{self._callers.ratio:.2f} returning, {delay_part:.2f} lost unread"
+        reason = f"{self._callers.ratio:.2f} returning, {delay_fraction:.2f} lost unread"
         self._port.log(f"idle timeout {timeout // MS} ms: {reason}")
 
-    def _should_keep(self, delay_part: float) -> bool:
+    def _should_keep(self, delay_fraction: float) -> bool:
         are_kept = self.keeps_connections
         if KEPT_REUSE.is_exceeded(self._callers.ratio, are_kept):
             return True
-        if KEPT_DELAY.is_exceeded(delay_part, are_kept):
+        if KEPT_DELAY.is_exceeded(delay_fraction, are_kept):
             return True
         if self._publishes_level:
             return False
--- a/finchcart/decisions/rejection.py
+++ b/finchcart/decisions/rejection.py
@@ -10,7 +10,7 @@
 from finchcart.decisions.units import MS
 
 # If this fraction of an RPC's expected service time exceeds the time left, no node can serve the RPC in time.
-INFEASIBLE_PART = 0.4
+INFEASIBLE_FRACTION = 0.4
 FULL_FLEET_RETRY_RATIO = 0.1  # a higher ratio of retries shows that the whole fleet is full
 FULL_FLEET_PROBABILITY = 0.6  # without marked retries, a lower admission probability shows the same
 MIN_ADVISED_WAIT = 50 * MS  # no advice is given for a shorter wait
@@ -33,7 +33,7 @@
         This is true only for an RPC that no node can serve, as otherwise a full fleet would read the same
         RPCs again and again.
         """
-        if rpc.expected_service_time * INFEASIBLE_PART > rpc.objective_at - now:
+        if rpc.expected_service_time * INFEASIBLE_FRACTION > rpc.objective_at - now:
             return True
         return self._shutdown.termination_deadline is None and self._is_fleet_full(rpc)
 
