--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -16,8 +16,8 @@
 from finchcart.decisions.run_starter import RunStarter
 
 # A retry does not carry its age, so its objective is shortened by this factor times the retry ratio.
-RETRY_TIME_LOST = 4
-MAX_RETRY_TIME_LOST = 0.5  # fraction of the objective
+RETRY_OBJECTIVE_REDUCTION = 4
+MAX_RETRY_OBJECTIVE_REDUCTION = 0.5  # fraction of the objective
 
 
 class Admission:
@@ -71,7 +71,9 @@
         method = rpc.method
         objective: float = method.latency_objective
         if rpc.is_retry:
-            objective *= 1 - min(MAX_RETRY_TIME_LOST, RETRY_TIME_LOST * self._arrivals.retry_ratio)
+            objective *= 1 - min(
+                MAX_RETRY_OBJECTIVE_REDUCTION, RETRY_OBJECTIVE_REDUCTION * self._arrivals.retry_ratio
+            )
         rpc.objective_at = min(rpc.due_at, rpc.reached_at + int(objective))
         rpc.expected_service_time = method.estimates.expected(rpc.service_time_hint)
         # Criticality is not divided by the expected work: of two methods of equal criticality, the one with
--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -12,7 +12,7 @@
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
 
-QUOTA_RESERVE = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
+QUOTA_RESERVE_DIVISOR = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
 # With a free core, an RPC is admitted if its expected service time is below this fraction of the time left.
 FREE_CORE_FRACTION = 0.8
 IDLE_NODE_FRACTION = 1.2  # the same fraction while less than half of the cores are in use
@@ -49,7 +49,7 @@
         if quota is None:
             return False
         ranks_above = self._rank_count - 1 - rpc.method.criticality_rank
-        return quota.available <= int(quota.capacity / QUOTA_RESERVE * ranks_above)
+        return quota.available <= int(quota.capacity / QUOTA_RESERVE_DIVISOR * ranks_above)
 
     def rejection_reason(self, now: int, rpc: RpcHandle, expected_wait: float) -> RejectionReason | None:
         """Return the reason to reject an RPC that would wait `expected_wait` for a core, or None."""
--- a/finchcart/decisions/admission_control.py
+++ b/finchcart/decisions/admission_control.py
@@ -12,7 +12,7 @@
 BUSY_THRESHOLD = 0.9  # admission is cut above this utilization of the cores or of the host process
 SETPOINT_FRACTION = 0.6  # setpoint of the control loop, as a fraction of the latency objective
 MIN_PROBABILITY = 0.05  # lower bound of an admission probability
-MAX_CUT = 0.95  # lower bound of the factor by which a cut multiplies a probability in one interval
+MIN_CUT_FACTOR = 0.95  # lower bound of the factor by which a cut multiplies a probability in one interval
 # Growth of a probability in one interval at the setpoint. The growth is divided by the relative latency, and
 # so is faster at lower latencies.
 PROBABILITY_GROWTH = 0.015
@@ -58,7 +58,7 @@
             relative_latency = max(method.relative_latency, of_more_critical)
             probability = method.admission_probability
             if is_busy and relative_latency > 1 and self._may_cut(method):
-                cut = max(MAX_CUT, 1 / relative_latency)
+                cut = max(MIN_CUT_FACTOR, 1 / relative_latency)
                 method.admission_probability = max(MIN_PROBABILITY, probability * cut)
             else:
                 growth = PROBABILITY_GROWTH / max(MIN_GROWTH_BASE, relative_latency)
--- a/finchcart/decisions/arrival_statistics.py
+++ b/finchcart/decisions/arrival_statistics.py
@@ -6,7 +6,7 @@
 # Numbers of arrivals over which the moving averages are taken.
 INGRESS_DELAY_SAMPLES = 8
 RETRY_SAMPLES = 32
-INGRESS_DELAY_FADE = 0.98  # factor per maintenance interval: the delay decays even if no RPC arrives
+INGRESS_DELAY_DECAY = 0.98  # factor per maintenance interval: the delay decays even if no RPC arrives
 
 
 class ArrivalStatistics:
@@ -22,6 +22,6 @@
         self.ingress_queueing_delay += (ingress_delay - self.ingress_queueing_delay) / INGRESS_DELAY_SAMPLES
         self.retry_ratio += (is_retry - self.retry_ratio) / RETRY_SAMPLES
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Decay the delay by one maintenance interval."""
-        self.ingress_queueing_delay *= INGRESS_DELAY_FADE
+        self.ingress_queueing_delay *= INGRESS_DELAY_DECAY
--- a/finchcart/decisions/caller_reuse.py
+++ b/finchcart/decisions/caller_reuse.py
@@ -8,7 +8,7 @@
 from finchcart.decisions.warm_up import WarmUp
 
 REUSE_WINDOW = 8 * SECOND  # longest idle timeout: a caller seen within it can reuse its connection
-SAMPLES = 16  # arrivals over which the ratio is averaged
+REUSE_SAMPLES = 16  # arrivals over which the ratio is averaged
 MAX_CALLERS_REMEMBERED = 999  # with more callers, those not seen within the window are forgotten
 
 Caller = str | int | None
@@ -32,7 +32,7 @@
         self.last_seen[caller] = now
         if seen_at is not None or now - self._warm_up.began_at > REUSE_WINDOW:
             is_reuse = seen_at is not None and now - seen_at < REUSE_WINDOW
-            self.ratio += (is_reuse - self.ratio) / SAMPLES
+            self.ratio += (is_reuse - self.ratio) / REUSE_SAMPLES
 
     def forget_unseen(self, now: int) -> None:
         """Forget callers that were not seen within the window if too many callers are recorded."""
--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -17,8 +17,8 @@
 # Bounds of the concurrency limit.
 LIMIT_PER_CORE = 2
 LIMIT_FRACTION = 0.4  # fraction of the maximum concurrency
-LIMIT_GROWTH = 4  # per maintenance interval, the limit grows by the number of cores divided by this
-LIMIT_CUT = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
+LIMIT_GROWTH_DIVISOR = 4  # per maintenance interval, the limit grows by the number of cores divided by this
+LIMIT_CUT_FACTOR = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
 
 
 class ConcurrencyLimit:
@@ -56,6 +56,6 @@
         wanted = self._gauges.on_cores
         if self._queue.entries and wanted < self._cores and self._runs.on_cores >= self.limit - 1:
             ceiling = min(LIMIT_PER_CORE * self._cores, LIMIT_FRACTION * self.maximum(now))
-            self.limit = min(self.limit + self._cores / LIMIT_GROWTH, ceiling)
+            self.limit = min(self.limit + self._cores / LIMIT_GROWTH_DIVISOR, ceiling)
         elif wanted > self._cores:
-            self.limit = max(self._cores, self.limit * LIMIT_CUT)
+            self.limit = max(self._cores, self.limit * LIMIT_CUT_FACTOR)
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -86,7 +86,7 @@
         state.runs.clear_pausing()
         self._expiry.expire_overdue(now)
         state.slowdown.update(elapsed)
-        state.arrivals.fade()
+        state.arrivals.decay()
         self.control_loop.turn(now)
         state.calls.make_calls(now)
         self._starter.start_queued(now)
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -16,7 +16,7 @@
 RESPONSE_MARGIN = 20 * MS  # fixed share of the margin, added to two ticks and a maintenance interval
 TERMINATION_MARGIN = 50 * MS  # during a shutdown, responses are due this long before the termination deadline
 MAX_LATENESS_MARGIN = SECOND  # upper bound of the margin that is added for late timers
-LATENESS_FADE = 63, 64  # numerator and denominator of the decay per maintenance interval; fades in seconds
+LATENESS_DECAY = 63, 64  # numerator and denominator of the decay factor per maintenance interval
 BEST_CASE_FRACTION = 0.6  # fraction of its expected service time that a short run is assumed to take
 
 
@@ -36,7 +36,7 @@
     def record_timer(self, elapsed: int) -> None:
         """Record a timer event that came `elapsed` microseconds after the previous one."""
         lateness = elapsed - MAINTENANCE_INTERVAL - self._two_ticks
-        numerator, denominator = LATENESS_FADE
+        numerator, denominator = LATENESS_DECAY
         self._set_timer_lateness(max(lateness, self.timer_lateness * numerator // denominator, 0))
 
     def must_respond(self, now: int, rpc: RpcHandle) -> bool:
--- a/finchcart/decisions/histogram.py
+++ b/finchcart/decisions/histogram.py
@@ -35,7 +35,7 @@
         self.count += 1
         self.weighted_sum += self.WEIGHTS[position]
         if self.count >= self.max_count:
-            self._fade()
+            self._halve_counts()
         self.mean = BIN_MIDDLE * self.low * self.weighted_sum / self.count
 
     def quantile(self, fraction: float) -> float:
@@ -49,7 +49,7 @@
                 break
         return self.low * 2 ** (position / BINS_PER_OCTAVE)
 
-    def _fade(self) -> None:
+    def _halve_counts(self) -> None:
         self.bins = [count / 2 for count in self.bins]
         self.count = sum(self.bins)
         self.weighted_sum = sum(count * weight for count, weight in zip(self.bins, self.WEIGHTS, strict=True))
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -10,9 +10,9 @@
 from finchcart.decisions.port import Port
 from finchcart.decisions.rpc import RUNNING, RpcHandle
 
-YIELDS_BELOW = 0.5  # a run yields to an RPC if its criticality is below this fraction of the RPC's
+YIELD_CRITICALITY_RATIO = 0.5  # a run yields to an RPC if its criticality is below this fraction of the RPC's
 # The remaining service time of a paused run is at least its expected service time divided by this.
-MIN_REMAINING_FRACTION = 4
+MIN_REMAINING_DIVISOR = 4
 
 
 class Pausing:
@@ -29,7 +29,7 @@
 
     def yields(self, method: Method, criticality: float) -> bool:
         """Return whether runs of the method may be paused for an RPC of this criticality."""
-        return self.is_enabled and method.criticality < YIELDS_BELOW * criticality
+        return self.is_enabled and method.criticality < YIELD_CRITICALITY_RATIO * criticality
 
     def work_not_yielding(self, criticality: float) -> float:
         """Return the expected service time of the runs on cores that do not yield to this criticality."""
@@ -60,7 +60,7 @@
     def requeue(self, rpc: RpcHandle, spent: int) -> None:
         """Queue a run that was paused after `spent` microseconds; the run keeps its memory and its work."""
         expected = rpc.expected_service_time
-        remaining = max(expected / MIN_REMAINING_FRACTION, expected - spent / self._slowdown.factor)
+        remaining = max(expected / MIN_REMAINING_DIVISOR, expected - spent / self._slowdown.factor)
         self._slowdown.record_work(expected - remaining)
         self._runs.pause(rpc, spent, remaining)
         self._queue.push(rpc)
--- a/finchcart/decisions/slowdown.py
+++ b/finchcart/decisions/slowdown.py
@@ -9,7 +9,7 @@
 from finchcart.decisions.method import Method
 from finchcart.decisions.runs import RunCounts
 
-SUM_FADE = 0.975  # decay factor per maintenance interval: the sums cover the last one to two seconds
+SUM_DECAY = 0.975  # decay factor per maintenance interval: the sums cover the last one to two seconds
 MIN_SLOWDOWN = 0.3
 MAX_SLOWDOWN = 16.0
 
@@ -37,8 +37,8 @@
     def update(self, elapsed: int) -> None:
         """Add the core time of the runs in the last `elapsed` microseconds, and recompute the factor."""
         spent = self._runs.on_cores * elapsed
-        self.core_time_spent = self.core_time_spent * SUM_FADE + spent
-        self.work_completed *= SUM_FADE
+        self.core_time_spent = self.core_time_spent * SUM_DECAY + spent
+        self.work_completed *= SUM_DECAY
         service_times = sum(method.estimates.service_time.mean for method in self._methods)
         usual = self._runs.cores * service_times / max(1, len(self._methods))  # keeps an idle node near 1
         factor = (self.core_time_spent + usual) / (self.work_completed + usual)
