--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -58,14 +58,14 @@
             return reason
         shed_rank = None
         if self._gauges.min_shed_level:
-            shed_rank = self._relative_rank(rpc)
+            shed_rank = self._rank_within_criticality(rpc)
             level = self._gauges.min_shed_level * self._rank_count
             if shed_rank < level - rpc.method.criticality_rank:
                 return RejectionReason.FLEET_SHED_LEVEL
         if self._has_free_core(now, rpc):
             return None
         if shed_rank is None:
-            shed_rank = self._relative_rank(rpc)
+            shed_rank = self._rank_within_criticality(rpc)
         if shed_rank < 1 - rpc.method.admission_probability:
             return RejectionReason.LOAD_SHED
         if self._misses_objective(now + expected_wait, rpc):
@@ -80,11 +80,11 @@
             return RejectionReason.MEMORY_EXHAUSTED
         if self._deadlines.must_respond(now, rpc):
             return RejectionReason.DEADLINE_TOO_NEAR
-        if self._gauges.dependency_down and self._lacks_dependency(rpc.method):
+        if self._gauges.dependency_down and self._exceeds_probe_capacity(rpc.method):
             return RejectionReason.DEPENDENCY_DOWN
         return None
 
-    def _lacks_dependency(self, method: Method) -> bool:
+    def _exceeds_probe_capacity(self, method: Method) -> bool:
         """Return whether a new RPC of the method would exceed the number of allowed probe calls.
 
         Such an RPC would start to run and then fail, as no call could be made for it.
@@ -94,7 +94,7 @@
             return False
         return capacity <= sum(other.method.needs_call for other in self._table.active.values()) - 1
 
-    def _relative_rank(self, rpc: RpcHandle) -> float:
+    def _rank_within_criticality(self, rpc: RpcHandle) -> float:
         """Return the shed rank of an RPC among RPCs of the same criticality, from 0 to 1.
 
         The rank that an RPC carries depends on its user and is the same on all nodes; without one, the rank
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -31,7 +31,7 @@
         self.health = Health(port, state)
         self.idle_timeout = IdleTimeout(port, settings, state)
 
-    def turn(self, now: int) -> None:
+    def run_once(self, now: int) -> None:
         """Run one iteration of the loop."""
         # The input age counts twice: an RPC's arrival and the end of its run both wait in the host's inputs.
         input_age = self._gauges.input_age
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -87,7 +87,7 @@
         self._expiry.expire_overdue(now)
         state.slowdown.update(elapsed)
         state.arrivals.decay()
-        self.control_loop.turn(now)
+        self.control_loop.run_once(now)
         state.calls.make_calls(now)
         self._starter.start_queued(now)
         self._port.set_timer(MAINTENANCE_INTERVAL)
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -38,7 +38,7 @@
 PRIOR_CALL_TIME = 30 * MS
 DEGRADE_MARGIN = 1.5  # a call is skipped if less time is left than this factor times the mean call takes
 USUAL_CALL_QUANTILE = 0.95  # with time left or not, no call times out before this quantile of call times
-LONG_AGO = -(10**15)
+BEFORE_ANY_CALL = -(10**15)
 
 
 class DependencyCalls:
@@ -75,7 +75,7 @@
         self.awaiting: list[RpcHandle] = []
         self.in_flight = 0
         self.abandoned: list[int] = []  # when the dependency presumably ends each abandoned call
-        self.unreachable_at = LONG_AGO  # when a call last failed to reach the dependency
+        self.unreachable_at = BEFORE_ANY_CALL  # when a call last failed to reach the dependency
         self.call_time = Histogram(SHORTEST_CALL_BIN, PRIOR_CALL_TIME, HISTOGRAM_SAMPLES)
         self.bucket = TokenBucket(BUCKET_FRACTION * self._share * self._window)
 
@@ -114,9 +114,9 @@
         for rpc in awaiting:
             self._make_call(now, rpc, limit)
 
-    def record_success(self, spent: int) -> None:
-        """Add the duration of a successful call, `spent` microseconds, to the histogram."""
-        self.call_time.add(max(1, spent))
+    def record_success(self, duration: int) -> None:
+        """Add the duration of a successful call to the histogram of call times."""
+        self.call_time.add(max(1, duration))
 
     def end(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
         """Count the end of a call; the dependency is assumed to work on an abandoned call for a while."""
--- a/finchcart/decisions/expiry.py
+++ b/finchcart/decisions/expiry.py
@@ -31,10 +31,10 @@
                     self._completion.drop_queued(now, rpc, RejectionReason.DEADLINE_TOO_NEAR)
                 elif self._deadlines.misses_objective(now, rpc):
                     self._completion.drop_queued(now, rpc, RejectionReason.MISSES_OBJECTIVE)
-            elif must_end or (now > rpc.objective_at and _is_worthless(rpc)):
+            elif must_end or (now > rpc.objective_at and _may_fail_when_late(rpc)):
                 self._completion.fail(now, rpc)
 
 
-def _is_worthless(rpc: RpcHandle) -> bool:
+def _may_fail_when_late(rpc: RpcHandle) -> bool:
     """Return whether the result of a run has no value after the objective, so that the RPC may be failed."""
     return rpc.method.worthless_when_late and (rpc.state is RUNNING or rpc.state is AWAITING_CALL)
--- a/finchcart/decisions/hysteresis.py
+++ b/finchcart/decisions/hysteresis.py
@@ -14,10 +14,10 @@
         self.enter = enter
         self.exit = exit
 
-    def is_exceeded(self, value: float, is_active: bool) -> bool:
+    def is_above(self, value: float, is_active: bool) -> bool:
         """Return whether `value` is above `exit` if the state is active, or above `enter` if it is not."""
         return value > (self.exit if is_active else self.enter)
 
-    def is_undercut(self, value: float, is_active: bool) -> bool:
+    def is_below(self, value: float, is_active: bool) -> bool:
         """Return whether `value` is below `exit` if the state is active, or below `enter` if it is not."""
         return value < (self.exit if is_active else self.enter)
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -57,11 +57,11 @@
 
     def _should_keep(self, delay_fraction: float) -> bool:
         are_kept = self.keeps_connections
-        if KEPT_REUSE.is_exceeded(self._callers.ratio, are_kept):
+        if KEPT_REUSE.is_above(self._callers.ratio, are_kept):
             return True
-        if KEPT_DELAY.is_exceeded(delay_fraction, are_kept):
+        if KEPT_DELAY.is_above(delay_fraction, are_kept):
             return True
         if self._publishes_level:
             return False
         least = min((method.admission_probability for method in self._methods.all), default=1)
-        return KEPT_PROBABILITY.is_undercut(least, are_kept)
+        return KEPT_PROBABILITY.is_below(least, are_kept)
--- a/finchcart/decisions/pausing.py
+++ b/finchcart/decisions/pausing.py
@@ -57,10 +57,10 @@
         self._port.stop(least.index)
         return True
 
-    def requeue(self, rpc: RpcHandle, spent: int) -> None:
-        """Queue a run that was paused after `spent` microseconds; the run keeps its memory and its work."""
+    def requeue(self, rpc: RpcHandle, duration: int) -> None:
+        """Queue a run that was paused after `duration` microseconds; it keeps its memory and its work."""
         expected = rpc.expected_service_time
-        remaining = max(expected / MIN_REMAINING_DIVISOR, expected - spent / self._slowdown.factor)
+        remaining = max(expected / MIN_REMAINING_DIVISOR, expected - duration / self._slowdown.factor)
         self._slowdown.record_work(expected - remaining)
-        self._runs.pause(rpc, spent, remaining)
+        self._runs.pause(rpc, duration, remaining)
         self._queue.push(rpc)
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -34,7 +34,7 @@
     The methods of `RpcHandle` with the same names describe each event.
     """
 
-    def run_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
+    def run_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, duration: int) -> None:
         """Handle the end of a run, or of a duplicate's wait for a result."""
 
     def caller_gone(self, now: int, rpc: "RpcHandle") -> None:
@@ -43,7 +43,7 @@
     def awaiting_call(self, now: int, rpc: "RpcHandle") -> None:
         """Handle a run that needs its call to the dependency."""
 
-    def call_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, spent: int) -> None:
+    def call_ended(self, now: int, rpc: "RpcHandle", outcome: Outcome, duration: int) -> None:
         """Handle the end of a call."""
 
 
@@ -60,6 +60,7 @@
         "caller_is_gone",
         "due_at",
         "duplicate_of",
+        "duration_before_pause",
         "expected_service_time",
         "extra_run_kb",
         "failed",
@@ -77,7 +78,6 @@
         "response_sent",
         "service_time_hint",
         "shed_rank",
-        "spent_before_pause",
         "started_at",
         "state",
         "time_at_calls",
@@ -117,7 +117,7 @@
         self.failed = False  # rpc_events.py
         self.failed_calls = 0  # rpc_events.py
         self.started_at = 0  # runs.py
-        self.spent_before_pause = 0  # runs.py
+        self.duration_before_pause = 0  # runs.py
         self.time_at_calls = 0  # runs.py
         self.key_expires_at = 0  # 0 while no idempotency key is stored for the RPC: idempotency_keys.py
 
@@ -126,13 +126,13 @@
         """Whether the caller still waits for a response."""
         return not (self.response_sent or self.caller_is_gone)
 
-    def run_ended(self, now: int, outcome: Outcome, spent: int) -> None:
+    def run_ended(self, now: int, outcome: Outcome, duration: int) -> None:
         """Report that a run ended, or that a duplicate's wait for a result ended.
 
-        With the outcomes OK and ERROR, the host has sent the response. `spent` is the time in microseconds
+        With the outcomes OK and ERROR, the host has sent the response. `duration` is the time in microseconds
         since the run started or was last resumed.
         """
-        self._events.run_ended(now, self, outcome, spent)
+        self._events.run_ended(now, self, outcome, duration)
 
     def caller_gone(self, now: int) -> None:
         """Report that the caller no longer waits for a response."""
@@ -142,9 +142,9 @@
         """Report that the run cannot continue without its call to the dependency."""
         self._events.awaiting_call(now, self)
 
-    def call_ended(self, now: int, outcome: Outcome, spent: int) -> None:
-        """Report that the call ended after `spent` microseconds.
+    def call_ended(self, now: int, outcome: Outcome, duration: int) -> None:
+        """Report that the call ended after `duration` microseconds.
 
         With the outcome OK, the run continues without a further command from the decision module.
         """
-        self._events.call_ended(now, self, outcome, spent)
+        self._events.call_ended(now, self, outcome, duration)
--- a/finchcart/decisions/rpc_events.py
+++ b/finchcart/decisions/rpc_events.py
@@ -35,18 +35,18 @@
         self._completion = completion
         self._starter = starter
 
-    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def run_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, duration: int) -> None:
         """Requeue a run that was paused, or else complete the RPC; then start queued RPCs."""
         if rpc.state is COMPLETED:
             return
         was_stopped = outcome is Outcome.STOPPED
         lacks_response = rpc.response_pending and (was_stopped or outcome is Outcome.NOT_STARTED)
         if lacks_response and was_stopped and rpc.state is RUNNING and self._pausing.is_enabled:
-            self._pausing.requeue(rpc, spent)
+            self._pausing.requeue(rpc, duration)
             self._starter.start_queued(now)
             return
         if rpc.state is not SHARING:
-            self._record_run(rpc, outcome, spent)
+            self._record_run(rpc, outcome, duration)
         if lacks_response:
             self._port.fail(rpc.index)  # not a rejection, as the run may have had an effect
         self._completion.complete(now, rpc)
@@ -74,27 +74,27 @@
             self._calls.make_calls(now)
         self._starter.start_queued(now)
 
-    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def call_ended(self, now: int, rpc: RpcHandle, outcome: Outcome, duration: int) -> None:
         """Resume the run after a successful call; otherwise retry or skip the call, or fail the RPC."""
         if rpc.state is not CALLING:
             return
         self._calls.end(now, rpc, outcome)
         if outcome is Outcome.OK:
-            self._calls.record_success(spent)
+            self._calls.record_success(duration)
             self._runs.resume(now, rpc)
         elif rpc.response_pending:
             self._call_failed(now, rpc, outcome)
         self._calls.make_calls(now)
         self._starter.start_queued(now)
 
-    def _record_run(self, rpc: RpcHandle, outcome: Outcome, spent: int) -> None:
+    def _record_run(self, rpc: RpcHandle, outcome: Outcome, duration: int) -> None:
         rpc.failed = outcome is not Outcome.OK
         # Of a run that did not start, nothing is learned, and its key is evicted on completion.
         rpc.has_run = outcome is not Outcome.NOT_STARTED
         if rpc.has_run:
             self._slowdown.record_work(rpc.expected_service_time)
         if not rpc.failed:
-            run_duration = spent + rpc.spent_before_pause
+            run_duration = duration + rpc.duration_before_pause
             service_time = max(1, run_duration - rpc.time_at_calls)
             rpc.method.estimates.learn(rpc.service_time_hint, service_time, max(1, run_duration))
 
--- a/finchcart/decisions/runs.py
+++ b/finchcart/decisions/runs.py
@@ -32,12 +32,12 @@
         self._count_on_cores(rpc, 1)
         self.in_progress += 1
 
-    def pause(self, rpc: RpcHandle, spent: int, remaining_service_time: float) -> None:
-        """Record that a run yielded its core after `spent` microseconds; the run keeps its memory."""
+    def pause(self, rpc: RpcHandle, duration: int, remaining_service_time: float) -> None:
+        """Record that a run yielded its core after `duration` microseconds; the run keeps its memory."""
         self._count_on_cores(rpc, -1)
         self.in_progress -= 1
         rpc.state = PAUSED
-        rpc.spent_before_pause += spent
+        rpc.duration_before_pause += duration
         rpc.expected_service_time = remaining_service_time
 
     def suspend(self, now: int, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/slowdown.py
+++ b/finchcart/decisions/slowdown.py
@@ -36,8 +36,8 @@
 
     def update(self, elapsed: int) -> None:
         """Add the core time of the runs in the last `elapsed` microseconds, and recompute the factor."""
-        spent = self._runs.on_cores * elapsed
-        self.core_time_spent = self.core_time_spent * SUM_DECAY + spent
+        core_time = self._runs.on_cores * elapsed
+        self.core_time_spent = self.core_time_spent * SUM_DECAY + core_time
         self.work_completed *= SUM_DECAY
         service_times = sum(method.estimates.service_time.mean for method in self._methods)
         usual = self._runs.cores * service_times / max(1, len(self._methods))  # keeps an idle node near 1
--- a/tests/test_decision_parts.py
+++ b/tests/test_decision_parts.py
@@ -107,10 +107,10 @@
 
 def test_a_hysteresis_is_left_only_beyond_its_exit():
     rising, falling = Hysteresis(enter=0.5, exit=0.1), Hysteresis(enter=0.6, exit=0.9)
-    assert [rising.is_exceeded(0.3, is_active) for is_active in (False, True)] == [False, True]
-    assert [rising.is_exceeded(0.05, is_active) for is_active in (False, True)] == [False, False]
-    assert [falling.is_undercut(0.7, is_active) for is_active in (False, True)] == [False, True]
-    assert [falling.is_undercut(0.95, is_active) for is_active in (False, True)] == [False, False]
+    assert [rising.is_above(0.3, is_active) for is_active in (False, True)] == [False, True]
+    assert [rising.is_above(0.05, is_active) for is_active in (False, True)] == [False, False]
+    assert [falling.is_below(0.7, is_active) for is_active in (False, True)] == [False, True]
+    assert [falling.is_below(0.95, is_active) for is_active in (False, True)] == [False, False]
 
 
 def test_a_token_bucket_refills_up_to_its_size_and_may_be_overdrawn():
