--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -45,7 +45,10 @@
         self.termination_deadline = min(
             termination_deadline, self.termination_deadline or termination_deadline
         )
-        self._port.log(f"drain: {self._load_summary()}, kill in {self.termination_deadline - now} us")
+        self._port.log(
+            f"drain: notice received, {self._load_summary()}, "
+            f"termination deadline in {self.termination_deadline - now} us"
+        )
 
     def end_grace(self, now: int) -> None:
         """End the grace period if its time is over; from then on, idle connections are closed."""
@@ -53,7 +56,7 @@
             return
         self.is_past_grace = True
         self._port.set_idle_timeout(DRAINING_IDLE_TIMEOUT)
-        self._port.log(f"drain: grace over, {self._load_summary()}")
+        self._port.log(f"drain: grace period ended, {self._load_summary()}")
 
     def arrived_after_grace(self, rpc: RpcHandle) -> bool:
         """Return whether an RPC reached the machine after the grace period."""
@@ -68,4 +71,4 @@
         return now > began + RUN_FACTOR_AFTER_GRACE * usual
 
     def _load_summary(self) -> str:
-        return f"{self._runs.in_progress} running {len(self._queue.entries)} queued"
+        return f"{self._runs.in_progress} runs in progress, {len(self._queue.entries)} RPCs queued"
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -46,7 +46,7 @@
             return
         self.is_healthy = not self.is_healthy
         self._port.set_health(self.is_healthy, True)
-        reason = f"{delay_fraction:.2f} of the objective lost unread"
+        reason = f"ingress queueing delay is {delay_fraction:.2f} of the shortest latency objective"
         if self._gauges.ejected:
-            reason = "ejected by the fleet"
-        self._port.log(f"{'healthy' if self.is_healthy else 'unhealthy'}: {reason}")
+            reason = "ejected by the fleet's consensus"
+        self._port.log(f"health set to {'healthy' if self.is_healthy else 'unhealthy'}: {reason}")
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -52,8 +52,8 @@
         self.keeps_connections = keep
         timeout = MAX_IDLE_TIMEOUT if keep else MIN_IDLE_TIMEOUT
         self._port.set_idle_timeout(min(self._highest, timeout))
-        reason = f"{self._callers.ratio:.2f} returning, {delay_fraction:.2f} lost unread"
-        self._port.log(f"idle timeout {timeout // MS} ms: {reason}")
+        reason = f"caller reuse ratio {self._callers.ratio:.2f}, ingress queueing delay {delay_fraction:.2f}"
+        self._port.log(f"idle timeout set to {timeout // MS} ms: {reason} of the shortest latency objective")
 
     def _should_keep(self, delay_fraction: float) -> bool:
         are_kept = self.keeps_connections
--- a/tests/test_node_races.py
+++ b/tests/test_node_races.py
@@ -75,7 +75,7 @@
     testbed.pool.gate.set()
     assert read_answers(client, 1) == {seq: ("ok", b"SEAT")}
     assert read_answers(half, 1)[1][0] in ("ok", "pushed back")
-    log = testbed.read_log_until("grace over")
+    log = testbed.read_log_until("grace period ended")
     late = testbed.client()
     seq = late.submit("book", b"past the grace", KEYS[2])
     assert read_answers(late, 1) == {seq: ("pushed back", b"")}
