--- a/tests/decision_invariants.py
+++ b/tests/decision_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants that the parts of the decision module state, as checks of a simulated node."""
+"""Checks of a simulated node for the invariants that the modules of finchcart/decisions state."""
 
 from math import isclose
 
@@ -21,7 +21,7 @@
     table = node.control.state.table
     assert not any(rpc.state is COMPLETED for rpc in table.active.values())
     assert all(rpc.state is COMPLETED for rpc in table.completed.values())
-    assert all(rpc.key_expires_at for rpc in table.completed.values()), "completed without a stored key"
+    assert all(rpc.key_expires_at for rpc in table.completed.values()), "a completed RPC has no stored key"
     assert all(index == rpc.index for index, rpc in (table.active | table.completed).items())
     assert not table.active.keys() & table.completed.keys()
 
@@ -31,7 +31,7 @@
     entries = state.queue.entries
     assert entries == sorted(entries, key=lambda entry: entry[:2])
     assert {rpc for _, _, rpc in entries} == set(active_in(state, QUEUED, PAUSED))
-    assert len(entries) == len(active_in(state, QUEUED, PAUSED)), "queued twice"
+    assert len(entries) == len(active_in(state, QUEUED, PAUSED)), "an RPC is queued twice"
 
 
 def check_runs(node):
@@ -68,7 +68,7 @@
     calls = state.calls
     assert calls.in_flight == len(active_in(state, CALLING))
     assert all(rpc.state is AWAITING_CALL for rpc in calls.awaiting)
-    assert len(calls.awaiting) == len(set(calls.awaiting)), "awaits two calls"
+    assert len(calls.awaiting) == len(set(calls.awaiting)), "an RPC awaits two calls"
     assert calls.abandoned == sorted(calls.abandoned)
 
 
@@ -133,6 +133,6 @@
 
 
 def check_invariants(node):
-    """All of them, at this moment."""
+    """Check all invariants now."""
     for check in CHECKS:
         check(node)
--- a/tests/decision_runs.py
+++ b/tests/decision_runs.py
@@ -1,6 +1,7 @@
-"""A plain deployment for tests of the decision module, and what happens to a node by chance.
+"""Base settings for tests of the decision module, and random events of a simulated node.
 
-Everything is drawn from the given random numbers, so that a run with a seed can be played again.
+All events depend only on the random number generator that is passed in, so that a run can be reproduced from
+its seed.
 """
 
 from finchcart.decisions.gauges import Gauges
@@ -53,7 +54,7 @@
 
 
 def one_step(node, rng, load):
-    """Whatever may happen at one moment, by chance."""
+    """Apply random events that may occur at the same time."""
     arrivals(node, rng, load)
     run_ends(node, rng)
     call_ends(node, rng)
@@ -90,7 +91,7 @@
         rpc = node.rpcs[index]
         chance = rng.random()
         if rpc.state is not RpcState.RUNNING:
-            continue  # completed or paused meanwhile, by what an earlier one set off
+            continue  # completed or paused by an event earlier in this loop
         if rpc.stop_requested and chance < 0.9:
             node.take_stop(index)
         elif chance < 0.03 and not rpc.response_pending:
@@ -121,7 +122,7 @@
 
 
 def draw_pausing_settings(rng):
-    """Settings of a made-up deployment in which the least critical runs yield to others."""
+    """Return the settings of a random deployment in which the least critical runs yield to others."""
     settings = draw_settings(rng)
     while not may_yield(settings):
         settings = {**draw_settings(rng), "memory_kb": 200_000, "cores": 2, "overload_factor": 8}
@@ -139,7 +140,7 @@
 
 
 def note_rejections(node):
-    """The (retry_after, do_not_retry) of all that the node rejects from now on, as they come."""
+    """Return a list that grows by (retry_after, do_not_retry) with each rejection from now on."""
     rejections = []
 
     def reject(index, reason, retry_after, do_not_retry):
@@ -153,7 +154,7 @@
 
 
 def ring_timers(node, input_busy, input_age, times=20):
-    """Timers of a node that is busy itself for this part of the time, its oldest unread input so old."""
+    """Fire timers that report these values as the gauges `input_busy` and `input_age` of the host."""
     gauges = Gauges(core_use=0.2, on_cores=0, input_busy=input_busy, input_age=input_age)
     for _ in range(times):
         node.now += 40 * MS
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,8 @@
-"""A simulated host of the decision module, which checks the four rules as it goes."""
+"""Simulated host of the decision module, which checks the four rules of a node while it runs.
+
+The rules: a node does not lose an RPC, does not let an operation take effect twice, is not overloaded (called
+"fall-over" in messages), and completes its work before it is terminated ("drain").
+"""
 
 from dataclasses import dataclass
 
@@ -16,7 +20,7 @@
 
 
 def draw_settings(rng):
-    """Settings of a made-up deployment."""
+    """Return the settings of a random deployment."""
     memory_kb = rng.choice((4_000, 20_000, 200_000))
     makes_calls = rng.random() < 0.6
     settings = {
@@ -51,7 +55,7 @@
 
 def draw_dependency(rng):
     if rng.random() < 0.3:
-        return {"dependency": "tier", "calls_limit": 0.0}  # as is written where no share is told
+        return {"dependency": "tier", "calls_limit": 0.0}  # 0 is configured where no share is known
     return {
         "calls_limit": rng.choice((0.3, 2.0, 7.0)),
         "calls_window": 5000 * MS,
@@ -73,12 +77,12 @@
 
 @dataclass(eq=False)
 class HostedRpc:
-    """What the simulated node knows of one RPC, apart from the decision module. Times are microseconds."""
+    """One RPC as the simulated node sees it, apart from the decision module. Times are microseconds."""
 
     method: int
     kind: str
-    window: int  # of its idempotency key
-    first: int  # index of the first RPC of its key
+    window: int  # window of its idempotency key
+    first: int  # index of the first RPC with its key
     is_duplicate: bool
     reached_at: int
     due_at: int
@@ -91,39 +95,39 @@
     since: int = 0  # when its run or call began
     calls: int = 0
     call_timeout: int = 0
-    call_never_ran: bool = False  # its last call has proved that
-    stalled_until: int = 0  # delays of a process that stands still aren't its fault
+    call_never_ran: bool = False  # the outcome of its last call proves that the call never ran
+    stalled_until: int = 0  # end of the last stall of the process; until then a late response is no violation
     handle: RpcHandle | None = None
     rejection_reason: RejectionReason | None = None
 
     @property
     def response_pending(self) -> bool:
-        """Whether its caller still waits for an answer."""
+        """Whether its caller still waits for a response."""
         return not (self.answered or self.caller_is_gone)
 
 
 class Node:
-    """A node's cores, memory, keys and dependency, as far as the rules need them; the `Port` of its control.
+    """Simulated node: its cores, memory, keys and dependency, and the `Port` of its controller.
 
-    Checks the rules as the decision module acts; `check` holds the others.
+    Most rules are checked in the methods of the port; `check` checks the others.
     """
 
     def __init__(self, settings, seed=1, now=10_000_000):
         self.settings = settings
         self.started_at = self.now = now
         self.rpcs = {}  # by index
-        self.open = {}  # those that are not completed
+        self.open = {}  # the RPCs that are not completed, by index
         self.released = set()
         self.count = 0
-        self.keys = {}  # first index of a key -> (time until which it is stored, index)
+        self.keys = {}  # index of the first RPC with a key -> (time until which the key is stored, index)
         self.timers = []
         self.lines = []
-        self.fleet_gauges = {}  # decisions of the fleet
-        self.waiting_reads = 0  # reads that want a core besides the runs
+        self.fleet_gauges = {}  # gauges that the fleet's consensus decides
+        self.waiting_reads = 0  # reads that need a core in addition to the runs
         self.pauses = 0  # runs that were told to pause
         self.resumed = 0
-        self.mean_on_cores = 0.0  # over the window of the overload
-        self.mean_calls = 0.0  # over the window of the dependency's limit
+        self.mean_on_cores = 0.0  # mean over the setting `overload_window`
+        self.mean_calls = 0.0  # mean over the setting `calls_window`
         self.drained_at = None
         self.kill_at = None
         self.control = NodeController(self, typed(settings), seed)
@@ -137,19 +141,19 @@
         return self.settings[f"methods.{rpc.method}.criticality"]
 
     def in_state(self, *states):
-        """Indices of the open RPCs in these states, in the order of their arrival."""
+        """Return the indices of the open RPCs in these states, in the order of their arrival."""
         return [index for index, rpc in self.open.items() if rpc.state in states]
 
-    # ---- The port
+    # ---- Methods of the port
 
     def run(self, index):
         rpc = self.rpc(index)
         is_paused = rpc.state is RpcState.PAUSED
-        assert is_paused or rpc.state is RpcState.QUEUED and not rpc.has_run, "run twice"
+        assert is_paused or rpc.state is RpcState.QUEUED and not rpc.has_run, "an RPC was run twice"
         self.resumed += is_paused
         if self.drained_at is not None:
             grace_end = self.drained_at + self.settings["drain_grace"]
-            assert rpc.reached_at <= grace_end, "drain: ran what came past the grace"
+            assert rpc.reached_at <= grace_end, "drain: ran an RPC that arrived after the grace period"
         if rpc.kind == "keyed":
             self.check_runs_once(rpc)
         rpc.state = RpcState.RUNNING
@@ -161,9 +165,9 @@
         for other in self.rpcs.values():
             same_key = other.first == rpc.first and other is not rpc
             within = other.reached_at + rpc.window > rpc.reached_at
-            assert not (same_key and other.has_run and within), "effect twice"
+            assert not (same_key and other.has_run and within), "an operation took effect twice"
         stored_until, _ = self.keys.get(rpc.first, (0, 0))
-        assert stored_until >= rpc.reached_at + rpc.window, "not stored long enough"
+        assert stored_until >= rpc.reached_at + rpc.window, "a key is not stored until the end of its window"
 
     def stop(self, index):
         rpc = self.rpc(index)
@@ -173,23 +177,23 @@
             queued = (other for other in self.open.values() if other.state is RpcState.QUEUED)
             most_critical = max(map(self.criticality, queued), default=0)
             yields = self.criticality(rpc) < most_critical / 2
-            assert self.settings.get("can_pause"), "paused where nothing can be"
-            assert yields, "paused for what is worth no more"
+            assert self.settings.get("can_pause"), "paused a run although runs cannot be paused"
+            assert yields, "paused a run although no RPC that is more than twice as critical is queued"
             self.pauses += 1
         else:
-            assert rpc.kind == "idempotent", "what may have an effect was ended half done"
+            assert rpc.kind == "idempotent", "stopped a run that is not idempotent"
         rpc.stop_requested = True
 
     def answer(self, rpc):
-        assert not rpc.answered, "two answers"
+        assert not rpc.answered, "an RPC got two responses"
         rpc.answered = True
 
     def reject(self, index, reason, retry_after, do_not_retry):
         rpc = self.rpc(index)
         assert isinstance(reason, RejectionReason)
         rpc.rejection_reason = reason
-        assert not rpc.has_run, "rejected after it ran"
-        assert rpc.state is RpcState.QUEUED, "rejected what was not queued"
+        assert not rpc.has_run, "rejected an RPC that has run"
+        assert rpc.state is RpcState.QUEUED, "rejected an RPC that was not queued"
         assert 0 <= retry_after <= self.settings["retry_after_max"]
         self.answer(rpc)
         rpc.state = RpcState.COMPLETED
@@ -206,7 +210,9 @@
         assert timeout > 0
         assert rpc.response_pending
         if rpc.calls:
-            assert rpc.kind == "idempotent" or rpc.call_never_ran, "call repeated without proof"
+            assert rpc.kind == "idempotent" or rpc.call_never_ran, (
+                "retried a call that may have had an effect"
+            )
         rpc.state = RpcState.CALLING
         rpc.calls += 1
         rpc.since = self.now
@@ -232,12 +238,12 @@
 
     def evict_key(self, index):
         rpc = self.rpc(index)
-        assert not rpc.has_run, "evicted the key of what ran"
+        assert not rpc.has_run, "evicted the key of an RPC that has run"
         self.keys.pop(rpc.first, None)
 
     def set_health(self, healthy, cached):
-        assert cached, "a health check does work"
-        assert not (healthy and self.drained_at is not None), "healthy while draining"
+        assert cached, "health checks are not answered from the cache"
+        assert not (healthy and self.drained_at is not None), "reported healthy while draining"
         self.healthy = healthy
 
     def set_shed_level(self, level):
@@ -262,10 +268,10 @@
     def release(self, index):
         self.released.add(index)
 
-    # ---- What happens to it
+    # ---- Events
 
     def arrive(self, method=0, first=None, waited=0, time_left=None, memory_kb=20.0, **more):
-        """An RPC is read; `first`: the index of the first RPC of its key. Returns its index."""
+        """Have an RPC arrive, and return its index; `first` is the index of the first RPC with its key."""
         index = self.count
         self.count += 1
         deadline = self.settings[f"methods.{method}.deadline"]
@@ -296,7 +302,7 @@
         return index
 
     def find_first(self, first, reached_at):
-        """By the stored keys: the index of the first RPC; -1 where it is released, None without a key."""
+        """Return the index of the first RPC by its stored key; -1 if it was released, None without a key."""
         stored_until, stored_index = self.keys.get(first, (0, None))
         if stored_until > reached_at:
             return -1 if stored_index in self.released else stored_index
@@ -306,7 +312,7 @@
         return None
 
     def await_call(self, index):
-        """A run needs its call to the dependency."""
+        """Have a run need its call to the dependency."""
         rpc = self.rpcs[index]
         rpc.state = RpcState.AWAITING_CALL
         rpc.calls = 0
@@ -314,14 +320,14 @@
         rpc.handle.awaiting_call(self.now)
 
     def return_call(self, index, outcome, spent):
-        """The call of a run ends."""
+        """End the call of a run."""
         rpc = self.rpcs[index]
         rpc.state = RpcState.RUNNING if outcome is Outcome.OK else RpcState.AWAITING_CALL
         rpc.call_never_ran = outcome.never_ran
         rpc.handle.call_ended(self.now, outcome, spent)
 
     def end(self, index, outcome=Outcome.OK):
-        """A run, or the wait of a duplicate, ends."""
+        """End a run, or a duplicate's wait for a result."""
         rpc = self.rpcs[index]
         state = rpc.state
         rpc.state = RpcState.COMPLETED
@@ -329,10 +335,10 @@
             rpc.answered = True
         rpc.handle.run_ended(self.now, outcome, self.now - rpc.since)
         assert state in (*IN_PROGRESS, RpcState.SHARING)
-        assert not rpc.response_pending, "lost: ended without an answer"
+        assert not rpc.response_pending, "lost: an RPC ended without a response"
 
     def take_stop(self, index):
-        """A stop takes effect: a run that owes its answer is paused where the deployment pauses."""
+        """Pause a stopped run if pausing is enabled and its response is pending, or else end the run."""
         rpc = self.rpcs[index]
         if not (self.settings.get("can_pause") and rpc.response_pending):
             self.end(index, Outcome.STOPPED)
@@ -340,16 +346,16 @@
         rpc.state = RpcState.PAUSED
         rpc.stop_requested = False
         rpc.handle.run_ended(self.now, Outcome.STOPPED, self.now - rpc.since)
-        assert (index in self.control.state.table.active) != rpc.answered, "neither active nor answered"
+        assert (index in self.control.state.table.active) != rpc.answered, "active and answered, or neither"
 
     def end_older(self, age, skip=0):
-        """End the runs that are older than `age`, but for the first `skip`."""
+        """End the runs that began at least `age` ago, except for the first `skip` runs."""
         for index in self.in_state(RpcState.RUNNING)[skip:]:
             if self.now - self.rpcs[index].since >= age:
                 self.end(index)
 
     def step(self, elapsed, stalled=False):
-        """Time passes; timers that are due ring, unless the process stands still."""
+        """Advance the time and fire the timers that are due, unless the process is stalled."""
         on_cores = len(self.in_state(RpcState.RUNNING))
         calling = len(self.in_state(RpcState.CALLING))
         self.now += elapsed
@@ -369,10 +375,10 @@
             self.control.on_timer(self.now, gauges)
         self.keys = {first: stored for first, stored in self.keys.items() if stored[0] > self.now}
 
-    # ---- The rules that are not checked as the module acts
+    # ---- Rules that are not checked in the methods of the port
 
     def check(self):
-        """All of them, at this moment."""
+        """Check these rules now."""
         completed = RpcState.COMPLETED
         self.open = {index: rpc for index, rpc in self.open.items() if rpc.state is not completed}
         for index, rpc in self.open.items():
@@ -383,7 +389,7 @@
         self.check_overload()
         if self.kill_at is not None and self.now >= self.kill_at:
             pending = [rpc for rpc in self.open.values() if rpc.response_pending]
-            assert not pending, "drain: unanswered at the kill"
+            assert not pending, "drain: a response is pending at the termination deadline"
 
     def check_memory(self):
         entry_kb = self.settings["key_entry_kb"]
@@ -395,16 +401,16 @@
         known = [*self.control.state.table.active.values(), *self.control.state.table.completed.values()]
         counted_keys = sum(bool(rpc.key_expires_at) for rpc in known)
         counted_kb = self.control.state.memory.used_kb - entry_kb * counted_keys
-        assert abs(counted_kb - rpcs_kb) < 0.1, "memory is counted wrongly"
+        assert abs(counted_kb - rpcs_kb) < 0.1, "the memory in use is counted incorrectly"
 
     def check_counts(self):
         state = self.control.state
-        assert state.runs.in_progress == len(self.in_state(*IN_PROGRESS)), "runs are counted wrongly"
+        assert state.runs.in_progress == len(self.in_state(*IN_PROGRESS)), "runs are counted incorrectly"
         running = (rpc for rpc in self.open.values() if rpc.state is RpcState.RUNNING)
         work_on_cores = sum(rpc.handle.expected_service_time for rpc in running)
-        assert abs(state.runs.expected_work - work_on_cores) <= 1, "the work on cores is counted wrongly"
-        assert len(state.table.active) <= len(self.open), "what is completed is still looked at"
-        assert state.runs.pausing <= {rpc.handle for rpc in self.open.values()}, "pausing what is completed"
+        assert abs(state.runs.expected_work - work_on_cores) <= 1, "the expected work is counted incorrectly"
+        assert len(state.table.active) <= len(self.open), "a completed RPC is still in the active table"
+        assert state.runs.pausing <= {rpc.handle for rpc in self.open.values()}, "a completed RPC is pausing"
 
     def check_overload(self):
         progress = 1.0
@@ -418,5 +424,8 @@
 
 
 def same_input(found, expected):
-    """Whether these are of one type and equal; tuples of two types may be equal too."""
+    """Return whether two inputs have the same type and are equal.
+
+    Named tuples of different types are equal if their fields are, so that `==` alone is not enough.
+    """
     return type(found) is type(expected) and found == expected
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What is admitted, cut or rejected, and what a rejection advises."""
+"""Admission of RPCs, admission probabilities, and the advice in rejections."""
 
 from pathlib import Path
 
@@ -12,10 +12,10 @@
 from tests.harness import MS, Node
 
 
-def test_a_duplicate_shares_and_never_runs():
+def test_a_duplicate_shares_the_result_and_never_runs():
     node = Node(PLAIN)
     first = node.arrive(1)
-    duplicate = node.arrive(1, first)  # in the same batch
+    duplicate = node.arrive(1, first)  # arrives before any other event
     assert (node.rpcs[first].state, node.rpcs[duplicate].state) == (RpcState.RUNNING, RpcState.SHARING)
     node.step(50 * MS)
     node.end(first, Outcome.ERROR)
@@ -24,8 +24,8 @@
     assert not node.rpcs[third].has_run
 
 
-def test_one_long_run_does_not_make_a_node_slow():
-    """Run times vary, and a single long one is no sign."""
+def test_one_long_run_does_not_raise_the_slowdown_factor():
+    """Service times vary, so that a single long run does not show that the machine is slow."""
     node = Node(PLAIN)
     node.arrive(0)
     for step in range(60):
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize("pauses", [False, True])
-def test_what_waits_unread_cuts_the_less_critical_first(pauses):
-    """What others yield to is not rejected beside cores that run the least critical."""
+def test_ingress_delay_cuts_the_less_critical_method_first(pauses):
+    """With pausing, the more critical method is not cut, as the runs of the other yield their cores to it."""
     node = Node({**PLAIN, "can_stop": pauses, "can_pause": pauses})
     for _ in range(300):
         node.step(10 * MS)
@@ -51,12 +51,12 @@
     assert (high == 1) is pauses
 
 
-def test_a_node_slower_than_its_worker_pool_cuts_intake_by_the_same_loop_and_recovers():
+def test_a_busy_host_process_cuts_admission_until_it_recovers():
     node = Node(dict(PLAIN))
     ring_timers(node, 0.95, 5 * MS)
-    assert shares_of(node) == [1.0, 1.0]  # busy, but nothing waits
+    assert shares_of(node) == [1.0, 1.0]  # busy, but its inputs do not wait
     ring_timers(node, 0.4, 400 * MS)
-    assert shares_of(node) == [1.0, 1.0]  # one stall of a node with time to spare
+    assert shares_of(node) == [1.0, 1.0]  # a stall of a process that is not busy
     ring_timers(node, 0.97, 400 * MS)
     assert min(shares_of(node)) < 0.7
     assert max(shares_of(node)) <= 1.0
@@ -64,8 +64,8 @@
     assert shares_of(node) == [1.0, 1.0]
 
 
-def test_nothing_is_cut_while_a_core_is_free_and_nothing_waits():
-    """A node of two cores would otherwise reject RPCs beside an idle core."""
+def test_no_load_is_shed_while_a_core_is_free_and_the_queue_is_empty():
+    """Otherwise a node with two cores would reject RPCs while one core is idle."""
     node = Node(PLAIN)
     for method in node.control.state.methods.all:
         method.admission_probability = 0.0
@@ -73,8 +73,8 @@
     assert states == [RpcState.RUNNING, RpcState.RUNNING, RpcState.COMPLETED]
 
 
-def test_a_retry_has_less_time_left():
-    """Its latency objective passes while other nodes reject it."""
+def test_a_retry_has_a_shorter_objective():
+    """Part of its latency objective has passed while other nodes rejected the RPC."""
     node = Node(PLAIN)
     node.control.state.arrivals.retry_ratio = 0.5
     first, retry = node.arrive(0), node.arrive(0, is_retry=True)
@@ -88,10 +88,11 @@
     "marks_retries, is_retry, do_not_retry",
     [(True, False, False), (True, True, True), (False, False, True)],
 )
-def test_a_full_fleet_shows_by_retries_or_a_deep_cut_where_these_carry_no_mark(
-    marks_retries, is_retry, do_not_retry
-):
-    """Otherwise a full fleet would read the same RPCs on one node after another."""
+def test_rejections_ask_not_to_retry_if_the_fleet_is_full(marks_retries, is_retry, do_not_retry):
+    """Otherwise, in a full fleet, one node after another would read the same RPCs.
+
+    Many retries show that the fleet is full; a low admission probability does if retries are not marked.
+    """
     node = Node({**PLAIN, "marks_retries": marks_retries})
     rejections = note_rejections(node)
     for _ in range(200):
@@ -102,8 +103,8 @@
     assert rejections[-1][1] is do_not_retry
 
 
-def test_advice_goes_only_to_callers_that_soon_come_again():
-    """Advice that reaches no caller in time would only delay the client's next try."""
+def test_retry_advice_is_given_only_to_callers_that_return_soon():
+    """Advice to other callers would only delay the client's next attempt."""
     for callers, advised in ((3, True), (5000, False)):
         node = Node(PLAIN)
         rejections = note_rejections(node)
@@ -114,7 +115,7 @@
         assert any(retry_after for retry_after, _ in rejections[-50:]) is advised
 
 
-def test_a_pause_that_a_stall_swallowed_counts_as_a_run_again():
+def test_a_run_that_missed_its_pause_in_a_stall_counts_as_running_again():
     node = Node({**PLAIN, "can_stop": True, "can_pause": True})
     for method in (0, 0, 0, 1):
         node.arrive(method)
@@ -125,7 +126,7 @@
 
 
 def test_a_node_counts_its_rejections_by_reason():
-    """The same words stand in the code, in the statistics line and in docs/oncall.md."""
+    """The names of the reasons are the same in the code, in the statistics line and in docs/oncall.md."""
     harness = CoreHarness({**PLAIN, "gauges": ("core_use", "on_cores")})
     harness.write_block_probability = 0
     connection = harness.dispatchers.open()
--- a/tests/test_decision_docs.py
+++ b/tests/test_decision_docs.py
@@ -1,4 +1,4 @@
-"""What the pages and the package's top say of the decision module is there."""
+"""Consistency of the decision module with its documentation, docstrings and ownership comments."""
 
 import re
 import tomllib
@@ -16,18 +16,18 @@
 
 
 def names_in_design():
-    """(module, name) for each function that the design's table gives to a module."""
+    """Yield (module, name) for each function or class that the design's table assigns to a module."""
     for module, names in TABLE_ROW.findall(DESIGN):
         for name in re.findall(r"`([\w.]+)`", names):
             yield module, name.rpartition(".")[2]
 
 
 @pytest.mark.parametrize("module, name", sorted(set(names_in_design())))
-def test_what_the_design_names_is_in_its_module(module, name):
+def test_functions_named_in_the_design_exist_in_their_modules(module, name):
     assert re.search(rf"\b(def|class) {name}\b", (PACKAGE / module).read_text(encoding="utf-8"))
 
 
-def test_the_design_names_constants_that_are_there():
+def test_constants_named_in_the_design_exist():
     table = DESIGN.partition("## Where each part")[2].partition("\n## ")[0]
     source = "\n".join((PACKAGE / name).read_text(encoding="utf-8") for name in MODULES)
     constants = set(re.findall(r"`([A-Z][A-Z_]+)`", table))
@@ -36,21 +36,21 @@
 
 
 @pytest.mark.parametrize("name", MODULES)
-def test_a_section_that_a_module_names_stands_in_the_design(name):
+def test_sections_named_in_module_docstrings_exist_in_the_design(name):
     docstring = (PACKAGE / name).read_text(encoding="utf-8").split('"""')[1]
     for section in re.findall(r'"([A-Z][^"]+)"', docstring):
         assert f"\n## {' '.join(section.split())}\n" in DESIGN
 
 
-def test_the_order_for_a_reader_has_every_module():
+def test_the_reading_order_lists_every_module():
     order = decisions.__doc__.partition("Reading order:")[2].partition("What an input leads to")[0]
     named = re.findall(r"\w+\.py", order)
-    assert sorted(named) == sorted(set(named)), "named twice"
+    assert sorted(named) == sorted(set(named)), "a module is listed twice"
     assert set(MODULES) - set(named) == {"__init__.py", "units.py"}
 
 
 def stated_owners():
-    """Field of an RPC -> the modules that its line in rpc.py names."""
+    """Return, by field of an RPC, the modules that the comment behind the field in rpc.py names."""
     lines = (PACKAGE / "rpc.py").read_text(encoding="utf-8").split("\n")
     owners = {}
     for line in lines:
@@ -61,14 +61,14 @@
 
 
 def writing_modules(field):
-    """The modules that assign this field of an RPC, but for rpc.py."""
+    """Return the modules that assign this field of an RPC, except rpc.py."""
     assignment = re.compile(rf"\brpc\.{field} (?:\+|-)?= ")
     sources = {name: (PACKAGE / name).read_text(encoding="utf-8") for name in MODULES if name != "rpc.py"}
     return {name for name, source in sources.items() if assignment.search(source)}
 
 
 @pytest.mark.parametrize("field", sorted(set(RpcHandle.__slots__) - {"_events"}))
-def test_a_field_of_an_rpc_is_written_by_the_modules_that_it_names(field):
+def test_the_comment_of_each_rpc_field_names_the_modules_that_write_it(field):
     assert writing_modules(field) == stated_owners().get(field, set())
 
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("name", MODULES)
-def test_no_module_assigns_a_field_of_a_part_that_it_does_not_own(name):
+def test_no_module_assigns_fields_of_other_components(name):
     source = (PACKAGE / name).read_text(encoding="utf-8")
     assert re.findall(r"\b(?:self\._?|state\.)\w+\.\w+ (?:[-+*]|)= ", source) == []
     of_methods = set(re.findall(r"\bmethod\.(\w+) (?:[-+*]|)= ", source))
--- a/tests/test_decision_parts.py
+++ b/tests/test_decision_parts.py
@@ -1,4 +1,4 @@
-"""Each part of the decision module by itself, and its invariant in seeded random runs."""
+"""Components of the decision module in isolation, and their invariants in seeded random runs."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def busy_node(seed, steps, pauses=False):
-    """A node of made-up settings after some steps; yields it after each one, drained towards the end."""
+    """Yield a node with random settings after each of `steps` random steps; the last quarter is a drain."""
     rng = random.Random(seed)
     node = Node(draw_pausing_settings(rng) if pauses else draw_settings(rng), seed)
     for step in range(steps):
@@ -30,13 +30,13 @@
         yield node
 
 
-@pytest.mark.parametrize("seed", [*range(12), 41, 44, 47])  # from 41 on runs are paused and go on
-def test_the_invariant_of_each_part_holds_in_random_runs(seed):
+@pytest.mark.parametrize("seed", [*range(12), 41, 44, 47])  # from 41 on, runs are paused and resumed
+def test_the_invariant_of_each_component_holds_in_random_runs(seed):
     seen = 0
     for node in busy_node(seed, 300, pauses=seed >= 40):
         check_invariants(node)
         seen += bool(node.control.state.table.active)
-    assert seen > 100, "hardly an RPC was there to be counted"
+    assert seen > 100, "too few steps had active RPCs to check"
 
 
 def add_to(part, field):
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_the_check_of_an_invariant_sees_a_planted_fault(name):
+def test_each_invariant_check_detects_a_planted_defect(name):
     node = Node({**PLAIN, "cores": 1})
     for _ in range(6):
         node.arrive(1)
@@ -101,11 +101,11 @@
         check(node)
 
 
-def test_a_fault_is_planted_for_each_check():
+def test_a_defect_is_planted_for_each_check():
     assert set(PLANTED) == {check.__name__ for check in CHECKS}
 
 
-def test_a_hysteresis_is_left_only_beyond_its_exit():
+def test_a_hysteresis_ends_only_beyond_its_exit_threshold():
     rising, falling = Hysteresis(enter=0.5, exit=0.1), Hysteresis(enter=0.6, exit=0.9)
     assert [rising.is_above(0.3, is_active) for is_active in (False, True)] == [False, True]
     assert [rising.is_above(0.05, is_active) for is_active in (False, True)] == [False, False]
@@ -126,7 +126,7 @@
     assert bucket.tokens == 100
 
 
-def test_memory_limits_are_higher_the_later_the_use():
+def test_memory_limits_rise_from_starts_to_admissions_to_duplicates():
     memory = MemoryAccount(1_000)
     memory.reserve(870)
     assert not memory.can_start(0)
@@ -141,14 +141,14 @@
     assert memory.used_kb == 0
 
 
-def test_service_times_are_learned_by_hint_as_far_as_hints_are_borne_out():
+def test_unreliable_hints_hardly_change_the_expected_service_time():
     estimates = ServiceTimeEstimates(960 * MS, 1.0)
     for _ in range(400):
         estimates.learn(10 * MS, 20 * MS, 30 * MS)
         estimates.learn(1_000 * MS, 21 * MS, 31 * MS)
     unhinted = estimates.expected(0)
     assert 15 * MS < unhinted < 30 * MS
-    assert 15 * MS < estimates.expected(1_000 * MS) < 40 * MS  # such hints tell next to nothing
+    assert 15 * MS < estimates.expected(1_000 * MS) < 40 * MS  # a hint 100 times larger has little effect
     assert estimates.service_time.count == pytest.approx(estimates.run_duration.count)
 
 
@@ -162,7 +162,7 @@
         (RejectionReason.DEPENDENCY_DOWN, {"dependency_down": True, "call_capacity": 0}, {}),
     ],
 )
-def test_a_rejection_has_its_reason(reason, gauges, rpc):
+def test_each_rejection_states_its_reason(reason, gauges, rpc):
     node = Node({**PLAIN, "degraded_value": (0.0, 0.0)})
     rejections = note_rejections(node)
     node.arrive(0)
@@ -174,7 +174,7 @@
     assert node.rpcs[index].rejection_reason is reason
 
 
-def test_after_the_grace_rpcs_are_rejected_as_the_node_shuts_down():
+def test_rpcs_after_the_grace_period_are_rejected_as_shutting_down():
     node = Node({**PLAIN, "drain_grace": 0})
     node.drained_at = node.now
     node.control.drain(node.now, node.now + 2_000 * MS)
@@ -183,7 +183,7 @@
     assert node.rpcs[index].rejection_reason is RejectionReason.SHUTTING_DOWN
 
 
-def test_what_is_cut_is_rejected_as_shed_load_and_what_runs_has_no_reason():
+def test_rpcs_beyond_the_admission_probability_are_rejected_as_load_shed():
     node = Node(PLAIN)
     first, second = node.arrive(0), node.arrive(0)
     for method in node.control.state.methods.all:
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -1,4 +1,7 @@
-"""The four rules of a node in seeded random runs, checked after every step."""
+"""Seeded random runs of a simulated node, with its four rules checked after every step.
+
+tests/harness.py describes the rules.
+"""
 
 import random
 
@@ -9,7 +12,7 @@
 from tests.harness import MS, Node, draw_settings
 
 
-@pytest.mark.parametrize("seed", [*range(40), 41, 44, 47, 50, 51])  # from 41 on runs are paused and go on
+@pytest.mark.parametrize("seed", [*range(40), 41, 44, 47, 50, 51])  # from 41 on, runs are paused and resumed
 def test_rules_hold_in_random_runs(seed):
     rng = random.Random(seed)
     pauses = seed >= 40
@@ -32,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "extreme",
     [
         {"cores": 1},
         {"calls_limit": 0.3},
@@ -46,8 +49,8 @@
         {"methods.0.criticality": 0},
     ],
 )
-def test_small_and_odd_settings_keep_the_rules(odd):
-    node = Node({**PLAIN, **odd})
+def test_rules_hold_with_extreme_settings(extreme):
+    node = Node({**PLAIN, **extreme})
     rng = random.Random(5)
     for _ in range(400):
         node.step(10 * MS)
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -6,7 +6,7 @@
 from tests.harness import MS, Node
 
 
-def test_a_failed_call_is_repeated_only_after_proof():
+def test_a_failed_call_is_retried_only_if_it_provably_never_ran():
     node = Node(PLAIN)
     for outcome, state in (
         (Outcome.UNREACHABLE, RpcState.CALLING),
@@ -18,8 +18,8 @@
         assert node.rpcs[index].state is state
 
 
-def test_calls_to_a_tier_are_not_limited_by_a_share_that_is_not_told():
-    """Where a tier is called, a share of nought is written: with it no call would be made."""
+def test_calls_to_a_tier_are_not_limited_by_a_share():
+    """For a tier, `calls_limit` is configured as 0, which would prevent every call if it were applied."""
     node = Node({**PLAIN, "dependency": "tier", "calls_limit": 0.0})
     index = node.arrive(1)
     node.await_call(index)
@@ -27,7 +27,7 @@
 
 
 def test_a_slow_dependency_leaves_time_for_a_degraded_answer():
-    """Runs must not spend all their time at calls: after a time-out the call is left out, in time."""
+    """A call must not use up all the time until the objective: after its timeout, the run is degraded."""
     node = Node(PLAIN)
     index = node.arrive(0)
     rpc = node.rpcs[index]
--- a/tests/test_feedback.py
+++ b/tests/test_feedback.py
@@ -1,14 +1,15 @@
-"""What a node publishes: credit, health, and the idle timeout of its connections."""
+"""Values that a node publishes: credit, health, and the idle timeout of its connections."""
 
 from finchcart.decisions.rpc import RpcState
 from tests.decision_runs import PLAIN, ring_timers, shares_of
 from tests.harness import MS, Node
 
-KEPT = 8000 * MS  # idle timeout where idle connections are kept
+# Idle timeouts while idle connections are kept, and while they are not.
+KEPT = 8000 * MS
 NOT_KEPT = 10 * MS
 
 
-def test_a_credit_is_what_ends_in_time_shared_by_the_callers_that_come():
+def test_the_credit_is_divided_among_the_active_callers():
     credits = []
     for callers in (2, 20):
         node = Node({**PLAIN, "feedback": "credit", "feedback_lifetime": 1000 * MS})
@@ -21,7 +22,7 @@
     assert few_callers > 5 * many_callers > 0
 
 
-def test_a_node_is_unhealthy_while_rpcs_lose_their_time_unread_and_healthy_again_after():
+def test_a_node_is_unhealthy_only_while_rpcs_wait_too_long_to_be_read():
     node = Node(PLAIN)
     objective = PLAIN["methods.0.latency_target"]
     node.waiting_reads = 9
@@ -35,18 +36,18 @@
     assert node.healthy
 
 
-def test_health_tells_of_a_node_that_has_no_time_to_read_and_of_its_end():
+def test_a_node_is_unhealthy_only_while_its_host_process_is_too_busy_to_read():
     node = Node(dict(PLAIN))
     objective = min(method.latency_objective for method in node.control.state.methods.all)
     ring_timers(node, 0.97, objective // 3)
     assert not node.healthy
     ring_timers(node, 0.97, objective // 8, times=40)
-    assert not node.healthy  # not before a tenth of the objective
+    assert not node.healthy  # until the delay falls below a tenth of the objective
     ring_timers(node, 0.3, 0, times=40)
     assert node.healthy
 
 
-def test_idle_connections_are_kept_where_no_level_keeps_callers_off():
+def test_idle_connections_are_kept_if_admission_is_cut_and_no_level_is_published():
     for feedback, idle_timeout in (("level", NOT_KEPT), ("silent", KEPT)):
         node = Node({**PLAIN, "feedback": feedback})
         for step in range(600):
@@ -58,8 +59,8 @@
         assert node.idle_timeout == idle_timeout
 
 
-def test_idle_connections_are_kept_only_where_callers_soon_come_again():
-    """Hundreds of callers that each come once a minute would fill the table of connections."""
+def test_idle_connections_are_kept_only_if_callers_return_soon():
+    """Otherwise hundreds of callers that each return once a minute would fill the connection table."""
     for callers, idle_timeout in ((5, KEPT), (400, NOT_KEPT), (5, KEPT)):
         node = Node(PLAIN)
         for step in range(3000):
@@ -71,8 +72,8 @@
         assert len(node.lines) <= 1
 
 
-def test_idle_connections_are_kept_where_rpcs_lose_their_time_unread():
-    """A full table rejects at the least cost: storms of reads would leave no cores for runs."""
+def test_idle_connections_are_kept_if_rpcs_wait_long_to_be_read():
+    """A full connection table rejects callers at the lowest cost; reading their RPCs would take the cores."""
     node = Node(PLAIN)
     for waited, idle_timeout in ((500, KEPT), (10, NOT_KEPT)):
         for step in range(600):
@@ -82,7 +83,7 @@
         assert node.idle_timeout == idle_timeout
 
 
-def test_callers_that_are_always_new_are_forgotten():
+def test_callers_that_do_not_return_are_forgotten():
     node = Node({**PLAIN, "cores": 40, "memory_kb": 1e9})
     for caller in range(5000):
         node.arrive(caller=str(caller))
--- a/tests/typed_settings.py
+++ b/tests/typed_settings.py
@@ -1,4 +1,4 @@
-"""Flat settings of tests, by short names without units, as the typed settings that the program takes."""
+"""Conversion of the flat settings of tests, with short names without units, to `NodeSettings`."""
 
 from finchcart.decisions.node_settings import Dependency, Feedback, MethodKind, NodeSettings
 from finchcart.settings import SettingsOverrides
@@ -42,7 +42,7 @@
 
 
 def typed(flat, base=None):
-    """The settings of a flat dict, over those of `base`; every name is known."""
+    """Return the settings of a flat dict, applied over `base`; each name must be known."""
     node, methods, per_method = {}, {}, {}
     for name, value in flat.items():
         if name in NODE_FIELDS:
