--- a/tests/decision_runs.py
+++ b/tests/decision_runs.py
@@ -55,9 +55,9 @@
 
 def one_step(node, rng, load):
     """Apply random events that may occur at the same time."""
-    arrivals(node, rng, load)
-    run_ends(node, rng)
-    call_ends(node, rng)
+    add_arrivals(node, rng, load)
+    end_runs(node, rng)
+    end_calls(node, rng)
     for index in node.in_state(RpcState.AWAITING_CALL, RpcState.CALLING):
         if not node.rpcs[index].response_pending:
             node.end(index, Outcome.STOPPED)
@@ -65,10 +65,10 @@
         first = node.rpcs[node.rpcs[index].first]
         if first.state is RpcState.COMPLETED and rng.random() < 0.5:
             node.end(index, Outcome.OK if first.has_run else Outcome.ERROR)
-    callers_go(node, rng)
+    drop_callers(node, rng)
 
 
-def arrivals(node, rng, load):
+def add_arrivals(node, rng, load):
     keyed = [index for index, rpc in node.rpcs.items() if rpc.kind == "keyed" and index == rpc.first]
     for _ in range(rng.choice((0, 0, 1, 2, load))):
         method = rng.randrange(node.settings["methods.count"])
@@ -86,14 +86,14 @@
         )
 
 
-def run_ends(node, rng):
+def end_runs(node, rng):
     for index in node.in_state(RpcState.RUNNING):
         rpc = node.rpcs[index]
         chance = rng.random()
         if rpc.state is not RpcState.RUNNING:
             continue  # completed or paused by an event earlier in this loop
         if rpc.stop_requested and chance < 0.9:
-            node.take_stop(index)
+            node.apply_stop(index)
         elif chance < 0.03 and not rpc.response_pending:
             node.end(index, Outcome.OK)
         elif chance < 0.05:
@@ -102,7 +102,7 @@
             node.await_call(index)
 
 
-def call_ends(node, rng):
+def end_calls(node, rng):
     for index in node.in_state(RpcState.CALLING):
         rpc = node.rpcs[index]
         spent = node.now - rpc.since
@@ -111,7 +111,7 @@
             node.return_call(index, Outcome.TIMEOUT if timed_out else rng.choice(CALL_OUTCOMES), spent)
 
 
-def callers_go(node, rng):
+def drop_callers(node, rng):
     for index in node.in_state(RpcState.QUEUED, RpcState.RUNNING, RpcState.SHARING, RpcState.PAUSED):
         rpc = node.rpcs[index]
         if rng.random() < 0.005 and not rpc.caller_is_gone:
@@ -124,22 +124,22 @@
 def draw_pausing_settings(rng):
     """Return the settings of a random deployment in which the least critical runs yield to others."""
     settings = draw_settings(rng)
-    while not may_yield(settings):
+    while not has_yielding_runs(settings):
         settings = {**draw_settings(rng), "memory_kb": 200_000, "cores": 2, "overload_factor": 8}
     return settings
 
 
-def may_yield(settings):
+def has_yielding_runs(settings):
     numbers = range(settings["methods.count"])
     criticalities = [settings[f"methods.{number}.criticality"] for number in numbers]
     return settings["can_pause"] and max(criticalities) > 2 * min(criticalities)
 
 
-def shares_of(node):
+def admission_probabilities(node):
     return [method.admission_probability for method in node.control.state.methods.all]
 
 
-def note_rejections(node):
+def record_rejections(node):
     """Return a list that grows by (retry_after, do_not_retry) with each rejection from now on."""
     rejections = []
 
@@ -153,7 +153,7 @@
     return rejections
 
 
-def ring_timers(node, input_busy, input_age, times=20):
+def fire_timers(node, input_busy, input_age, times=20):
     """Fire timers that report these values as the gauges `input_busy` and `input_age` of the host."""
     gauges = Gauges(core_use=0.2, on_cores=0, input_busy=input_busy, input_age=input_age)
     for _ in range(times):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -121,7 +121,7 @@
         self.count = 0
         self.keys = {}  # index of the first RPC with a key -> (time until which the key is stored, index)
         self.timers = []
-        self.lines = []
+        self.log_lines = []
         self.fleet_gauges = {}  # gauges that the fleet's consensus decides
         self.waiting_reads = 0  # reads that need a core in addition to the runs
         self.pauses = 0  # runs that were told to pause
@@ -263,7 +263,7 @@
         self.timers.append(self.now + delay)
 
     def log(self, text):
-        self.lines.append(text)
+        self.log_lines.append(text)
 
     def release(self, index):
         self.released.add(index)
@@ -337,7 +337,7 @@
         assert state in (*IN_PROGRESS, RpcState.SHARING)
         assert not rpc.response_pending, "lost: an RPC ended without a response"
 
-    def take_stop(self, index):
+    def apply_stop(self, index):
         """Pause a stopped run if pausing is enabled and its response is pending, or else end the run."""
         rpc = self.rpcs[index]
         if not (self.settings.get("can_pause") and rpc.response_pending):
@@ -348,7 +348,7 @@
         rpc.handle.run_ended(self.now, Outcome.STOPPED, self.now - rpc.since)
         assert (index in self.control.state.table.active) != rpc.answered, "active and answered, or neither"
 
-    def end_older(self, age, skip=0):
+    def end_runs_older_than(self, age, skip=0):
         """End the runs that began at least `age` ago, except for the first `skip` runs."""
         for index in self.in_state(RpcState.RUNNING)[skip:]:
             if self.now - self.rpcs[index].since >= age:
@@ -367,8 +367,8 @@
             for rpc in self.open.values():
                 rpc.stalled_until = max(rpc.stalled_until, self.now)
             return
-        due = [ring_at for ring_at in self.timers if ring_at <= self.now]
-        self.timers = [ring_at for ring_at in self.timers if ring_at > self.now]
+        due = [fires_at for fires_at in self.timers if fires_at <= self.now]
+        self.timers = [fires_at for fires_at in self.timers if fires_at > self.now]
         core_use = min(1.0, on_cores / self.settings["cores"])
         gauges = Gauges(core_use=core_use, on_cores=on_cores + self.waiting_reads, **self.fleet_gauges)
         for _ in due:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcState
 from tests.core_harness import CoreHarness
-from tests.decision_runs import PLAIN, note_rejections, ring_timers, shares_of
+from tests.decision_runs import PLAIN, admission_probabilities, fire_timers, record_rejections
 from tests.harness import MS, Node
 
 
@@ -32,7 +32,7 @@
         node.step(10 * MS)
         if step % 8 == 0:
             node.arrive(0)
-        node.end_older(150 * MS, skip=1)
+        node.end_runs_older_than(150 * MS, skip=1)
     assert node.control.state.slowdown.factor < 2
 
 
@@ -44,24 +44,24 @@
         node.step(10 * MS)
         for method in (0, 1):
             node.arrive(method, waited=800 * MS)
-        node.end_older(150 * MS)
-    low, high = (method.admission_probability for method in node.control.state.methods.all)
-    assert low < 0.2
-    assert low < high
-    assert (high == 1) is pauses
+        node.end_runs_older_than(150 * MS)
+    less_critical, more_critical = (method.admission_probability for method in node.control.state.methods.all)
+    assert less_critical < 0.2
+    assert less_critical < more_critical
+    assert (more_critical == 1) is pauses
 
 
 def test_a_busy_host_process_cuts_admission_until_it_recovers():
     node = Node(dict(PLAIN))
-    ring_timers(node, 0.95, 5 * MS)
-    assert shares_of(node) == [1.0, 1.0]  # busy, but its inputs do not wait
-    ring_timers(node, 0.4, 400 * MS)
-    assert shares_of(node) == [1.0, 1.0]  # a stall of a process that is not busy
-    ring_timers(node, 0.97, 400 * MS)
-    assert min(shares_of(node)) < 0.7
-    assert max(shares_of(node)) <= 1.0
-    ring_timers(node, 0.3, 0, times=200)
-    assert shares_of(node) == [1.0, 1.0]
+    fire_timers(node, 0.95, 5 * MS)
+    assert admission_probabilities(node) == [1.0, 1.0]  # busy, but its inputs do not wait
+    fire_timers(node, 0.4, 400 * MS)
+    assert admission_probabilities(node) == [1.0, 1.0]  # a stall of a process that is not busy
+    fire_timers(node, 0.97, 400 * MS)
+    assert min(admission_probabilities(node)) < 0.7
+    assert max(admission_probabilities(node)) <= 1.0
+    fire_timers(node, 0.3, 0, times=200)
+    assert admission_probabilities(node) == [1.0, 1.0]
 
 
 def test_no_load_is_shed_while_a_core_is_free_and_the_queue_is_empty():
@@ -91,14 +91,14 @@
 def test_rejections_ask_not_to_retry_if_the_fleet_is_full(marks_retries, is_retry, do_not_retry):
     """Otherwise, in a full fleet, one node after another would read the same RPCs.
 
-    Many retries show that the fleet is full; a low admission probability does if retries are not marked.
+    Many retries show that the fleet is full; without marked retries, a low admission probability does.
     """
     node = Node({**PLAIN, "marks_retries": marks_retries})
-    rejections = note_rejections(node)
+    rejections = record_rejections(node)
     for _ in range(200):
         node.step(10 * MS)
         node.arrive(0, is_retry=is_retry, waited=500 * MS)
-        node.end_older(300 * MS)
+        node.end_runs_older_than(300 * MS)
     assert rejections
     assert rejections[-1][1] is do_not_retry
 
@@ -107,11 +107,11 @@
     """Advice to other callers would only delay the client's next attempt."""
     for callers, advised in ((3, True), (5000, False)):
         node = Node(PLAIN)
-        rejections = note_rejections(node)
+        rejections = record_rejections(node)
         for step in range(2000):
             node.step(10 * MS)
             node.arrive(0, caller=step % callers)
-            node.end_older(300 * MS)
+            node.end_runs_older_than(300 * MS)
         assert any(retry_after for retry_after, _ in rejections[-50:]) is advised
 
 
--- a/tests/test_decision_parts.py
+++ b/tests/test_decision_parts.py
@@ -12,11 +12,11 @@
 from finchcart.decisions.token_bucket import TokenBucket
 from tests import decision_invariants
 from tests.decision_invariants import CHECKS, check_invariants
-from tests.decision_runs import PLAIN, draw_pausing_settings, note_rejections, one_step
+from tests.decision_runs import PLAIN, draw_pausing_settings, one_step, record_rejections
 from tests.harness import MS, Node, draw_settings
 
 
-def busy_node(seed, steps, pauses=False):
+def run_node(seed, steps, pauses=False):
     """Yield a node with random settings after each of `steps` random steps; the last quarter is a drain."""
     rng = random.Random(seed)
     node = Node(draw_pausing_settings(rng) if pauses else draw_settings(rng), seed)
@@ -33,20 +33,20 @@
 @pytest.mark.parametrize("seed", [*range(12), 41, 44, 47])  # from 41 on, runs are paused and resumed
 def test_the_invariant_of_each_component_holds_in_random_runs(seed):
     seen = 0
-    for node in busy_node(seed, 300, pauses=seed >= 40):
+    for node in run_node(seed, 300, pauses=seed >= 40):
         check_invariants(node)
         seen += bool(node.control.state.table.active)
     assert seen > 100, "too few steps had active RPCs to check"
 
 
-def add_to(part, field):
+def increment(part, field):
     def plant(state):
         setattr(getattr(state, part), field, getattr(getattr(state, part), field) + 2)
 
     return plant
 
 
-def queue_a_run(state):
+def queue_a_running_rpc(state):
     state.queue.push(next(rpc for rpc in state.table.active.values() if rpc.state is not QUEUED))
 
 
@@ -58,11 +58,11 @@
     state.keys._expirations.clear()
 
 
-def cut_to_nothing(state):
+def cut_admission_to_zero(state):
     state.methods.all[0].admission_probability = 0.0
 
 
-def end_the_grace_early(state):
+def end_grace_period_early(state):
     state.shutdown.is_past_grace = True
     state.shutdown.grace_end = state.shutdown.termination_deadline = 10**18
 
@@ -71,23 +71,23 @@
     state.shutdown.termination_deadline = 10**18
 
 
-PLANTED = {
+PLANTED_DEFECTS = {
     "check_table": keep_a_completed_rpc,
-    "check_queue": queue_a_run,
-    "check_runs": add_to("runs", "in_progress"),
-    "check_memory": add_to("memory", "used_kb"),
+    "check_queue": queue_a_running_rpc,
+    "check_runs": increment("runs", "in_progress"),
+    "check_memory": increment("memory", "used_kb"),
     "check_keys": forget_a_key,
-    "check_calls": add_to("calls", "in_flight"),
-    "check_ratios": add_to("callers", "ratio"),
-    "check_concurrency": add_to("concurrency", "limit"),
-    "check_methods": cut_to_nothing,
-    "check_shutdown": end_the_grace_early,
-    "check_deadlines": add_to("deadlines", "response_margin"),
+    "check_calls": increment("calls", "in_flight"),
+    "check_ratios": increment("callers", "ratio"),
+    "check_concurrency": increment("concurrency", "limit"),
+    "check_methods": cut_admission_to_zero,
+    "check_shutdown": end_grace_period_early,
+    "check_deadlines": increment("deadlines", "response_margin"),
     "check_published": turn_unhealthy,
 }
 
 
-@pytest.mark.parametrize("name", PLANTED)
+@pytest.mark.parametrize("name", PLANTED_DEFECTS)
 def test_each_invariant_check_detects_a_planted_defect(name):
     node = Node({**PLAIN, "cores": 1})
     for _ in range(6):
@@ -96,13 +96,13 @@
     node.control.state.deadlines.response_margin += 1_000 * MS
     check = getattr(decision_invariants, name)
     check(node)
-    PLANTED[name](node.control.state)
+    PLANTED_DEFECTS[name](node.control.state)
     with pytest.raises(AssertionError):
         check(node)
 
 
 def test_a_defect_is_planted_for_each_check():
-    assert set(PLANTED) == {check.__name__ for check in CHECKS}
+    assert set(PLANTED_DEFECTS) == {check.__name__ for check in CHECKS}
 
 
 def test_a_hysteresis_ends_only_beyond_its_exit_threshold():
@@ -164,7 +164,7 @@
 )
 def test_each_rejection_states_its_reason(reason, gauges, rpc):
     node = Node({**PLAIN, "degraded_value": (0.0, 0.0)})
-    rejections = note_rejections(node)
+    rejections = record_rejections(node)
     node.arrive(0)
     node.arrive(0)
     node.fleet_gauges = gauges
--- a/tests/test_feedback.py
+++ b/tests/test_feedback.py
@@ -1,7 +1,7 @@
 """Values that a node publishes: credit, health, and the idle timeout of its connections."""
 
 from finchcart.decisions.rpc import RpcState
-from tests.decision_runs import PLAIN, ring_timers, shares_of
+from tests.decision_runs import PLAIN, admission_probabilities, fire_timers
 from tests.harness import MS, Node
 
 # Idle timeouts while idle connections are kept, and while they are not.
@@ -16,7 +16,7 @@
         for step in range(400):
             node.step(10 * MS)
             node.arrive(0, caller=step % callers)
-            node.end_older(200 * MS)
+            node.end_runs_older_than(200 * MS)
         credits.append(node.published_credit)
     few_callers, many_callers = credits
     assert few_callers > 5 * many_callers > 0
@@ -39,11 +39,11 @@
 def test_a_node_is_unhealthy_only_while_its_host_process_is_too_busy_to_read():
     node = Node(dict(PLAIN))
     objective = min(method.latency_objective for method in node.control.state.methods.all)
-    ring_timers(node, 0.97, objective // 3)
+    fire_timers(node, 0.97, objective // 3)
     assert not node.healthy
-    ring_timers(node, 0.97, objective // 8, times=40)
+    fire_timers(node, 0.97, objective // 8, times=40)
     assert not node.healthy  # until the delay falls below a tenth of the objective
-    ring_timers(node, 0.3, 0, times=40)
+    fire_timers(node, 0.3, 0, times=40)
     assert node.healthy
 
 
@@ -54,8 +54,8 @@
             node.step(10 * MS)
             for arrival in range(3):
                 node.arrive(0, caller=step * 3 + arrival)
-            node.end_older(300 * MS)
-        assert min(shares_of(node)) < 0.6
+            node.end_runs_older_than(300 * MS)
+        assert min(admission_probabilities(node)) < 0.6
         assert node.idle_timeout == idle_timeout
 
 
@@ -67,9 +67,9 @@
             node.step(10 * MS)
             if step % 10 == 0:
                 node.arrive(0, caller=step // 10 % callers)
-            node.end_older(100 * MS)
+            node.end_runs_older_than(100 * MS)
         assert node.idle_timeout == idle_timeout
-        assert len(node.lines) <= 1
+        assert len(node.log_lines) <= 1
 
 
 def test_idle_connections_are_kept_if_rpcs_wait_long_to_be_read():
@@ -79,7 +79,7 @@
         for step in range(600):
             node.step(10 * MS)
             node.arrive(0, caller=step + waited * 1000, waited=waited * MS)
-            node.end_older(100 * MS)
+            node.end_runs_older_than(100 * MS)
         assert node.idle_timeout == idle_timeout
 
 
--- a/tests/typed_settings.py
+++ b/tests/typed_settings.py
@@ -37,7 +37,7 @@
     "window": "key_window_us",
 }
 PER_METHOD_FIELDS = {"degraded_value": "degraded_value", "method_calls": "makes_call"}
-FOR_HARNESSES = {"methods.count", "overload_window", "slack", "tells_deadline"}
+HARNESS_FIELDS = {"methods.count", "overload_window", "slack", "tells_deadline"}
 ENUMS = {"dependency": Dependency, "feedback": Feedback, "kind": MethodKind}
 
 
@@ -49,7 +49,7 @@
             node[NODE_FIELDS[name]] = as_enum(name, value)
         elif name in PER_METHOD_FIELDS:
             per_method[PER_METHOD_FIELDS[name]] = value
-        elif name not in FOR_HARNESSES:
+        elif name not in HARNESS_FIELDS:
             _, position, item = name.split(".")
             methods.setdefault(position, {})[METHOD_FIELDS[item]] = as_enum(item, value)
     overrides = SettingsOverrides(node, methods, flat.get("methods.count"), per_method)
