--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -11,12 +11,12 @@
 from finchcart.decisions.warm_up import WarmUp
 
 # Bounds of the runs in progress, including those that wait for calls.
-IN_PROGRESS_FRACTION = 0.8  # fraction of the maximum concurrency
+IN_PROGRESS_FRACTION = 0.8  # of the maximum concurrency
 MAX_RUNS_PER_CORE = 4
 
 # Bounds of the concurrency limit.
 LIMIT_PER_CORE = 2
-LIMIT_FRACTION = 0.4  # fraction of the maximum concurrency
+LIMIT_FRACTION = 0.4  # of the maximum concurrency
 LIMIT_GROWTH_DIVISOR = 4  # per maintenance interval, the limit grows by the number of cores divided by this
 LIMIT_CUT_FACTOR = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
 
@@ -53,9 +53,9 @@
         This uses the present demand for cores: the averaged utilization lags, and following it would put too
         many runs on cores at once.
         """
-        wanted = self._gauges.on_cores
-        if self._queue.entries and wanted < self._cores and self._runs.on_cores >= self.limit - 1:
+        demand = self._gauges.on_cores
+        if self._queue.entries and demand < self._cores and self._runs.on_cores >= self.limit - 1:
             ceiling = min(LIMIT_PER_CORE * self._cores, LIMIT_FRACTION * self.maximum(now))
             self.limit = min(self.limit + self._cores / LIMIT_GROWTH_DIVISOR, ceiling)
-        elif wanted > self._cores:
+        elif demand > self._cores:
             self.limit = max(self._cores, self.limit * LIMIT_CUT_FACTOR)
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -13,7 +13,7 @@
 from finchcart.decisions.units import MS, SECOND
 
 MAINTENANCE_INTERVAL = 40 * MS  # time between two timer events
-RESPONSE_MARGIN = 20 * MS  # fixed share of the margin, added to two ticks and a maintenance interval
+RESPONSE_MARGIN = 20 * MS  # part of the margin in addition to two ticks and a maintenance interval
 TERMINATION_MARGIN = 50 * MS  # during a shutdown, responses are due this long before the termination deadline
 MAX_LATENESS_MARGIN = SECOND  # upper bound of the margin that is added for late timers
 LATENESS_DECAY = 63, 64  # numerator and denominator of the decay factor per maintenance interval
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -37,7 +37,8 @@
 SHORTEST_CALL_BIN = 2 * MS
 PRIOR_CALL_TIME = 30 * MS
 DEGRADE_MARGIN = 1.5  # a call is skipped if less time is left than this factor times the mean call takes
-USUAL_CALL_QUANTILE = 0.95  # with time left or not, no call times out before this quantile of call times
+# To leave time for a degraded response, a timeout is shortened to this quantile of the call times at most.
+USUAL_CALL_QUANTILE = 0.95
 BEFORE_ANY_CALL = -(10**15)
 
 
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -71,8 +71,8 @@
         callers = self._callers.count_seen_within(now, self._lifetime)
         service_times = (method.estimates.service_time.mean for method in self._methods.all)
         service_time = max(service_times, default=SECOND) * self._slowdown.factor
-        turns = max(1.0, SETPOINT_FRACTION * self._methods.shortest_objective / service_time)
-        credit = CREDIT_FACTOR * (self._concurrency.limit * turns) / max(1, callers)
+        sequential_runs = max(1.0, SETPOINT_FRACTION * self._methods.shortest_objective / service_time)
+        credit = CREDIT_FACTOR * (self._concurrency.limit * sequential_runs) / max(1, callers)
         lowest, highest = CREDIT_DEAD_BAND
         if not lowest < credit / max(MIN_COMPARED_CREDIT, self.published) < highest:
             self._port.set_credit(credit)
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -39,9 +39,9 @@
         is_busy_reading = (
             reads > self._runs.cores * READS_FRACTION or self._gauges.input_busy > BUSY_THRESHOLD
         )
-        is_alone = is_busy_reading and self._arrivals.retry_ratio < FULL_FLEET_RETRY_RATIO
+        is_only_node_affected = is_busy_reading and self._arrivals.retry_ratio < FULL_FLEET_RETRY_RATIO
         is_delayed = UNHEALTHY_DELAY.is_above(delay_fraction, not self.is_healthy)
-        is_unhealthy = self._gauges.ejected or (is_alone and is_delayed)
+        is_unhealthy = self._gauges.ejected or (is_only_node_affected and is_delayed)
         if self._shutdown.termination_deadline is not None or self.is_healthy != is_unhealthy:
             return
         self.is_healthy = not self.is_healthy
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -38,7 +38,7 @@
         """Handle the end of a run, or of a duplicate's wait for a result."""
 
     def caller_gone(self, now: int, rpc: "RpcHandle") -> None:
-        """Handle the loss of the caller."""
+        """Handle a caller that no longer waits for a response."""
 
     def awaiting_call(self, now: int, rpc: "RpcHandle") -> None:
         """Handle a run that needs its call to the dependency."""
@@ -84,7 +84,7 @@
     )
 
     # Set on admission.
-    expected_service_time: float  # estimate of what remains of it: admission.py; after a pause runs.py
+    expected_service_time: float  # estimate, after a pause of the remaining time: admission.py, runs.py
     objective_at: int  # latest time at which a response meets the latency objective: admission.py
     priority: tuple[float, float]  # sort key of the queue, the smallest first: admission.py
     # Set when the run needs a call.
--- a/finchcart/decisions/rpc_events.py
+++ b/finchcart/decisions/rpc_events.py
@@ -65,7 +65,7 @@
             self._port.stop(rpc.index)
 
     def awaiting_call(self, now: int, rpc: RpcHandle) -> None:
-        """Count a run as off its core and have its call made, unless no response is pending any more."""
+        """Record that a run left its core, and have its call made if a response is still pending."""
         if rpc.state is not RUNNING:
             return
         self._runs.suspend(now, rpc)
