--- a/tests/decision_runs.py
+++ b/tests/decision_runs.py
@@ -53,7 +53,7 @@
 )
 
 
-def one_step(node, rng, load):
+def apply_random_events(node, rng, load):
     """Apply random events that may occur at the same time."""
     add_arrivals(node, rng, load)
     end_runs(node, rng)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -106,7 +106,7 @@
         return not (self.answered or self.caller_is_gone)
 
 
-class Node:
+class SimulatedNode:
     """Simulated node: its cores, memory, keys and dependency, and the `Port` of its controller.
 
     Most rules are checked in the methods of the port; `check` checks the others.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,11 +9,11 @@
 from finchcart.decisions.rpc import RpcState
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, admission_probabilities, fire_timers, record_rejections
-from tests.harness import MS, Node
+from tests.harness import MS, SimulatedNode
 
 
 def test_a_duplicate_shares_the_result_and_never_runs():
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     first = node.arrive(1)
     duplicate = node.arrive(1, first)  # arrives before any other event
     assert (node.rpcs[first].state, node.rpcs[duplicate].state) == (RpcState.RUNNING, RpcState.SHARING)
@@ -26,7 +26,7 @@
 
 def test_one_long_run_does_not_raise_the_slowdown_factor():
     """Service times vary, so that a single long run does not show that the machine is slow."""
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     node.arrive(0)
     for step in range(60):
         node.step(10 * MS)
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("pauses", [False, True])
 def test_ingress_delay_cuts_the_less_critical_method_first(pauses):
     """With pausing, the more critical method is not cut, as the runs of the other yield their cores to it."""
-    node = Node({**PLAIN, "can_stop": pauses, "can_pause": pauses})
+    node = SimulatedNode({**PLAIN, "can_stop": pauses, "can_pause": pauses})
     for _ in range(300):
         node.step(10 * MS)
         for method in (0, 1):
@@ -52,7 +52,7 @@
 
 
 def test_a_busy_host_process_cuts_admission_until_it_recovers():
-    node = Node(dict(PLAIN))
+    node = SimulatedNode(dict(PLAIN))
     fire_timers(node, 0.95, 5 * MS)
     assert admission_probabilities(node) == [1.0, 1.0]  # busy, but its inputs do not wait
     fire_timers(node, 0.4, 400 * MS)
@@ -66,7 +66,7 @@
 
 def test_no_load_is_shed_while_a_core_is_free_and_the_queue_is_empty():
     """Otherwise a node with two cores would reject RPCs while one core is idle."""
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     for method in node.control.state.methods.all:
         method.admission_probability = 0.0
     states = [node.rpcs[node.arrive(0)].state for _ in range(3)]
@@ -75,7 +75,7 @@
 
 def test_a_retry_has_a_shorter_objective():
     """Part of its latency objective has passed while other nodes rejected the RPC."""
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     node.control.state.arrivals.retry_ratio = 0.5
     first, retry = node.arrive(0), node.arrive(0, is_retry=True)
     late = node.arrive(0, is_retry=True, waited=450 * MS, service_time_hint=400 * MS)
@@ -93,7 +93,7 @@
 
     Many retries show that the fleet is full; without marked retries, a low admission probability does.
     """
-    node = Node({**PLAIN, "marks_retries": marks_retries})
+    node = SimulatedNode({**PLAIN, "marks_retries": marks_retries})
     rejections = record_rejections(node)
     for _ in range(200):
         node.step(10 * MS)
@@ -106,7 +106,7 @@
 def test_retry_advice_is_given_only_to_callers_that_return_soon():
     """Advice to other callers would only delay the client's next attempt."""
     for callers, advised in ((3, True), (5000, False)):
-        node = Node(PLAIN)
+        node = SimulatedNode(PLAIN)
         rejections = record_rejections(node)
         for step in range(2000):
             node.step(10 * MS)
@@ -116,7 +116,7 @@
 
 
 def test_a_run_that_missed_its_pause_in_a_stall_counts_as_running_again():
-    node = Node({**PLAIN, "can_stop": True, "can_pause": True})
+    node = SimulatedNode({**PLAIN, "can_stop": True, "can_pause": True})
     for method in (0, 0, 0, 1):
         node.arrive(method)
     assert len(node.control.state.runs.pausing) == 1
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -21,8 +21,8 @@
 from tests.consensus_examples import BAD, BLOCKED, CONFIG, DOWN, GOOD, SLOW, THROTTLED, WORKING
 from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness
-from tests.decision_runs import PLAIN, one_step
-from tests.harness import MS, Node, draw_settings
+from tests.decision_runs import PLAIN, apply_random_events
+from tests.harness import MS, SimulatedNode, draw_settings
 from tests.random_core_runs import play
 
 
@@ -146,7 +146,7 @@
 def test_rules_hold_in_the_module_with_decisions_by_chance(seed):
     rng = random.Random(seed)
     settings = {**draw_settings(rng), "memory_kb": 200_000}
-    node = Node(settings, seed)
+    node = SimulatedNode(settings, seed)
     for _ in range(500):
         if rng.random() < 0.05:
             node.fleet_gauges = rng.choice(
@@ -159,12 +159,12 @@
             )
         node.step(node.settings["tick"] * rng.randint(1, 4))
         node.check()
-        one_step(node, rng, rng.choice((2, 6)))
+        apply_random_events(node, rng, rng.choice((2, 6)))
     assert node.count > 100
 
 
 def test_the_module_rejects_what_needs_a_store_that_is_down_and_keeps_to_the_fleets_level():
-    node = Node({**PLAIN, "cores": 8, "method_calls": (True, True), "degraded_value": (0.0, 0.5)})
+    node = SimulatedNode({**PLAIN, "cores": 8, "method_calls": (True, True), "degraded_value": (0.0, 0.5)})
     node.fleet_gauges = {"dependency_down": True, "call_capacity": 1}
     node.step(40 * MS)
     first, second, poorer = node.arrive(0), node.arrive(0), node.arrive(1)
--- a/tests/test_decision_parts.py
+++ b/tests/test_decision_parts.py
@@ -12,17 +12,17 @@
 from finchcart.decisions.token_bucket import TokenBucket
 from tests import decision_invariants
 from tests.decision_invariants import CHECKS, check_invariants
-from tests.decision_runs import PLAIN, draw_pausing_settings, one_step, record_rejections
-from tests.harness import MS, Node, draw_settings
+from tests.decision_runs import PLAIN, apply_random_events, draw_pausing_settings, record_rejections
+from tests.harness import MS, SimulatedNode, draw_settings
 
 
 def run_node(seed, steps, pauses=False):
     """Yield a node with random settings after each of `steps` random steps; the last quarter is a drain."""
     rng = random.Random(seed)
-    node = Node(draw_pausing_settings(rng) if pauses else draw_settings(rng), seed)
+    node = SimulatedNode(draw_pausing_settings(rng) if pauses else draw_settings(rng), seed)
     for step in range(steps):
         node.step(node.settings["tick"] * rng.randint(1, 4), stalled=rng.random() < 0.01)
-        one_step(node, rng, 6)
+        apply_random_events(node, rng, 6)
         if step == steps * 3 // 4:
             node.kill_at = node.now + 3000 * MS
             node.drained_at = node.now
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("name", PLANTED_DEFECTS)
 def test_each_invariant_check_detects_a_planted_defect(name):
-    node = Node({**PLAIN, "cores": 1})
+    node = SimulatedNode({**PLAIN, "cores": 1})
     for _ in range(6):
         node.arrive(1)
     node.control.state.concurrency.limit = 2.0
@@ -163,7 +163,7 @@
     ],
 )
 def test_each_rejection_states_its_reason(reason, gauges, rpc):
-    node = Node({**PLAIN, "degraded_value": (0.0, 0.0)})
+    node = SimulatedNode({**PLAIN, "degraded_value": (0.0, 0.0)})
     rejections = record_rejections(node)
     node.arrive(0)
     node.arrive(0)
@@ -175,7 +175,7 @@
 
 
 def test_rpcs_after_the_grace_period_are_rejected_as_shutting_down():
-    node = Node({**PLAIN, "drain_grace": 0})
+    node = SimulatedNode({**PLAIN, "drain_grace": 0})
     node.drained_at = node.now
     node.control.drain(node.now, node.now + 2_000 * MS)
     node.step(50 * MS)
@@ -184,7 +184,7 @@
 
 
 def test_rpcs_beyond_the_admission_probability_are_rejected_as_load_shed():
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     first, second = node.arrive(0), node.arrive(0)
     for method in node.control.state.methods.all:
         method.admission_probability = 0.0
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -8,8 +8,8 @@
 import pytest
 
 from finchcart.decisions.rpc import RpcState
-from tests.decision_runs import PLAIN, draw_pausing_settings, one_step
-from tests.harness import MS, Node, draw_settings
+from tests.decision_runs import PLAIN, apply_random_events, draw_pausing_settings
+from tests.harness import MS, SimulatedNode, draw_settings
 
 
 @pytest.mark.parametrize("seed", [*range(40), 41, 44, 47, 50, 51])  # from 41 on, runs are paused and resumed
@@ -17,7 +17,7 @@
     rng = random.Random(seed)
     pauses = seed >= 40
     settings = draw_pausing_settings(rng) if pauses else draw_settings(rng)
-    node = Node(settings, seed)
+    node = SimulatedNode(settings, seed)
     load = 2 if pauses else rng.choice((2, 6, 40))
     drain_at = rng.randint(150, 650)
     for step in range(700):
@@ -25,7 +25,7 @@
         node.check()
         if node.kill_at and node.now >= node.kill_at:
             break
-        one_step(node, rng, load)
+        apply_random_events(node, rng, load)
         if step in (drain_at, drain_at + 20):
             node.kill_at = node.kill_at or node.now + rng.randint(300, 5000) * MS
             node.drained_at = node.drained_at or node.now
@@ -50,17 +50,17 @@
     ],
 )
 def test_rules_hold_with_extreme_settings(extreme):
-    node = Node({**PLAIN, **extreme})
+    node = SimulatedNode({**PLAIN, **extreme})
     rng = random.Random(5)
     for _ in range(400):
         node.step(10 * MS)
         node.check()
-        one_step(node, rng, 3)
+        apply_random_events(node, rng, 3)
     assert any(rpc.has_run for rpc in node.rpcs.values())
 
 
 def test_late_runs_are_failed_before_they_are_due():
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     index = node.arrive(0)
     for _ in range(1500):
         node.step(2 * MS)
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -3,11 +3,11 @@
 from finchcart.decisions.outcome import Outcome
 from finchcart.decisions.rpc import RpcState
 from tests.decision_runs import PLAIN
-from tests.harness import MS, Node
+from tests.harness import MS, SimulatedNode
 
 
 def test_a_failed_call_is_retried_only_if_it_provably_never_ran():
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     for outcome, state in (
         (Outcome.UNREACHABLE, RpcState.CALLING),
         (Outcome.CONNECTION_LOST, RpcState.AWAITING_CALL),
@@ -20,7 +20,7 @@
 
 def test_calls_to_a_tier_are_not_limited_by_a_share():
     """For a tier, `calls_limit` is configured as 0, which would prevent every call if it were applied."""
-    node = Node({**PLAIN, "dependency": "tier", "calls_limit": 0.0})
+    node = SimulatedNode({**PLAIN, "dependency": "tier", "calls_limit": 0.0})
     index = node.arrive(1)
     node.await_call(index)
     assert node.rpcs[index].state is RpcState.CALLING
@@ -28,7 +28,7 @@
 
 def test_a_slow_dependency_leaves_time_for_a_degraded_answer():
     """A call must not use up all the time until the objective: after its timeout, the run is degraded."""
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     index = node.arrive(0)
     rpc = node.rpcs[index]
     node.await_call(index)
--- a/tests/test_feedback.py
+++ b/tests/test_feedback.py
@@ -2,7 +2,7 @@
 
 from finchcart.decisions.rpc import RpcState
 from tests.decision_runs import PLAIN, admission_probabilities, fire_timers
-from tests.harness import MS, Node
+from tests.harness import MS, SimulatedNode
 
 # Idle timeouts while idle connections are kept, and while they are not.
 KEPT = 8000 * MS
@@ -12,7 +12,7 @@
 def test_the_credit_is_divided_among_the_active_callers():
     credits = []
     for callers in (2, 20):
-        node = Node({**PLAIN, "feedback": "credit", "feedback_lifetime": 1000 * MS})
+        node = SimulatedNode({**PLAIN, "feedback": "credit", "feedback_lifetime": 1000 * MS})
         for step in range(400):
             node.step(10 * MS)
             node.arrive(0, caller=step % callers)
@@ -23,7 +23,7 @@
 
 
 def test_a_node_is_unhealthy_only_while_rpcs_wait_too_long_to_be_read():
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     objective = PLAIN["methods.0.latency_target"]
     node.waiting_reads = 9
     for _ in range(30):
@@ -37,7 +37,7 @@
 
 
 def test_a_node_is_unhealthy_only_while_its_host_process_is_too_busy_to_read():
-    node = Node(dict(PLAIN))
+    node = SimulatedNode(dict(PLAIN))
     objective = min(method.latency_objective for method in node.control.state.methods.all)
     fire_timers(node, 0.97, objective // 3)
     assert not node.healthy
@@ -49,7 +49,7 @@
 
 def test_idle_connections_are_kept_if_admission_is_cut_and_no_level_is_published():
     for feedback, idle_timeout in (("level", NOT_KEPT), ("silent", KEPT)):
-        node = Node({**PLAIN, "feedback": feedback})
+        node = SimulatedNode({**PLAIN, "feedback": feedback})
         for step in range(600):
             node.step(10 * MS)
             for arrival in range(3):
@@ -62,7 +62,7 @@
 def test_idle_connections_are_kept_only_if_callers_return_soon():
     """Otherwise hundreds of callers that each return once a minute would fill the connection table."""
     for callers, idle_timeout in ((5, KEPT), (400, NOT_KEPT), (5, KEPT)):
-        node = Node(PLAIN)
+        node = SimulatedNode(PLAIN)
         for step in range(3000):
             node.step(10 * MS)
             if step % 10 == 0:
@@ -74,7 +74,7 @@
 
 def test_idle_connections_are_kept_if_rpcs_wait_long_to_be_read():
     """A full connection table rejects callers at the lowest cost; reading their RPCs would take the cores."""
-    node = Node(PLAIN)
+    node = SimulatedNode(PLAIN)
     for waited, idle_timeout in ((500, KEPT), (10, NOT_KEPT)):
         for step in range(600):
             node.step(10 * MS)
@@ -84,7 +84,7 @@
 
 
 def test_callers_that_do_not_return_are_forgotten():
-    node = Node({**PLAIN, "cores": 40, "memory_kb": 1e9})
+    node = SimulatedNode({**PLAIN, "cores": 40, "memory_kb": 1e9})
     for caller in range(5000):
         node.arrive(caller=str(caller))
         node.step(20 * MS)
