--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -12,10 +12,10 @@
 from finchcart.decisions.rejection_reason import RejectionReason
 from finchcart.decisions.rpc import RpcHandle
 
-QUOTA_RESERVE = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
+QUOTA_RESERVE_DIVISOR = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
 # With a free core, an RPC is admitted if its expected service time is below this fraction of the time left.
-FREE_CORE_PART = 0.8
-IDLE_NODE_PART = 1.2  # the same fraction while less than half of the cores are in use
+FREE_CORE_FRACTION = 0.8
+IDLE_NODE_FRACTION = 1.2  # the same fraction while less than half of the cores are in use
 # Probability of running an RPC that is expected to be late: without these runs, the estimates of a slow node
 # would stay high after its recovery.
 EXPLORATION_PROBABILITY = 0.1
@@ -49,7 +49,7 @@
         if quota is None:
             return False
         ranks_above = self._rank_count - 1 - rpc.method.criticality_rank
-        return quota.available <= int(quota.capacity / QUOTA_RESERVE * ranks_above)
+        return quota.available <= int(quota.capacity / QUOTA_RESERVE_DIVISOR * ranks_above)
 
     def rejection_reason(self, now: int, rpc: RpcHandle, expected_wait: float) -> RejectionReason | None:
         """Return the reason to reject an RPC that would wait `expected_wait` for a core, or None."""
@@ -58,14 +58,14 @@
             return reason
         shed_rank = None
         if self._gauges.min_shed_level:
-            shed_rank = self._relative_rank(rpc)
+            shed_rank = self._rank_within_criticality(rpc)
             level = self._gauges.min_shed_level * self._rank_count
             if shed_rank < level - rpc.method.criticality_rank:
                 return RejectionReason.FLEET_SHED_LEVEL
         if self._has_free_core(now, rpc):
             return None
         if shed_rank is None:
-            shed_rank = self._relative_rank(rpc)
+            shed_rank = self._rank_within_criticality(rpc)
         if shed_rank < 1 - rpc.method.admission_probability:
             return RejectionReason.LOAD_SHED
         if self._misses_objective(now + expected_wait, rpc):
@@ -80,11 +80,11 @@
             return RejectionReason.MEMORY_EXHAUSTED
         if self._deadlines.must_respond(now, rpc):
             return RejectionReason.DEADLINE_TOO_NEAR
-        if self._gauges.dependency_down and self._lacks_dependency(rpc.method):
+        if self._gauges.dependency_down and self._exceeds_probe_capacity(rpc.method):
             return RejectionReason.DEPENDENCY_DOWN
         return None
 
-    def _lacks_dependency(self, method: Method) -> bool:
+    def _exceeds_probe_capacity(self, method: Method) -> bool:
         """Return whether a new RPC of the method would exceed the number of allowed probe calls.
 
         Such an RPC would start to run and then fail, as no call could be made for it.
@@ -94,7 +94,7 @@
             return False
         return capacity <= sum(other.method.needs_call for other in self._table.active.values()) - 1
 
-    def _relative_rank(self, rpc: RpcHandle) -> float:
+    def _rank_within_criticality(self, rpc: RpcHandle) -> float:
         """Return the shed rank of an RPC among RPCs of the same criticality, from 0 to 1.
 
         The rank that an RPC carries depends on its user and is the same on all nodes; without one, the rank
@@ -110,8 +110,8 @@
         cores = self._runs.cores
         if on_cores >= cores or self._queue.entries:
             return False
-        part = IDLE_NODE_PART if on_cores * 2 < cores else FREE_CORE_PART
-        fits = rpc.expected_service_time < part * (rpc.objective_at - now)
+        fraction = IDLE_NODE_FRACTION if on_cores * 2 < cores else FREE_CORE_FRACTION
+        fits = rpc.expected_service_time < fraction * (rpc.objective_at - now)
         return fits or not rpc.service_time_hint or self._random() < EXPLORATION_PROBABILITY
 
     def _misses_objective(self, starts_at: float, rpc: RpcHandle) -> bool:
--- a/tests/typed_settings.py
+++ b/tests/typed_settings.py
@@ -1,4 +1,4 @@
-"""Flat settings of tests, by short names without units, as the typed settings that the program takes."""
+"""Conversion of the flat settings of tests, with short names without units, to `NodeSettings`."""
 
 from finchcart.decisions.node_settings import Dependency, Feedback, MethodKind, NodeSettings
 from finchcart.settings import SettingsOverrides
@@ -37,19 +37,19 @@
     "window": "key_window_us",
 }
 PER_METHOD_FIELDS = {"degraded_value": "degraded_value", "method_calls": "makes_call"}
-FOR_HARNESSES = {"methods.count", "overload_window", "slack", "tells_deadline"}
+HARNESS_FIELDS = {"methods.count", "overload_window", "slack", "tells_deadline"}
 ENUMS = {"dependency": Dependency, "feedback": Feedback, "kind": MethodKind}
 
 
 def typed(flat, base=None):
-    """The settings of a flat dict, over those of `base`; every name is known."""
+    """Return the settings of a flat dict, applied over `base`; each name must be known."""
     node, methods, per_method = {}, {}, {}
     for name, value in flat.items():
         if name in NODE_FIELDS:
             node[NODE_FIELDS[name]] = as_enum(name, value)
         elif name in PER_METHOD_FIELDS:
             per_method[PER_METHOD_FIELDS[name]] = value
-        elif name not in FOR_HARNESSES:
+        elif name not in HARNESS_FIELDS:
             _, position, item = name.split(".")
             methods.setdefault(position, {})[METHOD_FIELDS[item]] = as_enum(item, value)
     overrides = SettingsOverrides(node, methods, flat.get("methods.count"), per_method)
