--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -1,7 +1,7 @@
-"""All connections of a node by number, for the one thread that carries out effects.
+"""All connections of a node by number, for the one thread that executes effects.
 
-Owns which connections there are, and what a turn has sent and not yet written. It must never decide when one
-is closed: the core does.
+A `ConnectionTable` owns the connections, and the data that was sent during the current turn of the event loop
+and is not written yet. It must never decide when a connection is closed: the core decides that.
 """
 
 import socket
@@ -30,15 +30,16 @@
 from finchcart.protocol.worker_pool_codec import WORKER_POOL_CODEC
 
 STORE = "store"
-# By the kind of a connection that the node opens. Frontends bring their own.
+# The codec of each kind of connection that the node opens. The codec of accepted connections is an argument
+# of `ConnectionTable`.
 CODECS = {"pool": WORKER_POOL_CODEC, STORE: STORE_CODEC}
 
 
 class ConnectionTable:
-    """Carries out the core's effects on connections, until they are dropped.
+    """Executes the core's effects on connections, and keeps each connection until it is dropped.
 
-    Called by one thread, and by the listener's for new connections. `frontend` names the kind of the
-    connections that the listener accepts; they are read with `frontend_codec`.
+    Called by one thread; only accepted connections are added by the listener's thread. `frontend` names the
+    kind of the accepted connections, which are decoded with `frontend_codec`.
     """
 
     def __init__(
@@ -57,21 +58,21 @@
         self._frontend = frontend
         self._codecs = {**CODECS, frontend: frontend_codec}
         self._connections: dict[int, Connection] = {}
-        self._outgoing: dict[int, list[bytes]] = {}  # what this turn sends, by connection
-        self._unbatched: set[int] = set()  # connections whose messages do not wait for the turn's end
+        self._outgoing: dict[int, list[bytes]] = {}  # data sent during this turn, by connection
+        self._unbatched: set[int] = set()  # connections on which data is written before the turn ends
         self._reporter = RegistryReporter()
         self._thread_starter = DeferredThreadStarter()
 
     def listen(self) -> None:
-        """Accept connections, in a thread of the listener's."""
-        self._listener.on_accepted = self._accepted
-        retry_at_start(lambda: start_thread(self._listener.accept, "accept"), "accepting")
+        """Start the listener's thread, which accepts connections."""
+        self._listener.on_accepted = self._add_accepted
+        retry_at_start(lambda: start_thread(self._listener.accept, "accept"), "accepting connections")
 
     def stop_listening(self) -> None:
-        """Accept no further connections."""
+        """Accept the connections in the backlog and stop listening."""
         self._listener.stop()
 
-    def _accepted(
+    def _add_accepted(
         self, number: int, sock: socket.socket, host: str | None, on_closed: Callable[[], None]
     ) -> None:
         self._connections[number] = Connection(
@@ -101,12 +102,16 @@
                 thread_starter=self._thread_starter,
             )
         except OSError as error:
-            # Guards against an end of the node where threads run out: nothing was sent, so it is tried again.
+            # A shortage of threads must not end the node. Nothing was sent, so the core connects again.
             self._inputs.put(ConnectionRefused(number, error.strerror or str(error)))
             self._inputs.put(ConnectionClosed(number))
 
     def decode(self, number: int, frames: Sequence[bytes]) -> tuple[list[Message], ProtocolError | None]:
-        """Return the frames' messages up to one that cannot be read, and the error in that one, or None."""
+        """Decode frames up to the first invalid one.
+
+        Returns:
+            The messages of the frames before it, and the error in the invalid frame, or None.
+        """
         connection = self._connections.get(number)
         messages: list[Message] = []
         if connection:
@@ -117,20 +122,20 @@
             except ProtocolError as error:
                 return messages, error
             except Exception as error:
-                # Guards the node against a defect of a codec: only this connection is closed.
-                logger.exception("reading connection {}", number)
+                # A defect in a codec closes only this connection and does not end the node.
+                logger.exception("connection {}: codec failed to decode a frame", number)
                 return messages, ProtocolError(f"{type(error).__name__}: {error}")
         return messages, None
 
     def request_batch(self, number: int) -> None:
-        """Have one batch more delivered from a connection."""
+        """Request one more batch of frames from a connection."""
         if number in self._connections:
             self._connections[number].request_batch()
 
     def send(self, number: int, data: bytes) -> None:
-        """Write at the turn's end: what goes out on one connection then is one write.
+        """Queue data until the turn ends, so that all data for one connection is one write.
 
-        A call to the store is written immediately: its connection carries no other.
+        A call to the store is written immediately, as its connection carries one call at a time.
         """
         parts = self._outgoing.get(number)
         if number in self._unbatched:
@@ -142,12 +147,12 @@
             parts.append(data)
 
     def send_before(self, number: int, data: bytes, deadline: int) -> None:
-        """Write until `deadline` on the boot clock, or break the connection."""
+        """Write data immediately, or break the connection if `deadline` (on the boot clock) has passed."""
         if number in self._connections:
             self._connections[number].send(data, deadline)
 
     def flush(self) -> None:
-        """Write what the turn sent; called at its end."""
+        """Write the data that was sent during the turn; called when the turn ends."""
         outgoing = self._outgoing
         self._outgoing = {}
         for number, parts in outgoing.items():
@@ -160,13 +165,16 @@
             self._connections[number].send(b"".join(parts))
 
     def close(self, number: int) -> None:
-        """Close a connection once all is written."""
+        """Close a connection once all its pending data is written."""
         self._flush_one(number)
         if number in self._connections:
             self._connections[number].close()
 
     def close_if_idle(self, number: int) -> bool:
-        """Close if nothing is on its way, see `Connection.close_if_idle`; return whether it is closed."""
+        """Close a connection if no data is in transit; return whether the connection is closed.
+
+        See `Connection.close_if_idle`.
+        """
         self._flush_one(number)
         connection = self._connections.get(number)
         return connection is None or connection.close_if_idle()
@@ -180,5 +188,5 @@
             connection.drop()
 
     def report(self, address: Address, data: bytes) -> None:
-        """Send one datagram to the registry."""
+        """Send a datagram to the registry."""
         self._reporter.post(address, data)
