--- a/finchcart/net/__init__.py
+++ b/finchcart/net/__init__.py
@@ -1,4 +1,5 @@
-"""Sockets, threads, buffers and limits of the real node, and the line protocols of its other parties.
+"""The sockets, threads and read buffers of a node, and its clock.
 
-Owns every socket. It must never decide anything about an RPC or hold a node's state.
+This package owns every socket of the node. It must never decide anything about an RPC or hold the node's
+state.
 """
--- a/finchcart/net/buffers.py
+++ b/finchcart/net/buffers.py
@@ -1,7 +1,8 @@
-"""A pool of buffers of one size.
+"""A pool of read buffers of one size.
 
-Owns the memory that connections read into. A buffer is in use only while it has bytes; it must never be used
-after its release, nor handed to the core: codecs copy what they keep.
+The pool owns the memory that connections read into. A connection holds a buffer only while the buffer has
+unprocessed bytes. A buffer must never be used after its release or handed to the core: codecs copy the data
+that they keep.
 """
 
 from collections import deque
@@ -12,19 +13,20 @@
 
 
 class Buffers:
-    """The pool. It keeps `limits.spare_buffers` for reuse; how many are in use is bounded by the connections.
+    """The pool of buffers; up to `limits.spare_buffers` released buffers are kept for reuse.
 
-    Safe to use from many threads: a deque's append and pop are atomic.
+    The number of buffers in use is bounded by the number of connections. The pool is thread-safe: append and
+    pop of a deque are atomic.
     """
 
     def __init__(self, limits: Limits) -> None:
         self.size = limits.buffer_bytes
         self.max_spare = limits.spare_buffers
         self.spare: deque[bytearray] = deque(maxlen=self.max_spare)
-        self.in_use: set[int] = set()  # by id
+        self.in_use: set[int] = set()  # `id()` of each buffer in use
 
     def acquire(self) -> bytearray:
-        """Return a buffer of `size` bytes, whose content is undefined."""
+        """Return a buffer of `size` bytes with undefined content."""
         try:
             buffer = self.spare.pop()
         except IndexError:
@@ -33,15 +35,15 @@
         return buffer
 
     def release(self, buffer: bytearray) -> None:
-        """Return a buffer to the pool. Raise ValueError where it is not in use."""
+        """Return a buffer to the pool; raise ValueError if the buffer is not in use."""
         if id(buffer) not in self.in_use:
-            raise ValueError("expected a buffer in use, got one that is released already")
+            raise ValueError("expected a buffer in use, got one that was already released")
         self.in_use.discard(id(buffer))
         self.spare.append(buffer)
 
     @contextmanager
     def borrow(self) -> Iterator[bytearray]:
-        """Acquire a buffer for the length of a block."""
+        """Acquire a buffer for the duration of a `with` block."""
         buffer = self.acquire()
         try:
             yield buffer
@@ -49,5 +51,8 @@
             self.release(buffer)
 
     def may_keep_empty(self) -> bool:
-        """Return whether a connection may keep its empty buffer while it waits: `max_spare` may."""
+        """Return whether a connection may keep its empty buffer while it waits for data.
+
+        That is allowed while at most `max_spare` buffers are in use.
+        """
         return len(self.in_use) <= self.max_spare
--- a/finchcart/net/clock.py
+++ b/finchcart/net/clock.py
@@ -1,30 +1,31 @@
-"""The clock of the node: all its deadlines, timers and spans are counted on it.
+"""The clock of the node, on which all its deadlines, timers and durations are measured.
 
-Owns no state. The wall clock orders nothing here, as it steps. It is the boot clock and not CLOCK_MONOTONIC,
-as callers of a suspended machine continue to wait in real time: what was due meanwhile is late when it wakes.
+The node uses the boot clock. The wall clock can step, so nothing is ordered by it. CLOCK_MONOTONIC stops
+while the machine is suspended, but callers continue to wait in real time: a timer that was due during the
+suspension must be late afterwards. This module has no state.
 """
 
 from time import CLOCK_BOOTTIME, clock_gettime_ns, time_ns
 from typing import NamedTuple
 
-MAX_READING_US = 500  # between the two readings of the boot clock around one of the wall clock
+MAX_READING_US = 500  # longest time between the two boot clock readings around a wall clock reading
 READING_ATTEMPTS = 3
 
 
 class ClockReading(NamedTuple):
-    """Both clocks at one moment, in whole microseconds."""
+    """A simultaneous reading of the boot clock and the wall clock, in whole microseconds."""
 
     boot: int
     unix: int
 
 
 def boot_clock() -> int:
-    """Return the time since the machine started, with suspension, in whole microseconds."""
+    """Return the time since the machine booted, including suspension, in whole microseconds."""
     return clock_gettime_ns(CLOCK_BOOTTIME) // 1000
 
 
 def read_clocks() -> ClockReading:
-    """Read both clocks at one moment, again where the thread was interrupted in between."""
+    """Read both clocks; retry if the thread was interrupted between the readings."""
     for _ in range(READING_ATTEMPTS):
         before = boot_clock()
         unix = time_ns() // 1000
--- a/finchcart/net/deferred_threads.py
+++ b/finchcart/net/deferred_threads.py
@@ -1,6 +1,7 @@
-"""Threads that could not be started for a shortage of them: started later, by a thread that always runs.
+"""Starts threads later that could not be started because the system had no thread left.
 
-Owns that one thread. It must never abandon a thread before `MAX_START_ATTEMPTS`, which outlast a shortage.
+A `DeferredThreadStarter` owns the thread that does this, which runs from the beginning. A deferred thread
+must never be abandoned before `MAX_START_ATTEMPTS` attempts, which last longer than a temporary shortage.
 """
 
 import threading
@@ -11,27 +12,27 @@
 from finchcart.net.sockets import start_thread
 from finchcart.net.transient_errors import SHORTAGE_PAUSE_S, retry_at_start
 
-MAX_START_ATTEMPTS = 300  # one every `SHORTAGE_PAUSE_S`
+MAX_START_ATTEMPTS = 300  # one attempt per `SHORTAGE_PAUSE_S`
 
 
 class DeferredThread:
-    """A thread that is still to be started; `join` waits for it as for one that runs.
+    """A thread that is started later; `join` waits for it as for a `threading.Thread`.
 
-    `on_abandoned()` is called where it could not be started within the bound.
+    `on_abandoned()` is called if the thread could not be started in `MAX_START_ATTEMPTS` attempts.
     """
 
-    def __init__(self, act: Callable[[], None], name: str, on_abandoned: Callable[[], None]) -> None:
-        self._act = act
+    def __init__(self, target: Callable[[], None], name: str, on_abandoned: Callable[[], None]) -> None:
+        self._target = target
         self._name = name
         self._on_abandoned = on_abandoned
         self._ended = threading.Event()
 
     def join(self) -> None:
-        """Wait until it has run, or was abandoned."""
+        """Wait until the thread has ended or was abandoned."""
         self._ended.wait()
 
     def start(self) -> None:
-        """Try to start it until it runs, within the bound."""
+        """Try to start the thread, at most `MAX_START_ATTEMPTS` times."""
         for _ in range(MAX_START_ATTEMPTS):
             try:
                 start_thread(self._run, self._name)
@@ -43,20 +44,23 @@
 
     def _run(self) -> None:
         try:
-            self._act()
+            self._target()
         finally:
             self._ended.set()
 
 
 class DeferredThreadStarter:
-    """Starts deferred threads, one after the other. Bounds: what waits is one writer a connection."""
+    """Starts deferred threads one after the other.
+
+    At most a reader thread and a writer thread of each connection wait to be started.
+    """
 
     def __init__(self) -> None:
         self._waiting: SimpleQueue[DeferredThread] = SimpleQueue()
         retry_at_start(lambda: start_thread(self._run, "deferred threads"), "threads")
 
     def start(self, thread: DeferredThread) -> None:
-        """Have a thread started as soon as the system has one; never blocks."""
+        """Queue a thread to be started as soon as the system allows; never blocks."""
         self._waiting.put(thread)
 
     def _run(self) -> None:
--- a/finchcart/net/discarding.py
+++ b/finchcart/net/discarding.py
@@ -1,6 +1,7 @@
-"""Reading what a peer still sends after the node has closed its direction of a connection.
+"""Discards what a peer still sends after the node has closed its direction of a connection.
 
-Owns nothing. Closing over unread bytes would reset the connection, and with it answers on their way.
+Closing a socket with unread bytes resets the connection, which would lose answers in transit. This module has
+no state.
 """
 
 import socket
@@ -10,15 +11,15 @@
 from finchcart.net.sockets import timeval
 from finchcart.net.transient_errors import is_transient
 
-SHORTAGE_COST = 4 * 1024  # bytes that a read counts as which fails for want of memory
+FAILED_READ_BYTES = 4 * 1024  # a read that fails with a transient error counts as this many bytes
 
 
 def discard_to_end(
     sock: socket.socket, buffer: bytearray, limits: Limits, is_writing: Callable[[], bool]
 ) -> None:
-    """Read and discard until the peer closes, for a bounded time and number of bytes.
+    """Read and discard data until the peer closes, up to a timeout without data and a number of bytes.
 
-    While answers are still being written, which ends by itself, a silent peer is no reason to stop.
+    The timeout does not apply while answers are still being written: the send timeout bounds that.
     """
     remaining = limits.discard_bytes
     try:
@@ -36,7 +37,7 @@
         except OSError as error:
             if not is_transient(error):
                 return
-            remaining -= SHORTAGE_COST
+            remaining -= FAILED_READ_BYTES
             continue
         if not count:
             return
--- a/finchcart/net/sockets.py
+++ b/finchcart/net/sockets.py
@@ -1,7 +1,4 @@
-"""Helpers for sockets and threads.
-
-Owns nothing: each socket and thread belongs to the caller.
-"""
+"""Helper functions for sockets and threads; each socket and thread belongs to the caller."""
 
 import errno
 import socket
@@ -17,29 +14,29 @@
 SO_ATTACH_FILTER = 26  # socket(7), asm-generic/socket.h
 FILTER_INSTRUCTION = struct.Struct("HBBI")  # struct sock_filter of linux/filter.h
 FILTER_PROGRAM = struct.Struct("HP")  # struct sock_fprog, with its padding
-# A classic BPF program on the TCP header: a segment with SYN and without ACK is dropped, others pass.
+# A classic BPF program that reads the TCP header: it drops segments with SYN and without ACK.
 DROP_SYN = (
-    (0x30, 0, 0, 13),  # load the byte of the flags
-    (0x54, 0, 0, 0x12),  # keep SYN and ACK
-    (0x15, 0, 1, 0x02),  # SYN alone?
-    (0x06, 0, 0, 0),  # drop
-    (0x06, 0, 0, 0xFFFFFFFF),  # pass whole
+    (0x30, 0, 0, 13),  # load the flags byte
+    (0x54, 0, 0, 0x12),  # mask it with SYN | ACK
+    (0x15, 0, 1, 0x02),  # if only SYN is set, go to the next instruction, else skip it
+    (0x06, 0, 0, 0),  # drop the segment
+    (0x06, 0, 0, 0xFFFFFFFF),  # accept the whole segment
 )
-TCP_INFO_RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received of struct tcp_info: tcp(7), Linux 4.1 on
+TCP_INFO_RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received of struct tcp_info, tcp(7), since Linux 4.1
 
 
 def timeval(microseconds: int) -> bytes:
-    """Return a time in the form of the socket options SO_SNDTIMEO and SO_RCVTIMEO."""
+    """Return a duration as a struct timeval, for the socket options SO_SNDTIMEO and SO_RCVTIMEO."""
     return struct.pack("ll", *divmod(microseconds, MICROSECONDS_PER_SECOND))
 
 
 def received_bytes(sock: socket.socket) -> int:
-    """Return how many bytes the system has received on a TCP connection, read or not; an end counts as one.
+    """Return how many bytes the kernel has received on a TCP connection, whether read or not.
 
-    0 where the system does not count.
+    The peer's FIN counts as one byte. Returns 0 if the kernel does not provide the count.
 
     Raises:
-        OSError: the system has no memory for the answer.
+        OSError: the system is short of memory for the call.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_RECEIVED.size)
@@ -54,7 +51,7 @@
 
 
 def ignore_new_connections(listener: socket.socket) -> None:
-    """Have the system drop requests to connect (SYN), and complete connections that are being made.
+    """Attach a filter that drops connection requests (SYN); handshakes that are in progress complete.
 
     Raises:
         OSError: the system has no memory for the filter.
@@ -67,14 +64,14 @@
 
 
 def shut_down(sock: socket.socket, how: int) -> None:
-    """Shut a connection down in one direction or both; ignore one that has ended already."""
+    """Shut a connection down in one direction or both; do nothing if it has already ended."""
     with suppress(OSError):
         sock.shutdown(how)
 
 
-def start_thread(act: Callable[[], None], name: str) -> threading.Thread:
-    """Start a daemon thread. Raise OSError (EAGAIN) where the system has no thread left."""
-    thread = threading.Thread(target=act, name=name, daemon=True)
+def start_thread(target: Callable[[], None], name: str) -> threading.Thread:
+    """Start a daemon thread; raise OSError (EAGAIN) if the system has no thread left."""
+    thread = threading.Thread(target=target, name=name, daemon=True)
     try:
         thread.start()
     except RuntimeError as error:
--- a/finchcart/net/transient_errors.py
+++ b/finchcart/net/transient_errors.py
@@ -1,7 +1,7 @@
-"""Transient errors of system calls: which errors they are, and retries within a bound.
+"""Defines which errors of system calls are transient, and retries operations at startup.
 
-Owns the list of errors and the pauses. It must never retry what cannot pass, nor a call that may have sent
-something.
+This module owns the lists of errors and the delays between attempts. It must never retry a permanent error,
+or a call that may have sent data.
 """
 
 import errno
@@ -11,23 +11,23 @@
 
 from loguru import logger
 
-# A shortage of the machine's or of the process's, that passes: accept(2), socket(2), listen(2), recv(2),
-# send(2), pthread_create(3), open(2).
+# Temporary shortages of resources in the system or the process, as documented in accept(2), socket(2),
+# listen(2), recv(2), send(2), pthread_create(3) and open(2).
 SHORTAGES = frozenset(
     (errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EIO)
 )
-# A port that another process is about to leave: bind(2), listen(2).
-PORT_TAKEN = errno.EADDRINUSE
-# What accept(2) says of the connection that it would have returned, not of the listening socket.
+# Error of bind(2) and listen(2) while another process still uses the port, which it may be about to release.
+PORT_IN_USE = errno.EADDRINUSE
+# Errors of accept(2) that concern the connection that it would have returned, not the listening socket.
 CONNECTION_ERRORS = frozenset(
     (errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENOPROTOOPT, errno.EOPNOTSUPP)
     + (errno.ENETDOWN, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.ENETUNREACH)
     + (errno.ECONNRESET, errno.ETIMEDOUT, errno.EINTR)
 )
-FIRST_PAUSE_S = 0.005
-MAX_PAUSE_S = 0.1
-SHORTAGE_PAUSE_S = 0.01  # between reads or writes of a connection that the system has no memory for
-MAX_SHORTAGES = 100  # one after the other; then the connection counts as broken
+INITIAL_BACKOFF_S = 0.005
+MAX_BACKOFF_S = 0.1
+SHORTAGE_PAUSE_S = 0.01  # delay before a read, a write or a thread start is retried after a shortage
+MAX_SHORTAGES = 100  # consecutive failed reads or writes after which the connection counts as broken
 START_TIMEOUT_S = 3.0
 
 T = TypeVar("T")
@@ -36,26 +36,27 @@
 def is_transient(error: BaseException | None) -> bool:
     """Return whether the error, or its cause, is transient."""
     if isinstance(error, OSError) and error.errno is not None:
-        return error.errno in SHORTAGES or error.errno == PORT_TAKEN
+        return error.errno in SHORTAGES or error.errno == PORT_IN_USE
     return error is not None and is_transient(error.__cause__)
 
 
-def retry_at_start(act: Callable[[], T], what: str) -> T:
-    """Return `act()`, retried for `START_TIMEOUT_S` on transient errors; one log line a cause.
+def retry_at_start(operation: Callable[[], T], description: str) -> T:
+    """Return the result of `operation`; retry transient errors with a backoff for `START_TIMEOUT_S`.
 
-    Raises what `act` raises: immediately where that is not transient, else after the timeout.
+    Each different error is logged once. An exception of `operation` is raised immediately if it is not
+    transient, and otherwise after the timeout.
     """
     give_up_at = time.monotonic() + START_TIMEOUT_S
-    pause_s = FIRST_PAUSE_S
-    causes: set[str] = set()
+    backoff_s = INITIAL_BACKOFF_S
+    logged_errors: set[str] = set()
     while True:
         try:
-            return act()
-        except Exception as error:  # any: the cause below it decides whether it is transient
-            if not is_transient(error) or time.monotonic() + pause_s > give_up_at:
+            return operation()
+        except Exception as error:  # of any type: a transient OSError may be its cause
+            if not is_transient(error) or time.monotonic() + backoff_s > give_up_at:
                 raise
-            if str(error) not in causes:
-                causes.add(str(error))
-                logger.warning("{}: {}; trying again for {} s", what, error, START_TIMEOUT_S)
-        time.sleep(pause_s)
-        pause_s = min(2 * pause_s, MAX_PAUSE_S)
+            if str(error) not in logged_errors:
+                logged_errors.add(str(error))
+                logger.warning("{}: {}; trying again for {} s", description, error, START_TIMEOUT_S)
+        time.sleep(backoff_s)
+        backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
