--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -1,13 +1,14 @@
-"""The socket and thread on which processes of a fleet talk.
+"""The UDP socket and the thread by which a process communicates with the other processes of its fleet.
 
-Owns one UDP socket and the thread that feeds the state machines behind it, one for each channel (the first
-byte of a datagram). It must never block on the core or be blocked by it: changes go to the core's queue, and
-signals come through a mailbox of its own. A fault here isolates the node and ends the thread; RPCs are served
-on.
+A `DatagramEndpoint` owns the socket, and the thread that passes inputs to the state machines behind it. The
+first byte of a datagram is its channel; each channel has one state machine. The thread must never block on
+the core or be blocked by it: it reports changes through the core's queue and receives inputs through its own
+mailbox. An exception here isolates the process from the fleet and ends the thread; the node continues to
+serve RPCs.
 
-Ticks hold their time beside a busy reducer because the thread sleeps in the kernel between them and asks for
-the interpreter only when it is due: it waits one switch interval (5 ms) for each busy thread before it, out
-of a tick of 100 ms.
+Ticks stay on time although the thread that feeds the core is busy: this thread sleeps in the kernel between
+ticks and needs the interpreter lock only when a tick is due. It then waits one switch interval (5 ms) for
+each busy thread ahead of it, which is short compared with a tick of 100 ms.
 """
 
 import threading
@@ -25,45 +26,50 @@
 from finchcart.membership.effects import IsolationChanged, MemberChanged
 from finchcart.net.clock import boot_clock
 
-DEFAULT_TICK_US = 100_000  # where no machine names its own
-RECEIVE_BUFFER_BYTES = 1 << 20  # that the kernel may keep while this process is stopped or starved
-MAX_DATAGRAMS_A_TICK = 512  # received at a tick before it is handled
-END_REPETITIONS = 2  # times that the others are told of the end
+DEFAULT_TICK_US = 100_000  # the tick interval, unless a state machine requires a shorter one
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams while this process is stopped or gets no CPU time
+MAX_DATAGRAMS_PER_TICK = 512  # processed at most before a tick that is due
+SHUTDOWN_REPETITIONS = 2  # the notice of the shutdown is sent so many times, as datagrams may be lost
 STOP_TIMEOUT_S = 1.0
 MICROSECONDS_PER_SECOND = 1e6
 
 Address = tuple[str, int]
-AnyMachineInput = Any  # for the parameter of a machine, which has input types of its own
-MachineInput = tuple[Any, ...]  # a NamedTuple type for each input
+AnyMachineInput = Any  # each state machine has its own types of input
+MachineInput = tuple[Any, ...]  # each input is a NamedTuple
 
 
 class ReloadSettings(NamedTuple):
-    """In the mailbox: read the settings file again."""
+    """A mailbox entry that requests the settings file to be read again."""
 
 
 class StateMachine(Protocol):
-    """What is behind a channel. Times are microseconds on the boot clock.
+    """The state machine of a channel. Times are microseconds on the boot clock.
 
-    One that is ticked more often than each `DEFAULT_TICK_US` has an attribute `tick`, in microseconds.
+    A machine that needs ticks more often than every `DEFAULT_TICK_US` has an attribute `tick`, its tick
+    interval in microseconds.
     """
 
     ended: bool
 
     def reduce(self, now: int, event: AnyMachineInput) -> Sequence[FleetEffect]:
-        """Process one input; return effects, told apart by type."""
+        """Process one input; return effects, which are distinguished by type."""
 
     def count(self, reason: str) -> None:
         """Count an event of the channel's traffic."""
 
 
 class DatagramEndpoint:
-    """The socket, its thread and a mailbox. Raises OSError where the socket cannot be bound.
+    """The socket, its thread and the thread's mailbox.
 
     Arguments:
         listen: the address of the socket.
-        make_machines: from the boot clock to the machines by channel; called in the thread.
-        publish: takes each change that a machine reports.
-        reload: reads the settings again; gives a channel and an input for each machine that is concerned.
+        make_machines: returns the state machines by channel, given the current boot clock; called in the
+            thread.
+        publish: called with each change that a state machine reports.
+        reload: reads the settings file again; returns pairs of a channel and an input for its state machine.
+
+    Raises:
+        OSError: the socket cannot be bound.
     """
 
     def __init__(
@@ -88,40 +94,40 @@
         self._has_ended = threading.Event()
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the thread that receives datagrams and ticks the state machines."""
         threading.Thread(target=self._run, name="fleet", daemon=True).start()
 
     def post(self, channel: bytes | None, event: MachineInput) -> None:
-        """Queue an input for one machine, or for all (None): it is handled with the next tick.
+        """Queue an input for one machine, or for all (None); it is processed at the next tick.
 
         May be called from a signal handler.
         """
         self._mailbox.put((channel, event))
 
     def post_now(self, channel: bytes | None, event: MachineInput) -> None:
-        """Queue an input that is handled at once: an empty datagram to itself ends the thread's wait."""
+        """Queue an input for immediate processing: an empty datagram to the own socket wakes the thread."""
         self._mailbox.put((channel, event))
-        with suppress(OSError):  # the next tick is soon
+        with suppress(OSError):  # without the datagram, the input is processed at the next tick
             self.sock.sendto(b"", MSG_DONTWAIT, self.sock.getsockname())
 
     def post_reload(self) -> None:
-        """Have the settings read again; may be called from a signal handler."""
+        """Request that the settings file is read again; may be called from a signal handler."""
         self._mailbox.put((None, ReloadSettings()))
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """End the machines, and wait until the others were told."""
+        """Shut the state machines down, and wait until the other processes were notified."""
         self.post(None, Shutdown())
         self._has_ended.wait(timeout_s)
 
-    # ---- The thread
+    # ---- Called by the thread
 
     def _run(self) -> None:
         try:
             self._machines = self._make_machines(boot_clock())
             self._run_machines()
         except Exception:
-            # Guards against a node that falls with its view of the others: alone is an ordinary state.
-            logger.exception("fleet: the state can't be trusted, this process is alone from here on")
+            # The failure must not end the node: it continues as an isolated node, which is a normal state.
+            logger.exception("fleet: state machine failed; this process is isolated until it is restarted")
             self._publish(IsolationChanged(True, "fault"))
         finally:
             self._has_ended.set()
@@ -138,22 +144,24 @@
             self._receive_pending()
             self._drain_mailbox()
             due = self._tick(due)
-        for _ in range(END_REPETITIONS - 1):
+        for _ in range(SHUTDOWN_REPETITIONS - 1):
             for machine in machines:
                 self._feed(machine, Shutdown())
 
     def _receive_pending(self) -> None:
-        """Process all that came before the tick: who is late doubts itself before others.
+        """Process the datagrams that arrived before the tick.
 
-        Guards against a tick that waits for more: with a timeout set, a read waits whatever its flags say.
+        If this thread runs late, a tick without these datagrams would suspect other members for the delay of
+        this process. The timeout is set to 0 because a read on a socket with a timeout waits even with
+        MSG_DONTWAIT.
         """
         self.sock.settimeout(0)
-        for _ in range(MAX_DATAGRAMS_A_TICK):
+        for _ in range(MAX_DATAGRAMS_PER_TICK):
             if not self._receive():
                 break
 
     def _tick(self, due: int) -> int:
-        """Tick all machines; return when the next tick is due."""
+        """Tick all state machines; return when the next tick is due."""
         now = boot_clock()
         tick = DEFAULT_TICK_US
         for machine in self._machines.values():
@@ -166,8 +174,8 @@
             while True:
                 channel, event = self._mailbox.get_nowait()
                 if isinstance(event, ReloadSettings):
-                    for concerned, config in self._reload():
-                        self._deliver(concerned, config)
+                    for config_channel, config in self._reload():
+                        self._deliver(config_channel, config)
                 else:
                     self._deliver(channel, event)
 
@@ -176,13 +184,13 @@
             self._feed(machine, event)
 
     def _receive(self) -> bool:
-        """Process one datagram; return False where there was none in the time that is set."""
+        """Process one datagram; return False if none arrived before the socket's timeout."""
         try:
             data, address = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except (BlockingIOError, TimeoutError):
             return False
         except OSError:
-            return True  # an earlier datagram met nobody: the kernel tells it here
+            return True  # the kernel reports here that an earlier datagram was rejected (ICMP)
         if not data:
             self._drain_mailbox()
             return True
@@ -212,7 +220,7 @@
 
 
 def _log_change(change: FleetEffect) -> None:
-    """Log a change of membership; other changes have lines of their own."""
+    """Log a change of membership; other changes have log lines of their own."""
     match change:
         case MemberChanged(name, state, incarnation):
             line = logger.bind(member=name, state=state, incarnation=incarnation)
