--- a/finchcart/simulated_peers/client.py
+++ b/finchcart/simulated_peers/client.py
@@ -32,8 +32,8 @@
     STRING,
     Reader,
     ThriftValue,
+    decode_text_map,
     encode_message,
-    read_texts,
 )
 
 TIMEOUT_S = 10
@@ -104,10 +104,10 @@
     def answer(self) -> Answer:
         """Return the next message; `EOFError` where the node closed the connection."""
         reader = Reader(self._receive(LENGTH.unpack(self._receive(4))[0]))
-        kind = reader.integer(I32) & 0xFF
-        name = reader.string().decode()
-        sequence = reader.integer(I32)
-        arguments = reader.struct()
+        kind = reader.read_integer(I32) & 0xFF
+        name = reader.read_string().decode()
+        sequence = reader.read_integer(I32)
+        arguments = reader.read_struct()
         if kind == EXCEPTION:
             return Answer(name, sequence, ClientOutcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
         if kind == ONEWAY:
@@ -115,7 +115,7 @@
         (field_number, _), inner = next(iter(arguments.items()))
         if not isinstance(inner, dict):
             raise ProtocolError(f"a reply to {name}: expected a struct, got {inner!r:.60}")
-        fields = read_texts(inner[(2 if field_number == 0 else 1), MAP]) or {}
+        fields = decode_text_map(inner[(2 if field_number == 0 else 1), MAP]) or {}
         if field_number == 0:
             outcome = ClientOutcome.OK if inner[3, BOOL] else ClientOutcome.NOT_GOOD
             return Answer(name, sequence, outcome, _bytes_of(inner[1, STRING]), fields)
--- a/finchcart/thrift/binary_protocol.py
+++ b/finchcart/thrift/binary_protocol.py
@@ -59,7 +59,7 @@
         self.data = data
         self.position = 0
 
-    def strings(self, count: int) -> list[bytes]:
+    def read_strings(self, count: int) -> list[bytes]:
         """Return the next `count` strings. Fast, as an RPC's fields are most of what is read here."""
         data = self.data
         size = len(data)
@@ -83,62 +83,65 @@
             raise ProtocolError(f"cut off: {count} bytes wanted at {start} of {len(self.data)}")
         return self.data[start : self.position]
 
-    def integer(self, kind: int) -> int:
+    def read_integer(self, kind: int) -> int:
         """Return an integer of one of the types BYTE, I16, I32 and I64."""
         shape = FIXED_SIZE[kind]
         return shape.unpack(self.read_bytes(shape.size))[0]
 
-    def string(self) -> bytes:
+    def read_string(self) -> bytes:
         """Return a string."""
-        return self.read_bytes(self.integer(I32))
+        return self.read_bytes(self.read_integer(I32))
 
-    def count(self) -> int:
+    def read_count(self) -> int:
         """Return a count of elements, bounded by the bytes left: each element takes at least one."""
-        count = self.integer(I32)
+        count = self.read_integer(I32)
         left = len(self.data) - self.position
         if not 0 <= count <= left:
             raise ProtocolError(f"a count of {count} with {left} bytes left")
         return count
 
-    def value(self, kind: int, depth: int = MAX_DEPTH) -> ThriftValue:
+    def read_value(self, kind: int, depth: int = MAX_DEPTH) -> ThriftValue:
         """Return a value of that type; a struct as (number, type) -> value, a map as a list of pairs."""
         if depth == 0:
             raise ProtocolError("nested too deep")
         if kind == STRING:
-            return self.string()
+            return self.read_string()
         if kind == BOOL:
             return self.read_bytes(1)[0] != 0
         if kind in FIXED_SIZE:
             shape = FIXED_SIZE[kind]
             return shape.unpack(self.read_bytes(shape.size))[0]
         if kind == STRUCT:
-            return self.struct(depth)
+            return self.read_struct(depth)
         if kind == MAP:
-            return self._map(depth)
+            return self._read_map(depth)
         if kind in (SET, LIST):
             element = self.read_bytes(1)[0]
-            return [self.value(element, depth - 1) for _ in range(self.count())]
+            return [self.read_value(element, depth - 1) for _ in range(self.read_count())]
         raise ProtocolError(f"no such type: {kind}")
 
-    def struct(self, depth: int = MAX_DEPTH) -> ThriftStruct:
+    def read_struct(self, depth: int = MAX_DEPTH) -> ThriftStruct:
         """Return a struct, as (number, type) -> value."""
         fields: ThriftStruct = {}
         while True:
             kind = self.read_bytes(1)[0]
             if kind == STOP:
                 return fields
-            number = self.integer(I16)
-            fields[number, kind] = self.value(kind, depth - 1)
+            number = self.read_integer(I16)
+            fields[number, kind] = self.read_value(kind, depth - 1)
 
-    def _map(self, depth: int) -> list[ThriftPair]:
+    def _read_map(self, depth: int) -> list[ThriftPair]:
         keys, values = self.read_bytes(2)
         if keys == values == STRING:
-            texts = self.strings(2 * self.count())
+            texts = self.read_strings(2 * self.read_count())
             return list(zip(texts[::2], texts[1::2], strict=True))
-        return [(self.value(keys, depth - 1), self.value(values, depth - 1)) for _ in range(self.count())]
+        return [
+            (self.read_value(keys, depth - 1), self.read_value(values, depth - 1))
+            for _ in range(self.read_count())
+        ]
 
 
-def read_texts(pairs: ThriftValue | None) -> dict[str, str] | None:
+def decode_text_map(pairs: ThriftValue | None) -> dict[str, str] | None:
     """Return a map of texts, or None where it is another value or not UTF-8."""
     if not isinstance(pairs, list):
         return None
@@ -156,24 +159,24 @@
     return texts
 
 
-def string(data: bytes) -> bytes:
+def encode_string(data: bytes) -> bytes:
     """Return a string: its length, then its bytes."""
     return LENGTH.pack(len(data)) + data
 
 
-def text_map(fields: Mapping[str, str]) -> bytes:
+def encode_text_map(fields: Mapping[str, str]) -> bytes:
     """Return a map of texts."""
     parts = [HEAD.pack(STRING, STRING, len(fields))]
     for name, text in fields.items():
-        parts += string(name.encode()), string(text.encode())
+        parts += encode_string(name.encode()), encode_string(text.encode())
     return b"".join(parts)
 
 
-def message_head(kind: int, name: bytes) -> bytes:
+def encode_message_header(kind: int, name: bytes) -> bytes:
     """Return what a message opens with, before its sequence number."""
-    return LENGTH.pack((VERSION | kind) - (1 << 32)) + string(name)
+    return LENGTH.pack((VERSION | kind) - (1 << 32)) + encode_string(name)
 
 
 def encode_message(kind: int, name: bytes, sequence: int, arguments: bytes) -> bytes:
     """Return a complete frame; `arguments` is a struct."""
-    return string(message_head(kind, name) + LENGTH.pack(sequence) + arguments)
+    return encode_string(encode_message_header(kind, name) + LENGTH.pack(sequence) + arguments)
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -32,13 +32,13 @@
     VERSION,
     VERSION_MASK,
     Reader,
+    decode_text_map,
     encode_message,
-    message_head,
+    encode_message_header,
+    encode_string,
+    encode_text_map,
     pack_field,
     pack_length,
-    read_texts,
-    string,
-    text_map,
     unpack_length,
 )
 
@@ -90,19 +90,19 @@
     if submit:
         return submit
     reader = Reader(data)
-    head = reader.integer(I32) & 0xFFFFFFFF
+    head = reader.read_integer(I32) & 0xFFFFFFFF
     kind = head & KIND_MASK
     if head & VERSION_MASK != VERSION or kind not in (CALL, ONEWAY):
         raise ProtocolError(f"not a call: {head:#010x}")
-    name = reader.string()
-    sequence = reader.integer(I32)
-    arguments = reader.struct()
+    name = reader.read_string()
+    sequence = reader.read_integer(I32)
+    arguments = reader.read_struct()
     if reader.position != len(data):
         raise ProtocolError(f"{len(data) - reader.position} bytes after the message")
     if name == b"submit" and kind == CALL:
         body = arguments.get((2, STRING))
         return SubmitCall(
-            sequence, read_texts(arguments.get((1, MAP))), body if isinstance(body, bytes) else None
+            sequence, decode_text_map(arguments.get((1, MAP))), body if isinstance(body, bytes) else None
         )
     revoked = arguments.get((1, I32))
     if name == b"revoke" and isinstance(revoked, int):
@@ -125,11 +125,11 @@
         return None
     reader = Reader(data)
     reader.position = SUBMIT_FIELDS_END
-    texts = reader.strings(2 * reader.count())
+    texts = reader.read_strings(2 * reader.read_count())
     if reader.data[reader.position : reader.position + len(SUBMIT_BODY)] != SUBMIT_BODY:
         return None
     reader.position += len(SUBMIT_BODY)
-    (body,) = reader.strings(1)
+    (body,) = reader.read_strings(1)
     if data[reader.position :] != b"\0":
         return None
     try:
@@ -144,7 +144,7 @@
 
 
 # What replies open with, after the frame's length; then the sequence number.
-REPLY_HEADS = {name: message_head(REPLY, name) for name in (b"submit", b"heartbeat")}
+REPLY_HEADS = {name: encode_message_header(REPLY, name) for name in (b"submit", b"heartbeat")}
 REPLY_BODY = pack_field(STRUCT, 0) + pack_field(STRING, 1)
 TRUE_AND_STOPS = b"\1\0\0"
 FALSE_AND_STOPS = b"\0\0\0"
@@ -158,15 +158,15 @@
         pack_length(len(body)),
         body,
         pack_field(MAP, 2),
-        text_map(fields),
+        encode_text_map(fields),
         pack_field(BOOL, 3),
         TRUE_AND_STOPS if good else FALSE_AND_STOPS,
     )
-    return string(b"".join(parts))
+    return encode_string(b"".join(parts))
 
 
 def _declared_exception(sequence: int, field: int, fields: Mapping[str, str]) -> bytes:
-    inner = pack_field(MAP, 1) + text_map(fields) + b"\0"
+    inner = pack_field(MAP, 1) + encode_text_map(fields) + b"\0"
     return encode_message(REPLY, b"submit", sequence, pack_field(STRUCT, field) + inner + b"\0")
 
 
@@ -192,15 +192,15 @@
 
 def application_exception(sequence: int, name: str, kind: int, text: str) -> bytes:
     """Return an exception for a call that was invalid; `kind`: UNKNOWN_METHOD or PROTOCOL_ERROR."""
-    text_field = pack_field(STRING, 1) + string(text.encode())
+    text_field = pack_field(STRING, 1) + encode_string(text.encode())
     kind_field = pack_field(I32, 2) + pack_length(kind)
     return encode_message(EXCEPTION, name.encode(), sequence, text_field + kind_field + b"\0")
 
 
 def submit_call(sequence: int, fields: Mapping[str, str], body: bytes) -> bytes:
     """Return a call of `submit`, as a dispatcher sends it; fields: name -> text."""
-    fields_field = pack_field(MAP, 1) + text_map(fields)
-    body_field = pack_field(STRING, 2) + string(body)
+    fields_field = pack_field(MAP, 1) + encode_text_map(fields)
+    body_field = pack_field(STRING, 2) + encode_string(body)
     return encode_message(CALL, b"submit", sequence, fields_field + body_field + b"\0")
 
 
--- a/tests/dispatchers_double.py
+++ b/tests/dispatchers_double.py
@@ -149,5 +149,5 @@
 def read_answer(data):
     """Kind, name, sequence number and arguments of an answer to a dispatcher."""
     reader = Reader(data[4:])
-    head = reader.integer(I32) & 0xFF
-    return head, reader.value(STRING), reader.integer(I32), reader.value(STRUCT)
+    head = reader.read_integer(I32) & 0xFF
+    return head, reader.read_value(STRING), reader.read_integer(I32), reader.read_value(STRUCT)
--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -220,11 +220,11 @@
     """Of the protocol's own reader, whatever the message is."""
     reader = Reader(data[4:])
     values = [
-        reader.integer(I32),
-        reader.value(STRING),
-        reader.integer(I32),
+        reader.read_integer(I32),
+        reader.read_value(STRING),
+        reader.read_integer(I32),
     ]
-    return plain([*values, reader.value(STRUCT)])
+    return plain([*values, reader.read_value(STRUCT)])
 
 
 def read_back(name, data):
