--- a/finchcart/thrift/__init__.py
+++ b/finchcart/thrift/__init__.py
@@ -1,6 +1,7 @@
-"""The frontend that dispatchers speak to: framed Thrift in the strict binary protocol.
+"""The frontend for dispatchers, which send RPCs as framed Thrift in the strict binary protocol.
 
-Owns the dispatchers' connections: codec.py their bytes, messages.py what they say, fields.py the ranges of an
-RPC's fields, frontend.py what a message means, connection_*.py the connections' state. It must never decide
-about an RPC, nor touch the core's state but through finchcart/node/frontend.py.
+binary_protocol.py reads and writes Thrift values, codec.py the messages of dispatchers; fields.py validates
+the fields of an RPC; frontend.py handles each message; dispatcher_connections.py and connection_*.py manage
+the dispatchers' connections. This package must never decide about an RPC, and must access the core's state
+only through the contract in finchcart/node/frontend.py.
 """
--- a/finchcart/thrift/binary_protocol.py
+++ b/finchcart/thrift/binary_protocol.py
@@ -1,7 +1,7 @@
-"""Thrift's strict binary protocol: values and messages, read and written.
+"""Reads and writes values and messages in Thrift's strict binary protocol.
 
-Owns the form of the bytes, by the specification of the protocol; codec.py owns which messages there are. Pure
-functions, and a reader that raises nothing but `ProtocolError` and `struct.error`, whatever the bytes.
+This module implements the byte format of the protocol's specification; codec.py defines the messages. The
+functions are pure. `Reader` raises only `ProtocolError` and `struct.error`, whatever bytes it reads.
 """
 
 import struct
@@ -9,7 +9,7 @@
 
 from finchcart.errors import ProtocolError
 
-# Kinds of messages.
+# Message types.
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
@@ -17,7 +17,7 @@
 VERSION = 0x80010000
 VERSION_MASK = 0xFFFFFF00
 KIND_MASK = 0xFF
-# Types of values.
+# Value types.
 STOP = 0
 BOOL = 2
 BYTE = 3
@@ -38,29 +38,32 @@
     I64: struct.Struct(">q"),
 }
 LENGTH = struct.Struct(">i")
-FIELD = struct.Struct(">bh")  # type and number
-HEAD = struct.Struct(">bbi")  # of a map: types of keys and values, and how many
+FIELD = struct.Struct(">bh")  # the header of a field: its type and number
+MAP_HEADER = struct.Struct(">bbi")  # key type, value type, number of pairs
 LENGTH_BYTES = LENGTH.size
-# Bound methods: CPython 3.11 calls the method of an imported name slower.
+# Bound methods, as CPython 3.11 takes longer to call a method through an imported name.
 pack_length = LENGTH.pack
 pack_field = FIELD.pack
 unpack_length = LENGTH.unpack_from
-MAX_DEPTH = 16  # of structures within structures
+MAX_DEPTH = 16  # nesting levels of structs and containers
 
-ThriftStruct = dict[tuple[int, int], "ThriftValue"]  # by number and type of each field
-ThriftPair = tuple["ThriftValue", ...]  # a key and its value, of a map
+ThriftStruct = dict[tuple[int, int], "ThriftValue"]  # keyed by the number and type of each field
+ThriftPair = tuple["ThriftValue", ...]  # a key of a map and its value
 ThriftValue = bytes | bool | int | float | ThriftStruct | list["ThriftValue"] | list[ThriftPair]
 
 
 class Reader:
-    """Reads values in sequence; `position` is where the next begins."""
+    """Reads values in sequence; `position` is the offset of the next value."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.position = 0
 
     def read_strings(self, count: int) -> list[bytes]:
-        """Return the next `count` strings. Fast, as an RPC's fields are most of what is read here."""
+        """Return the next `count` strings.
+
+        Optimized for speed, as most of the values that are read are the fields of RPCs.
+        """
         data = self.data
         size = len(data)
         end = self.position
@@ -70,7 +73,7 @@
             start = end + LENGTH_BYTES
             end = start + length_at(data, end)[0]
             if not start <= end <= size:
-                raise ProtocolError(f"cut off: a string from {start} to {end} of {size} bytes")
+                raise ProtocolError(f"truncated message: a string from {start} to {end} of {size} bytes")
             strings.append(data[start:end])
         self.position = end
         return strings
@@ -80,11 +83,13 @@
         start = self.position
         self.position += count
         if count < 0 or self.position > len(self.data):
-            raise ProtocolError(f"cut off: {count} bytes wanted at {start} of {len(self.data)}")
+            raise ProtocolError(
+                f"truncated message: expected {count} bytes at offset {start} of {len(self.data)}"
+            )
         return self.data[start : self.position]
 
     def read_integer(self, kind: int) -> int:
-        """Return an integer of one of the types BYTE, I16, I32 and I64."""
+        """Return an integer of type BYTE, I16, I32 or I64."""
         shape = FIXED_SIZE[kind]
         return shape.unpack(self.read_bytes(shape.size))[0]
 
@@ -93,17 +98,20 @@
         return self.read_bytes(self.read_integer(I32))
 
     def read_count(self) -> int:
-        """Return a count of elements, bounded by the bytes left: each element takes at least one."""
+        """Return a number of elements; each takes at least a byte, so the remaining bytes bound it."""
         count = self.read_integer(I32)
-        left = len(self.data) - self.position
-        if not 0 <= count <= left:
-            raise ProtocolError(f"a count of {count} with {left} bytes left")
+        remaining = len(self.data) - self.position
+        if not 0 <= count <= remaining:
+            raise ProtocolError(f"invalid element count: {count}, with {remaining} bytes remaining")
         return count
 
     def read_value(self, kind: int, depth: int = MAX_DEPTH) -> ThriftValue:
-        """Return a value of that type; a struct as (number, type) -> value, a map as a list of pairs."""
+        """Return a value of type `kind`.
+
+        A struct is returned as (number, type) -> value, a map as a list of pairs.
+        """
         if depth == 0:
-            raise ProtocolError("nested too deep")
+            raise ProtocolError("values are nested too deeply")
         if kind == STRING:
             return self.read_string()
         if kind == BOOL:
@@ -118,7 +126,7 @@
         if kind in (SET, LIST):
             element = self.read_bytes(1)[0]
             return [self.read_value(element, depth - 1) for _ in range(self.read_count())]
-        raise ProtocolError(f"no such type: {kind}")
+        raise ProtocolError(f"unknown value type: {kind}")
 
     def read_struct(self, depth: int = MAX_DEPTH) -> ThriftStruct:
         """Return a struct, as (number, type) -> value."""
@@ -142,7 +150,7 @@
 
 
 def decode_text_map(pairs: ThriftValue | None) -> dict[str, str] | None:
-    """Return a map of texts, or None where it is another value or not UTF-8."""
+    """Return a map of strings as text, or None if `pairs` is not such a map or a string is not UTF-8."""
     if not isinstance(pairs, list):
         return None
     texts: dict[str, str] = {}
@@ -160,23 +168,23 @@
 
 
 def encode_string(data: bytes) -> bytes:
-    """Return a string: its length, then its bytes."""
+    """Encode a string: its length, followed by its bytes."""
     return LENGTH.pack(len(data)) + data
 
 
 def encode_text_map(fields: Mapping[str, str]) -> bytes:
-    """Return a map of texts."""
-    parts = [HEAD.pack(STRING, STRING, len(fields))]
+    """Encode a map of strings."""
+    parts = [MAP_HEADER.pack(STRING, STRING, len(fields))]
     for name, text in fields.items():
         parts += encode_string(name.encode()), encode_string(text.encode())
     return b"".join(parts)
 
 
 def encode_message_header(kind: int, name: bytes) -> bytes:
-    """Return what a message opens with, before its sequence number."""
+    """Encode the beginning of a message, up to its sequence number."""
     return LENGTH.pack((VERSION | kind) - (1 << 32)) + encode_string(name)
 
 
 def encode_message(kind: int, name: bytes, sequence: int, arguments: bytes) -> bytes:
-    """Return a complete frame; `arguments` is a struct."""
+    """Encode a message as a complete frame; `arguments` is an encoded struct."""
     return encode_string(encode_message_header(kind, name) + LENGTH.pack(sequence) + arguments)
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -1,8 +1,8 @@
-"""The dispatchers' protocol, framed Thrift in the strict binary protocol: calls are read, replies written.
+"""Codec of the dispatchers' protocol: decodes dispatchers' calls and encodes the replies to them.
 
-Owns the bytes on dispatchers' connections, and the words of that protocol. A codec as protocol/framing.py has
-it: no I/O, nothing kept between calls, and nothing raised but `ProtocolError` on what it reads, whatever the
-bytes. What is read: protocol/messages.py.
+The protocol is framed Thrift in the strict binary protocol. This module defines its messages and the names in
+them; protocol/messages.py has the types of decoded messages. As protocol/framing.py requires, the functions
+do no I/O, keep no state, and raise only `ProtocolError`, whatever bytes they decode.
 """
 
 import struct
@@ -42,63 +42,63 @@
     unpack_length,
 )
 
-# Kinds of an application exception.
+# Types of a TApplicationException.
 UNKNOWN_METHOD = 1
 PROTOCOL_ERROR = 7
-# Exceptions that `submit` declares.
+# Field numbers of the exceptions that `submit` declares.
 REJECTED_FIELD = 1
 FAILED_FIELD = 2
-MAX_NAME_CHARACTERS = 60  # of a method that is not served
-
-# What a `submit` opens with in the order in which dispatchers write it.
-SUBMIT_HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x06submit"
-SUBMIT_FIELDS = b"\x0d\x00\x01\x0b\x0b"  # a map of texts as the first field
-SUBMIT_BODY = b"\x0b\x00\x02"  # then a string as the second
-SUBMIT_HEAD_END = len(SUBMIT_HEAD)
-SUBMIT_FIELDS_START = SUBMIT_HEAD_END + LENGTH_BYTES
+MAX_NAME_CHARACTERS = 60  # kept of the name of an unknown method
+
+# Parts of a `submit` message with its fields in the order in which dispatchers write them.
+SUBMIT_HEADER = b"\x80\x01\x00\x01\x00\x00\x00\x06submit"
+SUBMIT_FIELDS = b"\x0d\x00\x01\x0b\x0b"  # header of field 1, a map of strings
+SUBMIT_BODY = b"\x0b\x00\x02"  # header of field 2, a string
+SUBMIT_HEADER_END = len(SUBMIT_HEADER)
+SUBMIT_FIELDS_START = SUBMIT_HEADER_END + LENGTH_BYTES
 SUBMIT_FIELDS_END = SUBMIT_FIELDS_START + len(SUBMIT_FIELDS)
 
 
-# ---- Reading what dispatchers send
+# ---- Decoding
 
 
 def find_frame_end(data: bytes, start: int, max_size: int) -> int | None:
-    """Return where the first frame ends, or None until it is complete; see `Codec.find_frame_end`."""
+    """Return the end of the first frame, or None if it is incomplete; see `Codec.find_frame_end`."""
     if len(data) < start + LENGTH_BYTES:
         return None
     (length,) = unpack_length(data, start)
     if not 0 < length <= max_size - LENGTH_BYTES:
-        raise ProtocolError(f"a frame of {length} bytes")
+        raise ProtocolError(f"invalid frame length: {length} bytes")
     end = start + LENGTH_BYTES + length
     return end if len(data) >= end else None
 
 
 def decode_frame(data: bytes) -> DispatcherMessage:
-    """Read the message of a complete frame; raise `ProtocolError` where it is no call."""
+    """Decode the message of a complete frame; raise `ProtocolError` if it is not a call."""
     try:
         return decode_message(data[LENGTH_BYTES:])
     except struct.error as error:
-        raise ProtocolError(f"cut off: {error}") from None
+        raise ProtocolError(f"truncated message: {error}") from None
 
 
 THRIFT_CODEC = Codec(find_frame_end, decode_frame)
 
 
 def decode_message(data: bytes) -> DispatcherMessage:
-    """Read a message without the length of its frame; raise `ProtocolError` where it is no call."""
-    submit = _plain_submit(data)
+    """Decode a message without the length of its frame; raise `ProtocolError` if it is not a call."""
+    submit = _decode_common_submit(data)
     if submit:
         return submit
     reader = Reader(data)
-    head = reader.read_integer(I32) & 0xFFFFFFFF
-    kind = head & KIND_MASK
-    if head & VERSION_MASK != VERSION or kind not in (CALL, ONEWAY):
-        raise ProtocolError(f"not a call: {head:#010x}")
+    header = reader.read_integer(I32) & 0xFFFFFFFF
+    kind = header & KIND_MASK
+    if header & VERSION_MASK != VERSION or kind not in (CALL, ONEWAY):
+        raise ProtocolError(f"expected a call, got a message that begins with {header:#010x}")
     name = reader.read_string()
     sequence = reader.read_integer(I32)
     arguments = reader.read_struct()
     if reader.position != len(data):
-        raise ProtocolError(f"{len(data) - reader.position} bytes after the message")
+        raise ProtocolError(f"{len(data) - reader.position} unexpected bytes after the message")
     if name == b"submit" and kind == CALL:
         body = arguments.get((2, STRING))
         return SubmitCall(
@@ -114,12 +114,12 @@
     return UnservedCall(sequence, name.decode("utf-8", "replace")[:MAX_NAME_CHARACTERS])
 
 
-def _plain_submit(data: bytes) -> SubmitCall | None:
-    """Read a `submit` whose fields are in the usual order, without a check of each type.
+def _decode_common_submit(data: bytes) -> SubmitCall | None:
+    """Decode a `submit` message with its fields in the usual order; a fast path of `decode_message`.
 
-    Return None where it is another message, or in another order: then `decode_message` reads it.
+    Returns None for any other message or order of fields.
     """
-    if data[:SUBMIT_HEAD_END] != SUBMIT_HEAD:
+    if data[:SUBMIT_HEADER_END] != SUBMIT_HEADER:
         return None
     if data[SUBMIT_FIELDS_START:SUBMIT_FIELDS_END] != SUBMIT_FIELDS:
         return None
@@ -133,26 +133,26 @@
     if data[reader.position :] != b"\0":
         return None
     try:
-        words = [text.decode() for text in texts]
+        decoded = [text.decode() for text in texts]
     except UnicodeDecodeError:
         return None
-    (sequence,) = unpack_length(data, SUBMIT_HEAD_END)
-    return SubmitCall(sequence, dict(zip(words[::2], words[1::2], strict=True)), body)
+    (sequence,) = unpack_length(data, SUBMIT_HEADER_END)
+    return SubmitCall(sequence, dict(zip(decoded[::2], decoded[1::2], strict=True)), body)
 
 
-# ---- Writing
+# ---- Encoding
 
 
-# What replies open with, after the frame's length; then the sequence number.
-REPLY_HEADS = {name: encode_message_header(REPLY, name) for name in (b"submit", b"heartbeat")}
-REPLY_BODY = pack_field(STRUCT, 0) + pack_field(STRING, 1)
-TRUE_AND_STOPS = b"\1\0\0"
+# The beginning of each kind of reply, between the frame length and the sequence number.
+REPLY_HEADERS = {name: encode_message_header(REPLY, name) for name in (b"submit", b"heartbeat")}
+REPLY_BODY = pack_field(STRUCT, 0) + pack_field(STRING, 1)  # the result struct and the header of its field 1
+TRUE_AND_STOPS = b"\1\0\0"  # a bool, and the ends of both structs
 FALSE_AND_STOPS = b"\0\0\0"
 
 
 def _reply(name: bytes, sequence: int, body: bytes, fields: Mapping[str, str], good: bool) -> bytes:
     parts = (
-        REPLY_HEADS[name],
+        REPLY_HEADERS[name],
         pack_length(sequence),
         REPLY_BODY,
         pack_length(len(body)),
@@ -171,12 +171,12 @@
 
 
 def ok_reply(sequence: int, body: bytes, fields: Mapping[str, str]) -> bytes:
-    """Return the reply to an RPC that completed, with its result and header fields."""
+    """Return the reply to an RPC that completed, with its result and fields."""
     return _reply(b"submit", sequence, body, fields, True)
 
 
 def rejected_reply(sequence: int, fields: Mapping[str, str]) -> bytes:
-    """Return the reply to an RPC that never ran here."""
+    """Return the reply to an RPC that was rejected and never ran on this node."""
     return _declared_exception(sequence, REJECTED_FIELD, fields)
 
 
@@ -191,19 +191,19 @@
 
 
 def application_exception(sequence: int, name: str, kind: int, text: str) -> bytes:
-    """Return an exception for a call that was invalid; `kind`: UNKNOWN_METHOD or PROTOCOL_ERROR."""
+    """Return the exception for an invalid call; `kind` is UNKNOWN_METHOD or PROTOCOL_ERROR."""
     text_field = pack_field(STRING, 1) + encode_string(text.encode())
     kind_field = pack_field(I32, 2) + pack_length(kind)
     return encode_message(EXCEPTION, name.encode(), sequence, text_field + kind_field + b"\0")
 
 
 def submit_call(sequence: int, fields: Mapping[str, str], body: bytes) -> bytes:
-    """Return a call of `submit`, as a dispatcher sends it; fields: name -> text."""
+    """Return a `submit` call as a dispatcher sends it; `fields` maps names to text."""
     fields_field = pack_field(MAP, 1) + encode_text_map(fields)
     body_field = pack_field(STRING, 2) + encode_string(body)
     return encode_message(CALL, b"submit", sequence, fields_field + body_field + b"\0")
 
 
 def closing_notice() -> bytes:
-    """Return the notice that the node is about to close the connection."""
+    """Return the notice that the node will close the connection."""
     return encode_message(ONEWAY, b"closing", 0, b"\0")
