--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -175,13 +175,13 @@
 
     def close_due(self, number: int) -> None:
         """Attempt to close, unless an RPC is open: all that was received before is handed over."""
-        connection = self.table.usable(number)
+        connection = self.table.find_usable(number)
         if connection and not connection.open_rpcs:
             self.effect_buffer.emit(CloseIfIdle(number))
 
     def close_attempted(self, number: int, closed: bool) -> None:
         """End a connection that is closed, or schedule another attempt."""
-        connection = self.table.usable(number)
+        connection = self.table.find_usable(number)
         if connection is None:
             return
         connection.close_attempts += 1
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -1,7 +1,7 @@
-"""The dispatchers' connections: what is open on each, and how one is ended.
+"""The state of the dispatchers' connections, and how a connection is ended.
 
-Owns the state of each connection. It must never close a connection that has a response pending, unless
-the dispatcher has gone or the kill is due.
+A `DispatcherConnectionTable` owns the state of each connection. It must never close a connection that has a
+response pending, unless the dispatcher has gone or the kill is due.
 """
 
 from enum import Enum
@@ -13,20 +13,21 @@
 
 
 class DispatcherConnectionState(Enum):
-    """Where a connection stands on its way to its end; connection_closer.py has the table of transitions.
+    """The state of a connection during its close; connection_closer.py has the table of transitions.
 
-    Source: PROTOCOL.md, "Dispatchers to nodes": `closing`, and what crosses a close.
+    The protocol is described in PROTOCOL.md, "Dispatchers to nodes": the notice `closing`, and requests that
+    cross a close.
     """
 
     OPEN = "open"
-    ANNOUNCED = "close announced"  # requests are served; the dispatcher is expected to close
-    CLOSING = "closing"  # requests are served; closed as soon as nothing is open or on its way
-    UNREADABLE = "unreadable"  # it sent what cannot be read: closed once its answers are written
+    ANNOUNCED = "close announced"  # requests are served; the dispatcher is expected to close the connection
+    CLOSING = "closing"  # requests are served; closed once no RPC is open and no data is in transit
+    UNREADABLE = "unreadable"  # received invalid bytes; closed once the answers to earlier RPCs are written
     ENDED = "ended"  # nothing more is read or sent
 
     @property
     def is_usable(self) -> bool:
-        """Return whether messages are still accepted."""
+        """Return whether messages are still accepted on the connection."""
         return self in (
             DispatcherConnectionState.OPEN,
             DispatcherConnectionState.ANNOUNCED,
@@ -56,29 +57,29 @@
     def __init__(self, number: int, now: int) -> None:
         self.number = number
         self.open_rpcs: dict[int, NodeRpc] = {}  # by sequence number
-        self.calls = 0  # messages that require an answer
+        self.calls = 0  # received messages that require an answer
         self.last_message_at = now
-        self.write_blocked = False  # the dispatcher does not read what is sent
-        self.reads_requested = 1  # and not completed
-        self.reads_after_resume = 0  # reads that are requested once its writes are not blocked any more
+        self.write_blocked = False  # data is pending because the dispatcher does not read
+        self.reads_requested = 1  # batches that were requested and not received yet
+        self.reads_after_resume = 0  # batches to request once writes are no longer blocked
         self.idle_since: int | None = None
-        self.idle_timer_at: int | None = None  # the one timer that counts
-        self.health_checked = False
+        self.idle_timer_at: int | None = None  # due time of the current idle timer; others are ignored
+        self.health_checked = False  # the connection has carried a health check
         self.state = DispatcherConnectionState.OPEN
-        self.is_close_scheduled = False  # another attempt to close it
-        self.close_attempts = 0  # since something came last
+        self.is_close_scheduled = False  # a timer for the next attempt to close is pending
+        self.close_attempts = 0  # since the last message
 
     @property
     def ended(self) -> bool:
-        """Return whether nothing more is read or sent."""
+        """Return whether the connection has ended: nothing more is read or sent."""
         return self.state is DispatcherConnectionState.ENDED
 
 
 class DispatcherConnectionTable:
     """The connections by number. Times are whole microseconds.
 
-    Bounds: `limits.max_connections`, kept by connection_limiter.py; `limits.open_rpcs` on each, kept by the
-    frontend.
+    connection_limiter.py keeps the table within `limits.max_connections`; the frontend keeps each connection
+    within `limits.open_rpcs`.
     """
 
     def __init__(self, host: FrontendHost, limits: Limits) -> None:
@@ -89,12 +90,12 @@
         self.connections: dict[int, DispatcherConnection] = {}
 
     def add(self, number: int) -> DispatcherConnection:
-        """Add a connection that a dispatcher made, and return its state."""
+        """Add a connection that a dispatcher opened, and return its state."""
         connection = self.connections[number] = DispatcherConnection(number, self.effect_buffer.now)
         return connection
 
-    def usable(self, number: int) -> DispatcherConnection | None:
-        """Return the connection of that number, or None where messages are no longer accepted from it."""
+    def find_usable(self, number: int) -> DispatcherConnection | None:
+        """Return the connection with that number, or None if messages are no longer accepted on it."""
         connection = self.connections.get(number)
         return connection if connection and connection.state.is_usable else None
 
@@ -109,22 +110,23 @@
         return len(self.connections) > self.max_connections * 3 // 4
 
     def send(self, connection: DispatcherConnection, data: bytes) -> None:
-        """Write, unless the connection has ended."""
+        """Send data, unless the connection has ended."""
         if not connection.ended:
             self.effect_buffer.emit(Send(connection.number, data))
 
     # ---- Reads
 
     def request_more_reads(self, connection: DispatcherConnection) -> None:
-        """Request the next reads, after a batch.
+        """Request the next batches, after a batch was received.
 
-        A connection that carried RPCs is read ahead: its reader need not be woken for each. One whose peer
-        does not read what it is sent is not: guards against one that sends and never reads.
+        For a connection that carries RPCs, several batches are requested ahead, so that the reader thread
+        need not be woken for each batch. Nothing is requested while writes are blocked: a dispatcher that
+        sends and never reads is read no further.
         """
         connection.reads_requested -= 1
-        only_checks = connection.health_checked or connection.calls < 2
-        wanted = 1 if only_checks else self.limits.read_ahead
-        connection.reads_after_resume = max(0, wanted - connection.reads_requested)
+        carries_few_rpcs = connection.health_checked or connection.calls < 2
+        batches = 1 if carries_few_rpcs else self.limits.read_ahead
+        connection.reads_after_resume = max(0, batches - connection.reads_requested)
         if not connection.write_blocked:
             self._request_reads(connection)
 
@@ -135,12 +137,12 @@
         connection.reads_after_resume = 0
 
     def write_blocked(self, number: int) -> None:
-        """Stop reading from a dispatcher that does not read what it is sent."""
+        """Stop reading from a dispatcher that does not read the data sent to it."""
         if number in self.connections:
             self.connections[number].write_blocked = True
 
     def write_resumed(self, number: int) -> None:
-        """Read again, as all pending data is written; or end what waited for that."""
+        """Resume reading, as all pending data is written, or end a connection that waited for the writes."""
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -148,22 +150,25 @@
         if connection.state.is_usable:
             self._request_reads(connection)
         else:
-            self.end_unreadable(connection)
+            self.end_if_unreadable(connection)
 
-    # ---- The end of a connection
+    # ---- Ending a connection
 
     def end(self, connection: DispatcherConnection, effect: type[Close] | type[Drop] = Close) -> None:
-        """End a connection: nothing more is read or sent, and a peer that does not close is dropped."""
+        """End a connection: nothing more is read or sent.
+
+        The connection is dropped if the peer has not closed it after the linger timeout.
+        """
         connection.state = DispatcherConnectionState.ENDED
         self.effect_buffer.emit(effect(connection.number))
-        linger = self.limits.crossing_window_us if self.is_nearly_full else self.limits.linger_timeout_us
-        self.effect_buffer.schedule(self.effect_buffer.now + linger, self._drop_ended, connection)
+        linger_us = self.limits.crossing_window_us if self.is_nearly_full else self.limits.linger_timeout_us
+        self.effect_buffer.schedule(self.effect_buffer.now + linger_us, self._drop_ended, connection)
 
     def _drop_ended(self, connection: DispatcherConnection) -> None:
-        """Drop a connection that has ended, once nothing is pending.
+        """Drop a connection that has ended, once no data is pending.
 
-        Guards against answers that are cut off as the peer reads slowly. A write that makes no progress
-        breaks the connection by itself.
+        A peer that reads slowly still receives all answers. A write that makes no progress breaks the
+        connection by itself.
         """
         if connection.write_blocked and connection.number in self.connections:
             self.effect_buffer.schedule(
@@ -172,12 +177,12 @@
         else:
             self.effect_buffer.emit(Drop(connection.number))
 
-    def end_unreadable(self, connection: DispatcherConnection) -> None:
-        """End a connection that sent what cannot be read, once its answers are written."""
-        is_done = not connection.open_rpcs and not connection.write_blocked
-        if connection.state is DispatcherConnectionState.UNREADABLE and is_done:
+    def end_if_unreadable(self, connection: DispatcherConnection) -> None:
+        """End a connection that received invalid bytes, if all its answers are written."""
+        is_answered = not connection.open_rpcs and not connection.write_blocked
+        if connection.state is DispatcherConnectionState.UNREADABLE and is_answered:
             self.end(connection)
 
     def remove(self, number: int) -> DispatcherConnection | None:
-        """Remove a closed connection, and return its state, or None."""
+        """Remove a closed connection; return its state, or None if there is no such connection."""
         return self.connections.pop(number, None)
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -68,7 +68,7 @@
 
     def message_received(self, number: int, message: DispatcherMessage) -> None:
         """Handle one message by its type; ignore those after one that cannot be read."""
-        connection = self.table.usable(number)
+        connection = self.table.find_usable(number)
         if connection is None:
             return
         kind = type(message)
@@ -83,7 +83,7 @@
 
     def batch_completed(self, number: int) -> None:
         """Request the next reads."""
-        connection = self.table.usable(number)
+        connection = self.table.find_usable(number)
         if connection:
             self.table.request_more_reads(connection)
 
@@ -97,7 +97,7 @@
 
     def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
         """End the connection; `fault` is None where the dispatcher closed it."""
-        connection = self.table.usable(number)
+        connection = self.table.find_usable(number)
         if connection is None:
             return  # one that sent what cannot be read may end after that: its responses are pending still
         if fault is not None:
@@ -107,7 +107,7 @@
             self.effect_buffer.log_fault(PARTY, "unreadable", text)
             connection.state = DispatcherConnectionState.UNREADABLE
             self.core.record_invalid_traffic(number)
-            self.table.end_unreadable(connection)
+            self.table.end_if_unreadable(connection)
         else:
             if not connection.calls and connection.state is DispatcherConnectionState.OPEN:
                 self.core.record_invalid_traffic(number)
@@ -146,7 +146,7 @@
         if not connection.open_rpcs:
             connection.idle_since = self.effect_buffer.now
             self.closer.all_answered(connection)
-        self.table.end_unreadable(connection)
+        self.table.end_if_unreadable(connection)
 
     # ---- Messages
 
