--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -1,21 +1,22 @@
-"""The closing of dispatchers' connections by the node: announced before, with nothing in flight.
+"""The closing handshake by which the node closes dispatchers' connections without losing an RPC.
 
-Owns the timers of idle, unused and health-checked connections and the closing handshake. It must never let an
-RPC cross a close unanswered.
+A `ConnectionCloser` owns the handshake, and the timers of idle connections, unused connections and
+connections with health checks. An RPC that crosses a close must never stay unanswered.
 
-The dispatcher closes a connection whose close was announced, once everything on it is answered (PROTOCOL.md).
-Its end follows all that it sent, while a close by the node may cross a request of one that reads the notice
-late. So the node closes only where the dispatcher did not, when its patience or the node's time is over:
+The node first announces the close. The dispatcher then closes the connection once everything on it is
+answered (PROTOCOL.md). A close by the dispatcher is safe because it follows all data that the dispatcher
+sent. A close by the node may cross a request, if the dispatcher reads the notice late. So the node closes a
+connection itself only if the dispatcher did not close it in time, or if the node is about to end:
 
 | state | input | next |
 | --- | --- | --- |
-| OPEN | idle, silent or unused for its time; the node leaves | the notice is sent: ANNOUNCED |
-| ANNOUNCED, CLOSING | a request | is served; the state stays |
-| ANNOUNCED | its patience is over, or the node ends | CLOSING |
-| CLOSING | an RPC is open, or something is on its way | the state stays; another look follows |
-| CLOSING | nothing is | the node's direction is closed: ENDED |
+| OPEN | a timeout (idle, silent, unused), or the node drains | the notice is sent: ANNOUNCED |
+| ANNOUNCED, CLOSING | a request | it is served; the state stays |
+| ANNOUNCED | the close delay has passed, or the node is about to end | CLOSING |
+| CLOSING | an RPC is open, or data is in transit | the state stays; another attempt follows |
+| CLOSING | no RPC is open, and no data is in transit | the node's direction is closed: ENDED |
 | OPEN, ANNOUNCED, CLOSING | the dispatcher closes | its RPCs are abandoned: ENDED |
-| OPEN, ANNOUNCED, CLOSING | what cannot be read | UNREADABLE; ENDED once its answers are written |
+| OPEN, ANNOUNCED, CLOSING | invalid bytes | UNREADABLE; ENDED once its answers are written |
 """
 
 from finchcart.limits import Limits
@@ -31,10 +32,10 @@
 
 
 class ConnectionCloser:
-    """The closing handshake of each connection. Times are whole microseconds.
+    """Runs the closing handshake of each connection. Times are whole microseconds.
 
-    Bounds: a few timers a connection: one that counts for idling, one each for unused, checked, announced and
-    closing.
+    A connection has a bounded number of timers: the current idle timer, and one timer each for an unused
+    connection, for health checks, for the close delay and for the next attempt to close.
     """
 
     def __init__(self, host: FrontendHost, limits: Limits, table: DispatcherConnectionTable) -> None:
@@ -42,20 +43,20 @@
         self.effect_buffer = host.effect_buffer
         self.limits = limits
         self.table = table
-        self.idle_timeout_us: int | None = None  # None: not known yet
-        self.announces_new = False  # the close of connections that are made from now on
-        self.is_ending = False  # each connection is closed as soon as nothing is open on it
+        self.idle_timeout_us: int | None = None  # None until the decision module has set it
+        self.announces_new = False  # whether the close of each new connection is announced immediately
+        self.is_ending = False  # the node is about to end: each connection is closed once no RPC is open
 
     # ---- Idle connections
 
     def set_idle_timeout(self, timeout_us: int) -> None:
-        """Close connections that have been idle for this time, from now on."""
+        """Set the time after which idle connections are closed, from now on."""
         self.idle_timeout_us = timeout_us
         for connection in list(self.table.connections.values()):
             self.check_idle(connection)
 
     def check_idle(self, connection: DispatcherConnection) -> None:
-        """Close a connection that has been idle for the timeout, or schedule a later check."""
+        """Announce the close of a connection that has been idle for the timeout, or schedule a check."""
         if connection.idle_since is None or self.idle_timeout_us is None:
             return
         if connection.state is not DispatcherConnectionState.OPEN:
@@ -64,7 +65,7 @@
         if self.effect_buffer.now >= due:
             self.announce(connection)
         elif connection.idle_timer_at is None or connection.idle_timer_at > due:
-            # Guards against timers that pile up on a busy connection: only its next check counts.
+            # Only one idle timer is current, so that timers do not accumulate for a busy connection.
             connection.idle_timer_at = due
             self.effect_buffer.schedule(due, self._idle_due, connection, due)
 
@@ -73,35 +74,36 @@
             connection.idle_timer_at = None
             self.check_idle(connection)
 
-    # ---- Connections of health checks, and unused ones
+    # ---- Connections with health checks, and unused connections
 
-    def check_health_checker(self, connection: DispatcherConnection) -> None:
-        """Close a connection that carries health checks alone, once it is silent.
+    def check_health_check_connection(self, connection: DispatcherConnection) -> None:
+        """Announce the close of a connection with health checks that has been silent, or schedule a check.
 
-        Guards against those that check once and stay open, above all where there are many.
+        Clients that make one health check and stay connected would otherwise fill the table. If the table is
+        crowded, connections with a single call are closed after a shorter time.
         """
         if connection.state is not DispatcherConnectionState.OPEN:
             return
         now = self.effect_buffer.now
-        checked_once = connection.calls < 2 and self.table.is_crowded
+        has_short_timeout = connection.calls < 2 and self.table.is_crowded
         timeout_us = (
-            self.limits.silent_timeout_us if checked_once else self.limits.health_check_idle_timeout_us
+            self.limits.silent_timeout_us if has_short_timeout else self.limits.health_check_idle_timeout_us
         )
         due = connection.last_message_at + timeout_us
         if now < due:
             when = min(due, now + self.limits.silent_timeout_us)
-            self.effect_buffer.schedule(when, self.check_health_checker, connection)
+            self.effect_buffer.schedule(when, self.check_health_check_connection, connection)
         elif not connection.open_rpcs:
             self.announce(connection, self.limits.unused_close_delay_us)
 
-    def watch_unused(self, connection: DispatcherConnection) -> None:
-        """Close a new connection that carries no message in time."""
+    def schedule_unused_check(self, connection: DispatcherConnection) -> None:
+        """Schedule the check that closes a new connection without any message."""
         self.effect_buffer.schedule(
             self.effect_buffer.now + self.limits.unused_timeout_us, self._close_unused, connection
         )
 
     def _close_unused(self, connection: DispatcherConnection) -> None:
-        # Guards against those that stay silent, or never complete what they send.
+        # The client stayed silent, or never completed its first message.
         if not connection.calls and connection.state is DispatcherConnectionState.OPEN:
             self.host.record_invalid_traffic(connection.number)
             self.announce(connection, self.limits.unused_close_delay_us)
@@ -109,17 +111,17 @@
     # ---- The end of the node
 
     def announce_all(self) -> None:
-        """Announce to every connection that it will be closed.
+        """Announce the close of every open connection.
 
-        Guards against busy connections, which are never idle: a kill would cut them with RPCs in flight.
-        Those that are made later are closed when they are idle, or at the end: else their callers would
-        reconnect for each RPC.
+        Busy connections are never idle, so without the notice the kill would break them with RPCs in
+        flight. Connections that are opened later are closed when they are idle or when the node ends: with
+        an immediate notice, their callers would reconnect for each RPC.
         """
         for connection in list(self.table.connections.values()):
             self.announce(connection)
 
     def close_all(self) -> None:
-        """Close each connection as soon as nothing is open on it or unread."""
+        """Close each connection as soon as no RPC is open on it and no data is unread."""
         self.is_ending = True
         for connection in list(self.table.connections.values()):
             self.announce(connection)
@@ -127,20 +129,20 @@
 
     # ---- The closing handshake
 
-    def announce(self, connection: DispatcherConnection, patience_us: int | None = None) -> None:
-        """Begin to close a connection, so that no RPC crosses the close.
+    def announce(self, connection: DispatcherConnection, delay_us: int | None = None) -> None:
+        """Send the notice of the close to the dispatcher, which then has `delay_us` to close the connection.
 
-        The dispatcher is notified, and given `patience_us` (None: the usual time) to close it.
+        Without `delay_us`, it has `limits.close_delay_us`. The notice keeps RPCs from crossing the close.
         """
         if connection.state is not DispatcherConnectionState.OPEN:
             return
         connection.state = DispatcherConnectionState.ANNOUNCED
         self.table.send(connection, codec.closing_notice())
-        due = self.effect_buffer.now + (patience_us or self.limits.close_delay_us)
+        due = self.effect_buffer.now + (delay_us or self.limits.close_delay_us)
         self.effect_buffer.schedule(due, self._begin_closing, connection)
 
-    def all_answered(self, connection: DispatcherConnection) -> None:
-        """Go on with the close, or count the idle time, now that no RPC is open on the connection."""
+    def last_rpc_closed(self, connection: DispatcherConnection) -> None:
+        """Continue the close or check the idle time, as no RPC is open on the connection any more."""
         if connection.state is DispatcherConnectionState.CLOSING:
             self._schedule_close(connection)
         else:
@@ -152,7 +154,7 @@
             self._defer_close(connection)
 
     def _schedule_close(self, connection: DispatcherConnection) -> None:
-        """Schedule another attempt; one is scheduled at most."""
+        """Schedule another attempt to close, unless one is already scheduled."""
         if connection.is_close_scheduled:
             return
         connection.is_close_scheduled = True
@@ -164,32 +166,34 @@
         return limits.finish_retry_interval_us if self.is_ending else limits.close_retry_interval_us
 
     def _defer_close(self, connection: DispatcherConnection) -> None:
-        """Attempt the close after all that was received before it.
+        """Attempt the close after all inputs that were received before.
 
-        Within another input's turn an RPC of this connection could be handed over between the check and the
-        close.
+        If the attempt were made immediately, an RPC of this connection might be waiting among the inputs of
+        the current turn, and would be processed between the check and the close.
         """
         connection.is_close_scheduled = False
         if connection.state is DispatcherConnectionState.CLOSING:
             self.effect_buffer.emit(Defer(CloseDue(connection.number)))
 
     def close_due(self, number: int) -> None:
-        """Attempt to close, unless an RPC is open: all that was received before is handed over."""
+        """Attempt to close unless an RPC is open; all inputs that were received before are processed."""
         connection = self.table.find_usable(number)
         if connection and not connection.open_rpcs:
             self.effect_buffer.emit(CloseIfIdle(number))
 
     def close_attempted(self, number: int, closed: bool) -> None:
-        """End a connection that is closed, or schedule another attempt."""
+        """End a connection that was closed, or schedule another attempt.
+
+        A dispatcher that has sent part of a message and does not complete it cannot delay the close for
+        longer than `limits.partial_message_timeout_us`.
+        """
         connection = self.table.find_usable(number)
         if connection is None:
             return
         connection.close_attempts += 1
-        tried_for_us = connection.close_attempts * self._retry_interval_us
-        is_withholding = (
-            tried_for_us > self.limits.partial_message_timeout_us and not connection.write_blocked
-        )
-        if closed or is_withholding:
-            self.table.end(connection)  # guards against one that never completes a message
+        elapsed_us = connection.close_attempts * self._retry_interval_us
+        is_incomplete = elapsed_us > self.limits.partial_message_timeout_us and not connection.write_blocked
+        if closed or is_incomplete:
+            self.table.end(connection)
         else:
             self._schedule_close(connection)
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -1,7 +1,7 @@
-"""The limit on dispatchers' connections: which are closed for new ones where there are many.
+"""The limit on dispatchers' connections: selects the connections that are closed to make room for new ones.
 
-Owns the timer by which a nearly full table is checked. It must never drop a connection that has an RPC open,
-nor one on which an RPC may be about to arrive.
+A `ConnectionLimiter` owns the timer by which a nearly full table is checked. It must never drop a connection
+with an open RPC, or one on which an RPC may be about to arrive.
 """
 
 from finchcart.limits import Limits
@@ -17,7 +17,10 @@
 
 
 class ConnectionLimiter:
-    """Keeps the table within `limits.max_connections`. Times are whole microseconds. Bounds: one timer."""
+    """Keeps the table within `limits.max_connections`, with at most one timer.
+
+    Times are whole microseconds.
+    """
 
     def __init__(
         self, host: FrontendHost, limits: Limits, table: DispatcherConnectionTable, closer: ConnectionCloser
@@ -26,10 +29,10 @@
         self.limits = limits
         self.table = table
         self.closer = closer
-        self._is_checking = False  # the table is nearly full, and checked from time to time
+        self._is_checking = False  # the table is nearly full and is checked periodically
 
     def connection_added(self) -> None:
-        """Close others where the connection that was added makes the table too full."""
+        """Close other connections if the connection that was added makes the table too full."""
         table = self.table
         if table.is_crowded:
             self._close_least_used()
@@ -38,58 +41,62 @@
         count = len(table.connections)
         if count > table.max_connections:
             self.effect_buffer.log_fault(
-                "dispatchers", "table full", f"{count} connections, {table.max_connections} at most"
+                "dispatchers",
+                "table full",
+                f"connection table is full: {count} connections, limit {table.max_connections}",
             )
             self._drop_unused()
 
     def _drop_unused(self) -> None:
         """Drop one unused connection, so that descriptors and memory do not run out.
 
-        It is the longest silent that made one health check, as no RPC comes on it; else the oldest that
-        carried no call, of which nothing ran. One that may be about to send is kept; where none else is left,
-        new ones wait in the backlog.
+        Prefers the connection that has been silent for the longest time after a single health check, as no
+        RPC is expected on it. Otherwise drops the connection that has been silent for the longest time
+        without any call, as nothing of it has run. A connection that may be about to send is kept; if no
+        other is left, new connections wait in the backlog.
         """
-        since = self.effect_buffer.now - self.limits.crossing_window_us
+        silent_since = self.effect_buffer.now - self.limits.crossing_window_us
         unused = (
             connection
             for connection in self.table.connections.values()
             if not connection.ended
             and connection.calls <= connection.health_checked
-            and (connection.health_checked or connection.last_message_at <= since)
+            and (connection.health_checked or connection.last_message_at <= silent_since)
         )
-        least = min(unused, key=_by_health_check_and_silence, default=None)
-        if least:
-            self.table.send(least, codec.closing_notice())
-            self.table.end(least, Drop)
+        selected = min(unused, key=_by_health_check_and_silence, default=None)
+        if selected:
+            self.table.send(selected, codec.closing_notice())
+            self.table.end(selected, Drop)
 
     def _close_least_used(self) -> bool:
         """Announce the close of the least used connection; return whether there was one.
 
-        Guards against many connections whose threads cost more than their RPCs. It is one that carried one
-        call at most, the longest silent first; where the table is nearly full, any that is idle, those of
-        health checks last, and at the limit after a shorter silence: a new caller with an RPC is admitted.
+        The threads of many connections can cost more than the connections' RPCs. Selects the connection that
+        has been silent for the longest time among those with at most one call. If the table is nearly full,
+        any idle connection can be selected, and connections with repeated health checks come last. At the
+        limit a shorter silence is enough, so that a new caller with an RPC is admitted.
         """
         at_limit = len(self.table.connections) >= self.table.max_connections
-        since = self.effect_buffer.now - (
+        silent_since = self.effect_buffer.now - (
             self.limits.crossing_window_us if at_limit else self.limits.silent_timeout_us
         )
-        most_calls = None if self.table.is_nearly_full else 1
-        least = min(
+        max_calls = None if self.table.is_nearly_full else 1
+        selected = min(
             (
                 connection
                 for connection in self.table.connections.values()
-                if _is_closable(connection, since, most_calls)
+                if _is_closable(connection, silent_since, max_calls)
             ),
             key=_by_repeated_checks_and_silence,
             default=None,
         )
-        if least is None:
+        if selected is None:
             return False
-        self.closer.announce(least, self.limits.unused_close_delay_us)
+        self.closer.announce(selected, self.limits.unused_close_delay_us)
         return True
 
     def _check_nearly_full(self) -> None:
-        """Free a quarter of the table while it is nearly full, also while nobody can be accepted."""
+        """Free a quarter of the table while it is nearly full, even if no connection can be accepted."""
         table = self.table
         self._is_checking = table.is_nearly_full
         if not self._is_checking:
@@ -98,9 +105,9 @@
         surplus = sum(not connection.ended for connection in connections) - table.max_connections
         for _ in range(surplus):
             self._drop_unused()
-        staying = sum(connection.state is DispatcherConnectionState.OPEN for connection in connections)
-        while staying > table.max_connections * 3 // 4 and self._close_least_used():
-            staying -= 1
+        open_count = sum(connection.state is DispatcherConnectionState.OPEN for connection in connections)
+        while open_count > table.max_connections * 3 // 4 and self._close_least_used():
+            open_count -= 1
         self.effect_buffer.schedule(
             self.effect_buffer.now + self.limits.crossing_window_us, self._check_nearly_full
         )
@@ -114,10 +121,14 @@
     return connection.health_checked and connection.calls > 1, connection.last_message_at
 
 
-def _is_closable(connection: DispatcherConnection, since: int, most_calls: int | None) -> bool:
-    """Return whether it has been silent since then, has nothing in flight and at most so many calls."""
-    if most_calls is not None and connection.calls > most_calls:
+def _is_closable(connection: DispatcherConnection, silent_since: int, max_calls: int | None) -> bool:
+    """Return whether a connection can be closed to make room.
+
+    It must be open, silent since `silent_since`, and have nothing in flight. With `max_calls`, it must also
+    have carried at most that many calls.
+    """
+    if max_calls is not None and connection.calls > max_calls:
         return False
-    if connection.last_message_at > since or connection.open_rpcs:
+    if connection.last_message_at > silent_since or connection.open_rpcs:
         return False
     return connection.state is DispatcherConnectionState.OPEN and not connection.write_blocked
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -64,7 +64,7 @@
         if self.closer.announces_new:
             self.closer.announce(connection)
         else:
-            self.closer.watch_unused(connection)
+            self.closer.schedule_unused_check(connection)
 
     def message_received(self, number: int, message: DispatcherMessage) -> None:
         """Handle one message by its type; ignore those after one that cannot be read."""
@@ -145,7 +145,7 @@
         """Update the connection after one of its RPCs was closed."""
         if not connection.open_rpcs:
             connection.idle_since = self.effect_buffer.now
-            self.closer.all_answered(connection)
+            self.closer.last_rpc_closed(connection)
         self.table.end_if_unreadable(connection)
 
     # ---- Messages
@@ -160,7 +160,7 @@
     def _on_heartbeat(self, connection: DispatcherConnection, sequence: int) -> None:
         if not connection.health_checked:
             connection.health_checked = True
-            self.closer.check_health_checker(connection)
+            self.closer.check_health_check_connection(connection)
         self.table.send(connection, codec.health_reply(sequence, self.healthy, self._feedback_fields()))
 
     def _on_revoke(self, connection: DispatcherConnection, sequence: int) -> None:
