--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -1,11 +1,11 @@
-"""Validation of the fields of an RPC.
+"""Validates the fields of an RPC.
 
-Owns the range of each field, which is checked before the decision module receives the RPC. Pure: it must
-never keep state, nor accept a value that no dispatcher sends.
+This module defines the range of each field, which is checked before the decision module receives the RPC. It
+must never keep state, or accept a value that no dispatcher sends.
 
-The fields, by name: `c` method, `k` idempotency key, `i` name of the attempt, `f` number of the dispatcher,
-`s` when it was sent (Unix milliseconds), `p` shed rank, `r` retry mark, `h` cost hint (milliseconds), `m`
-memory (KB).
+The fields by name: `c` method, `k` idempotency key, `i` name of the attempt, `f` number of the dispatcher,
+`s` time at which the RPC was sent (Unix milliseconds), `p` shed rank, `r` present on a retry, `h` hint of the
+service time (milliseconds), `m` memory (KB).
 """
 
 from collections.abc import Mapping
@@ -24,23 +24,23 @@
 MAX_UNIX_MS = 1e14
 MIN_MEMORY_KB = 1e-9
 MAX_MEMORY_KB = 2000
-QUOTED_CHARACTERS = 40  # of a field in an error
-NO_SHED_RANK = -1  # where an RPC carries none
+MAX_QUOTED_CHARACTERS = 40  # of a field's value in an error message
+NO_SHED_RANK = -1  # stands for a missing shed rank
 US_PER_MS = 1000
 
 
 class ArrivalReader(Protocol):
-    """Converts an RPC's Unix time to the node's clock; see node/wall_clock.py."""
+    """Converts the Unix time of an RPC to the node's clock; see node/wall_clock.py."""
 
     def read_arrival(self, stamp: int, late_read_us: int) -> Arrival | None:
-        """Return when an RPC of the current batch with this timestamp arrived, or None if it cannot have."""
+        """Return when an RPC of the current batch with this timestamp arrived; None if that is impossible."""
 
     def unix_now(self) -> int:
         """Return the Unix time in microseconds."""
 
 
 class ReadRpc(NamedTuple):
-    """An RPC's valid fields."""
+    """The validated fields of an RPC."""
 
     name: str
     method: str
@@ -51,10 +51,11 @@
 def read_number(
     fields: Mapping[str, str], name: str, low: float, high: float, default: float | None = None
 ) -> float:
-    """Return the number in a field, from `low` to under `high`; `default` where the field is missing.
+    """Return the number in a field; return `default` if the field is missing.
 
     Raises:
-        InvalidRpcError: it is not a number, out of range, or missing without a default.
+        InvalidRpcError: the value is not a number, is less than `low`, or is not less than `high`; or the
+            field is missing and there is no default.
     """
     text = fields.get(name)
     if text is None and default is not None:
@@ -79,7 +80,7 @@
     """Return the RPC that a call carries.
 
     Raises:
-        InvalidRpcError: with the field, its value and what was expected.
+        InvalidRpcError: a field is invalid. The message names the field, its value and the expected value.
     """
     if fields is None or body is None:
         raise InvalidRpcError("the call carries no fields or no body")
@@ -110,7 +111,7 @@
 
 
 def _quoted(text: str | None) -> str:
-    return repr(str(text)[:QUOTED_CHARACTERS])
+    return repr(str(text)[:MAX_QUOTED_CHARACTERS])
 
 
 def _read_name(fields: Mapping[str, str]) -> str:
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -1,8 +1,8 @@
-"""The Thrift frontend: dispatchers' messages become RPCs of the core, and final answers become replies.
+"""The Thrift frontend: passes dispatchers' RPCs to the core, and sends the core's final answers as replies.
 
-Owns what a message means and the fields of each reply; connections: dispatcher_connections.py,
-connection_closer.py and connection_limiter.py. It must never answer an RPC by itself once the core accepted
-it. Contract: node/frontend.py.
+This module handles each message and builds the fields of each reply. Connections are managed in
+dispatcher_connections.py, connection_closer.py and connection_limiter.py. Once the core has accepted an RPC,
+the frontend must never answer it on its own. The contract with the core is in node/frontend.py.
 """
 
 from collections.abc import Callable, Mapping
@@ -30,12 +30,12 @@
 )
 from finchcart.thrift.fields import read_rpc
 
-PARTY = "dispatchers"  # in log lines
+PARTY = "dispatchers"  # the name of the peers in log lines
 US_PER_MS = 1000
 
 
 class ThriftFrontend:
-    """A `Frontend`. Bounds: see `DispatcherConnectionTable`."""
+    """A `Frontend` for dispatchers; `DispatcherConnectionTable` bounds its connections and open RPCs."""
 
     def __init__(self, core: FrontendHost, limits: Limits) -> None:
         self.core = core
@@ -52,10 +52,10 @@
             UnservedCall: self._on_unserved,
         }
 
-    # ---- Connections: see ConnectionOwner and Frontend
+    # ---- Connections: methods of ConnectionOwner and Frontend
 
     def connection_opened(self, number: int) -> None:
-        """Add a connection that a dispatcher made; others may be closed for it."""
+        """Add a connection that a dispatcher opened; other connections may be closed to make room."""
         connection = self.table.add(number)
         self.limiter.connection_added()
         if connection.ended:
@@ -67,7 +67,7 @@
             self.closer.schedule_unused_check(connection)
 
     def message_received(self, number: int, message: DispatcherMessage) -> None:
-        """Handle one message by its type; ignore those after one that cannot be read."""
+        """Handle one message by its type; ignore messages after an invalid one."""
         connection = self.table.find_usable(number)
         if connection is None:
             return
@@ -82,28 +82,28 @@
             self.closer.check_idle(connection)
 
     def batch_completed(self, number: int) -> None:
-        """Request the next reads."""
+        """Request the next batches."""
         connection = self.table.find_usable(number)
         if connection:
             self.table.request_more_reads(connection)
 
     def write_blocked(self, number: int) -> None:
-        """Stop reading from a dispatcher that does not read what it is sent."""
+        """Stop reading from a dispatcher that does not read the data sent to it."""
         self.table.write_blocked(number)
 
     def write_resumed(self, number: int) -> None:
-        """Read again from a dispatcher that has read all it was sent."""
+        """Resume reading from a dispatcher to which all pending data is written."""
         self.table.write_resumed(number)
 
     def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
-        """End the connection; `fault` is None where the dispatcher closed it."""
+        """End the connection; `fault` is None if the dispatcher closed it or it broke."""
         connection = self.table.find_usable(number)
         if connection is None:
-            return  # one that sent what cannot be read may end after that: its responses are pending still
+            return  # an UNREADABLE connection may end later, while responses to earlier RPCs are pending
         if fault is not None:
-            # What was read before is answered, then this connection alone is closed.
+            # RPCs that were read before the fault are answered; then this connection is closed.
             pending = len(connection.open_rpcs)
-            text = f"connection {number}: {fault}; closed once {pending} answers are out"
+            text = f"connection {number}: {fault}; closing it once {pending} pending answers are sent"
             self.effect_buffer.log_fault(PARTY, "unreadable", text)
             connection.state = DispatcherConnectionState.UNREADABLE
             self.core.record_invalid_traffic(number)
@@ -118,15 +118,15 @@
         """Do nothing: this frontend opens no connections."""
 
     def close_due(self, number: int) -> None:
-        """Attempt the close, see `ConnectionCloser`."""
+        """Attempt to close the connection; see `ConnectionCloser.close_due`."""
         self.closer.close_due(number)
 
     def close_attempted(self, number: int, closed: bool) -> None:
-        """Handle the result of a close, see `ConnectionCloser`."""
+        """Handle the result of an attempt to close; see `ConnectionCloser.close_attempted`."""
         self.closer.close_attempted(number, closed)
 
     def connection_closed(self, number: int) -> None:
-        """Remove the connection, and abandon the RPCs whose callers went with it."""
+        """Remove the connection, and abandon its open RPCs."""
         connection = self.table.remove(number)
         if connection:
             self._abandon_all(connection)
@@ -175,7 +175,7 @@
         body: bytes | None,
     ) -> None:
         if sequence in connection.open_rpcs:
-            text = f"connection {connection.number}: sequence number {sequence} is in use; closed"
+            text = f"connection {connection.number}: sequence number {sequence} is already in use; closing it"
             self.effect_buffer.log_fault(PARTY, "sequence number in use", text)
             connection.state = DispatcherConnectionState.UNREADABLE
             return
@@ -199,7 +199,7 @@
         core = self.core
         read = read_rpc(fields, body, core, self.limits, core.methods, connection.number)
         if len(connection.open_rpcs) >= self.limits.open_rpcs or not core.ready:
-            # Beyond what the protocol allows, or before the worker pool is up: it never ran.
+            # Too many open RPCs on the connection, or the worker pool is not ready yet. Nothing has run.
             self.table.send(connection, codec.rejected_reply(sequence, self._feedback_fields()))
             return
         rpc = NodeRpc(self, (connection, sequence), read.name, read.method, read.body)
@@ -212,8 +212,8 @@
     def send_final_answer(
         self, rpc: NodeRpc, outcome: FinalOutcome, result: bytes, retry_after_us: int, do_not_retry: bool
     ) -> None:
-        """Send the one final answer of an RPC, see `Frontend`."""
-        connection, sequence = cast("tuple[DispatcherConnection, int]", rpc.reference)  # see `_accept`
+        """Send the final answer of an RPC; see `Frontend`."""
+        connection, sequence = cast("tuple[DispatcherConnection, int]", rpc.reference)  # set in `_accept`
         fields = self._feedback_fields()
         if outcome is FinalOutcome.OK:
             data = codec.ok_reply(sequence, result, fields)
@@ -230,14 +230,14 @@
         self._rpc_closed(connection)
 
     def _feedback_fields(self) -> dict[str, str]:
-        """Return the fields that all answers carry."""
+        """Return the feedback fields that every answer carries."""
         level = self.core.shed_level
         return {} if level is None else {"v": f"{level:.4f}"}
 
-    # ---- Notifications of the core: see Frontend
+    # ---- Notifications from the core: methods of Frontend
 
     def set_idle_timeout(self, timeout_us: int) -> None:
-        """Close connections that have been idle for this time, from now on."""
+        """Set the time after which idle connections are closed, from now on."""
         self.closer.set_idle_timeout(timeout_us)
 
     def set_health(self, healthy: bool) -> None:
@@ -245,19 +245,19 @@
         self.healthy = healthy
 
     def drain(self, kill_at: int) -> None:
-        """Do nothing: the decision module sets the idle timeout to its minimum now."""
+        """Do nothing: the decision module sets the idle timeout to its minimum when the drain begins."""
 
     def announce_close(self) -> None:
-        """Announce the close of every connection, see `ConnectionCloser`."""
+        """Announce the close of every open connection; see `ConnectionCloser.announce_all`."""
         self.closer.announce_all()
 
     def announce_close_of_new(self) -> None:
-        """Announce the close of every connection, also of those that are made later."""
+        """Announce the close of every open connection, and of each connection that is opened later."""
         self.closer.announces_new = True
         self.closer.announce_all()
 
     def close_now(self) -> None:
-        """Close each connection as soon as nothing is open on it, see `ConnectionCloser`."""
+        """Close each connection as soon as no RPC is open on it; see `ConnectionCloser.close_all`."""
         self.closer.close_all()
 
     def is_idle(self) -> bool:
