--- a/finchcart/protocol/__init__.py
+++ b/finchcart/protocol/__init__.py
@@ -1,5 +1,5 @@
-"""Codecs and framing of the platform's protocols, and what can happen to a connection.
+"""The codecs of the platform's protocols, the types of messages, and the events of a connection.
 
-Plain types and pure functions, shared by the node's core and by the sockets below it. It must never hold a
-socket, a thread or the state of a node.
+The package has plain types and pure functions, which the node's core and its socket layer share. It must
+never hold a socket, a thread or the state of a node.
 """
--- a/finchcart/protocol/connection_events.py
+++ b/finchcart/protocol/connection_events.py
@@ -1,7 +1,7 @@
-"""What can happen to a connection: the events that its threads report.
+"""The events that the threads of a connection report.
 
-Owns types alone. Connections that others open have numbers from 1 up, those that the node opens from -1 down.
-Times are whole microseconds on the boot clock.
+This module defines types only. Accepted connections are numbered upwards from 1, connections that the node
+opens downwards from -1. Times are whole microseconds on the boot clock.
 """
 
 from collections.abc import Sequence
@@ -15,47 +15,47 @@
 
     connection: int
     frontend: str
-    host: str | None = None  # where it comes from
+    host: str | None = None  # the address of the peer
 
 
 class FramesReceived(NamedTuple):
-    """A batch of frames, not decoded yet: converted to `MessagesReceived` before the core receives it."""
+    """A batch of undecoded frames, which is converted to `MessagesReceived` for the core."""
 
     connection: int
     frames: Sequence[bytes]
     received_at: int
-    empty_at: int  # the connection had been read empty at this moment: the bytes are not older
-    was_waiting: bool  # the reader waited for the first byte: the bytes were read when they arrived
+    empty_at: int  # the receive buffer was empty at this time, so the frames arrived later
+    was_waiting: bool  # the reader was waiting for the first byte, so it was read when it arrived
 
 
 class WriteBlocked(NamedTuple):
-    """The peer does not read what it is sent: data is pending."""
+    """Data is pending because the peer does not read the data sent to it."""
 
     connection: int
 
 
 class WriteResumed(NamedTuple):
-    """All pending data is written."""
+    """All pending data is written, or was discarded with a broken connection."""
 
     connection: int
 
 
 class ConnectionRefused(NamedTuple):
-    """A connection that the node opened was never established."""
+    """A connection that the node opened could not be established."""
 
     connection: int
     reason: str
 
 
 class ConnectionEnded(NamedTuple):
-    """Nothing more will be read."""
+    """Nothing more will be read from the connection."""
 
     connection: int
-    fault: ProtocolError | None  # what could not be read; None: the peer closed, or the connection broke
+    fault: ProtocolError | None  # the error in invalid bytes; None if the peer closed or the connection broke
 
 
 class ConnectionClosed(NamedTuple):
-    """The socket is closed, and its number is not used again."""
+    """The socket is closed; the number of the connection is not used again."""
 
     connection: int
 
@@ -72,7 +72,7 @@
 
 
 class EventSink(Protocol):
-    """Takes events from any thread, such as a queue."""
+    """An object that accepts events from any thread, such as a queue."""
 
     def put(self, event: ConnectionEvent, /) -> None:
-        """Add one event; never blocks for long."""
+        """Add an event without blocking for long."""
--- a/finchcart/protocol/framing.py
+++ b/finchcart/protocol/framing.py
@@ -1,7 +1,6 @@
-"""What a codec is to the connections that read with it.
+"""Defines the interface between a connection and the codec of its protocol.
 
-Owns the form of all codecs. A codec is a pair of functions without state, which raise nothing but
-`ProtocolError`, whatever the bytes.
+A codec is a pair of stateless functions, which raise only `ProtocolError`, whatever bytes they read.
 """
 
 from collections.abc import Callable
@@ -11,14 +10,14 @@
 
 
 class Codec(NamedTuple):
-    """How one protocol's messages are found among the bytes of a connection, and read.
+    """The functions that split the bytes of a connection into frames and decode a frame's message.
 
-    `find_frame_end(data, start, max_size)` returns where the first complete message from `start` on ends, or
-    None until there is one; a message takes `max_size` bytes at most. It is called by the connection's reader
-    thread and looks at no more than it must.
+    `find_frame_end(data, start, max_size)` returns the end of the frame that begins at `start`, or None if
+    the frame is incomplete. A frame has at most `max_size` bytes. The function is called by the connection's
+    reader thread and examines only the bytes that it needs.
 
-    `decode(frame)` reads one such message. It is called by the one thread that feeds the core, for many
-    messages in one turn.
+    `decode(frame)` returns the message of a frame. The function is called by the one thread that feeds the
+    core, for many frames in one turn.
     """
 
     find_frame_end: Callable[[bytes, int, int], int | None]
--- a/finchcart/protocol/messages.py
+++ b/finchcart/protocol/messages.py
@@ -1,7 +1,8 @@
-"""The messages that a node receives over connections, one type each, as the codecs read them.
+"""The types of the messages that a node receives over connections, as the codecs decode them.
 
-Owns types alone: it must never know the bytes or the words of a protocol. Messages are matched by type: two
-of different types may be equal as tuples. Times are whole microseconds.
+This module defines types only and must never depend on the encoding or the names of a protocol. Messages must
+be distinguished by type, as two messages of different types may be equal as tuples. Times are whole
+microseconds.
 """
 
 from collections.abc import Mapping
@@ -9,18 +10,18 @@
 
 from finchcart.decisions.outcome import Outcome
 
-# ---- From the worker pool. `cursor` is the number of a notice, from 1 on.
+# ---- From the worker pool. `cursor` is the number of a notice; the first notice has number 1.
 
 
 class Subscribed(NamedTuple):
     """The worker pool sends its notices from now on."""
 
-    is_cold: bool  # it has just started
+    is_cold: bool  # the worker pool has just started
     uptime_us: int
 
 
 class RunEndedNotice(NamedTuple):
-    """A notice: a run has ended."""
+    """A notice that a run has ended."""
 
     cursor: int
     rpc_name: str
@@ -30,35 +31,35 @@
 
 
 class RunAwaitingCall(NamedTuple):
-    """A notice: a run waits for the reply to a call."""
+    """A notice that a run waits for the reply to a call."""
 
     cursor: int
     rpc_name: str
-    body: bytes  # of the call
+    body: bytes  # the body of the call
 
 
 class GaugesRead(NamedTuple):
-    """The gauges that were requested with this ticket."""
+    """The values of the gauges that were requested with this ticket."""
 
     ticket: str
     values: tuple[float, ...]
 
 
 class CommandRejected(NamedTuple):
-    """A command that was not carried out, as the worker pool knows no such run or method."""
+    """A command was rejected, because the worker pool does not know its run or method."""
 
-    was_start: bool  # it was to start a run
+    was_start: bool  # the command was to start a run
     rpc_name: str
 
 
 class InformationalNotice(NamedTuple):
-    """A notice of which only the number counts."""
+    """A notice that requires no action; only its number is used."""
 
     cursor: int
 
 
 class UnknownNotice(NamedTuple):
-    """A notice of a later protocol, to be ignored."""
+    """A notice of a later protocol version, which is ignored."""
 
 
 WorkerPoolMessage = (
@@ -82,11 +83,11 @@
     body: bytes
 
 
-# ---- From dispatchers. `sequence` is the caller's sequence number, by which an answer finds its call.
+# ---- From dispatchers. `sequence` is the sequence number of a call, which its answer repeats.
 
 
 class SubmitCall(NamedTuple):
-    """An RPC; `fields` or `body` are None where it did not carry them as it should."""
+    """An RPC; `fields` or `body` is None if it is missing or invalid."""
 
     sequence: int
     fields: Mapping[str, str] | None
@@ -94,7 +95,7 @@
 
 
 class RevokeNotice(NamedTuple):
-    """The caller of that RPC has gone."""
+    """The caller of the RPC with this sequence number no longer waits for the answer."""
 
     sequence: int
 
@@ -106,7 +107,7 @@
 
 
 class UnservedCall(NamedTuple):
-    """A call that is not served here; `sequence` is None where no answer is expected."""
+    """A call that the node does not support; `sequence` is None if no answer is expected."""
 
     sequence: int | None
     name: str
--- a/finchcart/protocol/store_codec.py
+++ b/finchcart/protocol/store_codec.py
@@ -1,8 +1,7 @@
-"""The store's protocol: a line, and the body that the line announces.
+"""Codec of the store's protocol, whose messages are a line and, for some, a body of the length in the line.
 
-Owns the bytes on the connections to the store and the words of their protocol: no other module knows them.
-Pure functions: no I/O, nothing kept between calls, and nothing raised but `ProtocolError` on what they read,
-whatever the bytes.
+This module alone defines the encoding of the protocol and the words in it. The functions do no I/O, keep no
+state, and raise only `ProtocolError`, whatever bytes they decode.
 """
 
 from finchcart.decisions.outcome import Outcome
@@ -10,8 +9,8 @@
 from finchcart.protocol.framing import Codec
 from finchcart.protocol.messages import StoreReply
 
-MAX_LENGTH_DIGITS = 9  # of a reply's length
-MAX_QUOTED_BYTES = 60  # in an error, of bytes that cannot be read
+MAX_LENGTH_DIGITS = 9  # in the length of a reply's body
+MAX_QUOTED_BYTES = 60  # of an invalid line in an error message
 LINE_END = b"\r\n"
 
 REPLY_OUTCOMES = {
@@ -24,7 +23,7 @@
 
 
 def find_reply_end(data: bytes, start: int, max_size: int) -> int | None:
-    """Return where the first reply ends: after its line, or after the body that the line announces."""
+    """Return the end of the first reply, or None if it is incomplete; see `Codec.find_frame_end`."""
     line_end = data.find(LINE_END, start)
     if line_end < 0:
         return None
@@ -32,32 +31,35 @@
     if len(words) != 3 or words[1] != b"OK":
         return line_end + len(LINE_END)
     length = words[2]
-    # Guards against a length of thousands of digits, which is not even read as a number.
+    # The digits are limited first, as Python refuses to convert a number of thousands of digits.
     if (
         not length.isdigit()
         or len(length) > MAX_LENGTH_DIGITS
         or int(length) + line_end - start + 2 * len(LINE_END) > max_size
     ):
-        raise ProtocolError(f"a reply from the store: {data[start:line_end][:MAX_QUOTED_BYTES]!r}")
+        raise ProtocolError(f"invalid length in a store reply: {data[start:line_end][:MAX_QUOTED_BYTES]!r}")
     end = line_end + int(length) + 2 * len(LINE_END)
     return end if len(data) >= end else None
 
 
 def decode_reply(data: bytes) -> StoreReply:
-    """Read one reply; raise `ProtocolError` where it is none."""
+    """Decode a reply; raise `ProtocolError` if it is invalid."""
     line, _, body = data.partition(LINE_END)
     words = line.split(b" ")
     outcome = REPLY_OUTCOMES.get(words[1]) if len(words) > 1 else None
     if outcome is None or len(words) != (3 if outcome is Outcome.OK else 2):
-        raise ProtocolError(f"a reply from the store: {line[:MAX_QUOTED_BYTES]!r}")
+        raise ProtocolError(f"invalid store reply: {line[:MAX_QUOTED_BYTES]!r}")
     if outcome is Outcome.OK and body[-len(LINE_END) :] != LINE_END:
-        raise ProtocolError("a reply from the store does not end where it says")
+        raise ProtocolError("the body of a store reply does not match the length in the reply")
     name = words[0].decode("ascii", "replace")
     return StoreReply(name, outcome, body[: -len(LINE_END)])
 
 
 def encode_call(name: str, timeout_us: int, body: bytes) -> bytes:
-    """Return a call to the store; its timeout is rounded up to ms, so that the node's own comes first."""
+    """Return a call to the store.
+
+    The timeout in the call is rounded up to milliseconds, so that the node's own timeout expires first.
+    """
     timeout_ms = -(-timeout_us // 1000)
     return b"CALL %s %d %d\r\n%s\r\n" % (name.encode(), timeout_ms, len(body), body)
 
--- a/finchcart/protocol/worker_pool_codec.py
+++ b/finchcart/protocol/worker_pool_codec.py
@@ -1,8 +1,8 @@
-"""The worker pool's protocol, a JSON object a line: its notices are read, the node's commands written.
+"""Codec of the worker pool's protocol: decodes the pool's notices and encodes the node's commands.
 
-Owns the bytes on that connection and the words of its protocol: no other module knows them. Pure functions:
-no I/O, nothing kept between calls, and nothing raised but `ProtocolError` on what they read, whatever the
-bytes.
+Each message is a JSON object on a line of its own. This module alone defines the encoding of the protocol and
+the words in it. The functions do no I/O, keep no state, and raise only `ProtocolError`, whatever bytes they
+decode.
 """
 
 import json
@@ -26,7 +26,7 @@
     WorkerPoolMessage,
 )
 
-MAX_BRACKETS = 100  # in a line
+MAX_BRACKETS = 100  # opening brackets and braces in a line
 MAX_ERROR_LENGTH = 120  # characters
 
 RUN_OUTCOMES = {
@@ -39,21 +39,21 @@
 
 
 def find_line_end(data: bytes, start: int, max_size: int) -> int | None:
-    """Return where the first line ends, or None until it is complete; see `Codec.find_frame_end`."""
+    """Return the end of the first line, or None if it is incomplete; see `Codec.find_frame_end`."""
     return data.find(b"\n", start) + 1 or None
 
 
 def decode_message(data: bytes) -> WorkerPoolMessage:
-    """Read one line of the worker pool; raise `ProtocolError` where it is no message."""
-    # Guards against the stack: the library's parser goes down with each bracket.
+    """Decode a line from the worker pool; raise `ProtocolError` if it is not a valid message."""
+    # Nested brackets are limited because the JSON parser is recursive and could overflow the stack.
     if data.count(b"[") + data.count(b"{") > MAX_BRACKETS:
-        raise ProtocolError(f"a line from the pool: expected {MAX_BRACKETS} brackets at most")
+        raise ProtocolError(f"invalid line from the worker pool: more than {MAX_BRACKETS} brackets")
     try:
         return _read_notice(json.loads(data))
     except ProtocolError as error:
-        raise ProtocolError(f"a line from the pool: {error}"[:MAX_ERROR_LENGTH]) from None
+        raise ProtocolError(f"invalid line from the worker pool: {error}"[:MAX_ERROR_LENGTH]) from None
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError) as error:
-        text = f"a line from the pool: {type(error).__name__}: {error}"
+        text = f"invalid line from the worker pool: {type(error).__name__}: {error}"
         raise ProtocolError(text[:MAX_ERROR_LENGTH]) from None
 
 
@@ -86,7 +86,7 @@
 
 def _read_command_rejected(fields: Mapping[str, Any]) -> CommandRejected:
     was_start = fields.get("fate") == "spawn"
-    rpc_name = _text(fields, "handle") if fields.get("handle") else ""  # there is none for some commands
+    rpc_name = _text(fields, "handle") if fields.get("handle") else ""  # some commands concern no RPC
     return CommandRejected(was_start, rpc_name)
 
 
@@ -133,17 +133,17 @@
 
 
 def _encode_text(value: str) -> bytes:
-    """Return JSON text; a name that could end its quotes is escaped."""
+    """Return a JSON string; text with characters other than letters and digits is escaped."""
     return json.dumps(value).encode() if not value.isalnum() else b'"%s"' % value.encode()
 
 
 def encode_subscribe(cursor: int) -> bytes:
-    """Return the request for the notices after number `cursor`."""
+    """Return the request for all notices after the notice with number `cursor`."""
     return b'{"event":"bind","cursor":%d}\n' % cursor
 
 
 def encode_start(name: str, method: str, body: bytes) -> bytes:
-    """Return the command that starts a run of `method`, under the RPC's name."""
+    """Return the command that starts a run of `method` for the RPC with this name."""
     return b'{"event":"spawn","handle":%s,"entry":%s,"arg":"%s"}\n' % (
         _encode_text(name),
         _encode_text(method),
@@ -152,17 +152,17 @@
 
 
 def encode_reply(name: str, body: bytes) -> bytes:
-    """Return the command that hands a run the reply to its call."""
+    """Return the command that passes the reply to a call on to its run."""
     return b'{"event":"supply","handle":%s,"arg":"%s"}\n' % (_encode_text(name), b64encode(body))
 
 
 def encode_degrade(name: str, cursor: int) -> bytes:
-    """Return the command that has a run continue without the call of the notice number `cursor`."""
+    """Return the command that lets a run continue without the call that notice number `cursor` reported."""
     return b'{"event":"pass","handle":%s,"cursor":%d}\n' % (_encode_text(name), cursor)
 
 
 def encode_gauges_request(ticket: str) -> bytes:
-    """Return the request for the gauges; `GaugesRead` carries the same ticket."""
+    """Return the request for the gauges; the `GaugesRead` that answers it carries the same ticket."""
     return b'{"event":"poll","ticket":%s}\n' % _encode_text(ticket)
 
 
