--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""One connection, its buffers and the listener, on real sockets."""
+"""Tests of a connection, its buffers and the listener, with real sockets."""
 
 import errno
 import random
@@ -31,8 +31,8 @@
 HEALTH_CHECK = encode_message(CALL, b"heartbeat", 1, FIELD.pack(BOOL, 1) + b"\1\0")
 
 
-class TimeoutCounter:
-    """A socket that counts the times it waited in vain."""
+class TimeoutCountingSocket:
+    """A socket that counts the reads that timed out."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -50,7 +50,7 @@
 
 
 def socket_pair():
-    """Both ends of a TCP connection."""
+    """Return both ends of a TCP connection."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         peer = socket.create_connection(server.getsockname())
         accepted, _ = server.accept()
@@ -58,7 +58,7 @@
 
 
 def open_pair(limits=LIMITS, wrap=lambda sock: sock):
-    """A connection of the node, its peer's socket, and the inputs that the connection makes."""
+    """Return a connection of the node, its peer's socket, and the queue of the connection's inputs."""
     accepted, peer = socket_pair()
     inputs = SimpleQueue()
     connection = Connection(1, codec.THRIFT_CODEC, inputs, Buffers(limits), limits, sock=wrap(accepted))
@@ -79,17 +79,17 @@
 
 
 def read_all(sock):
-    got = b""
+    received = b""
     while part := sock.recv(1 << 20):
-        got += part
-    return got
+        received += part
+    return received
 
 
 # ---- Closing
 
 
-class SilentSystem:
-    """A socket of a system that does not tell how much it received, or tells nothing of use."""
+class SocketWithoutByteCount:
+    """A socket for which TCP_INFO is not supported, or returns `answer`, which has no count of bytes."""
 
     def __init__(self, sock, answer=None):
         self.sock = sock
@@ -100,7 +100,7 @@
 
     def getsockopt(self, *_):
         if self.answer is None:
-            raise OSError(errno.ENOPROTOOPT, "not there")
+            raise OSError(errno.ENOPROTOOPT, "not supported")
         return self.answer
 
 
@@ -108,51 +108,51 @@
     "wrap",
     [
         lambda sock: sock,
-        SilentSystem,
-        lambda sock: SilentSystem(sock, b""),
-        lambda sock: SilentSystem(sock, bytes(136)),
+        SocketWithoutByteCount,
+        lambda sock: SocketWithoutByteCount(sock, b""),
+        lambda sock: SocketWithoutByteCount(sock, bytes(136)),
     ],
 )
-def test_a_connection_closes_only_where_nothing_is_on_its_way(wrap):
+def test_close_if_idle_keeps_a_connection_open_while_data_is_in_transit(wrap):
     connection, peer, inputs = open_pair(wrap=wrap)
     peer.sendall(HEALTH_CHECK)
     wait_until(lambda: unread_bytes(connection))
-    assert not connection.close_if_idle()  # in the system's buffer
+    assert not connection.close_if_idle()  # a message is in the kernel's receive buffer
     connection.request_batch()
-    # Read, and not yet seen by the core.
-    received = inputs.get()
-    assert isinstance(received, FramesReceived)
+    # The message was read, and is not yet processed by the core.
+    batch = inputs.get()
+    assert isinstance(batch, FramesReceived)
     assert not connection.close_if_idle()
-    connection.count_processed(received.frames)
+    connection.count_processed(batch.frames)
     connection.request_batch()
     peer.sendall(HEALTH_CHECK[:7])
     wait_until(lambda: connection.reader.bytes_read == len(HEALTH_CHECK) + 7 and not unread_bytes(connection))
-    assert not connection.close_if_idle()  # half a message
+    assert not connection.close_if_idle()  # half of a message was read
     peer.sendall(HEALTH_CHECK[7:])
     connection.count_processed(inputs.get().frames)
     sent = random.Random(1).randbytes(30_000_000)
     connection.send(sent)
-    # An answer that is not written.
+    # Part of an answer is not written yet.
     assert same_input(inputs.get(), WriteBlocked(1))
     assert not connection.close_if_idle()
-    got = b""
-    while len(got) < len(sent):
-        got += peer.recv(1 << 20)
+    received = b""
+    while len(received) < len(sent):
+        received += peer.recv(1 << 20)
     wait_until(connection.close_if_idle)
-    assert got == sent
-    assert peer.recv(1) == b""  # closed in one direction, nothing was reset
-    peer.sendall(HEALTH_CHECK)  # after the close: read past, never handed over as the first is
+    assert received == sent
+    assert peer.recv(1) == b""  # closed in one direction, and not reset
+    peer.sendall(HEALTH_CHECK)  # after the close: discarded
     peer.close()
     wait_until_closed(inputs)
 
 
-class LateReader:
-    """A socket whose reader is held after it has taken bytes and before it can say so."""
+class PausingSocket:
+    """A socket that pauses the reader thread after it has read bytes and before it can count them."""
 
     def __init__(self, sock):
         self.sock = sock
         self.has_read = threading.Event()
-        self.goes_on = threading.Event()
+        self.may_continue = threading.Event()
 
     def __getattr__(self, name):
         return getattr(self.sock, name)
@@ -161,33 +161,33 @@
         read = self.sock.recv_into(buffer, count, flags)
         if not flags & socket.MSG_PEEK:
             self.has_read.set()
-            assert self.goes_on.wait(10)
+            assert self.may_continue.wait(10)
         return read
 
 
-def test_a_request_in_the_hands_of_a_reader_that_is_late_is_not_closed_over():
-    # Guards against a request lost at a close, where its reader thread waits for a core or for the GIL.
-    connection, peer, inputs = open_pair(wrap=LateReader)
+def test_close_if_idle_keeps_a_connection_open_while_its_delayed_reader_holds_a_request():
+    # The request was lost if the reader thread, after reading it, waited for the CPU or the interpreter lock.
+    connection, peer, inputs = open_pair(wrap=PausingSocket)
     connection.request_batch()
     peer.sendall(HEALTH_CHECK)
     assert connection.sock.has_read.wait(10)
     assert not connection.close_if_idle()
-    connection.sock.goes_on.set()
+    connection.sock.may_continue.set()
     connection.count_processed(inputs.get().frames)
     assert connection.close_if_idle()
 
 
-def test_a_peer_that_reads_late_gets_all_that_was_sent_before_the_close():
-    connection, peer, _ = open_pair(wrap=TimeoutCounter)
+def test_a_peer_that_reads_late_receives_all_data_sent_before_the_close():
+    connection, peer, _ = open_pair(wrap=TimeoutCountingSocket)
     sent = random.Random(2).randbytes(30_000_000)
     connection.send(sent)
     connection.close()
-    # The peer was silent for longer than is waited for its end.
+    # The peer has been silent for longer than the linger timeout.
     wait_until(lambda: connection.sock.timeouts >= 4)
     assert read_all(peer) == sent
 
 
-def test_a_writer_that_can_not_be_started_breaks_the_connection_and_leaves_nothing_waiting(monkeypatch):
+def test_a_failed_start_of_the_writer_thread_breaks_the_connection_and_ends_the_write(monkeypatch):
     connection, peer, inputs = open_pair()
 
     def refuse(act, name):
@@ -201,9 +201,9 @@
     wait_until_closed(inputs)
 
 
-def test_a_close_over_unread_bytes_resets_nothing():
+def test_a_close_with_unread_bytes_does_not_reset_the_connection():
     connection, peer, inputs = open_pair()
-    peer.sendall(HEALTH_CHECK * 500)  # more than is read before the close
+    peer.sendall(HEALTH_CHECK * 500)  # more than the reader reads before the close
     connection.send(b"the answer")
     connection.close()
     assert read_all(peer) == b"the answer"
@@ -214,7 +214,7 @@
 # ---- Threads and buffers
 
 
-def test_a_connection_whose_thread_can_not_be_started_counts_as_refused(monkeypatch):
+def test_a_connection_whose_thread_cannot_be_started_is_reported_as_refused(monkeypatch):
     def refuse(thread):
         raise RuntimeError("can't start new thread")
 
@@ -225,12 +225,14 @@
     monkeypatch.setattr("threading.Thread.start", refuse)
     connections.connect(-1, "store", ("127.0.0.1", 9))
     assert same_input(inputs.get_nowait(), ConnectionRefused(-1, "can't start new thread"))
-    assert same_input(inputs.get_nowait(), ConnectionClosed(-1))  # or the core would keep its number for ever
+    assert same_input(
+        inputs.get_nowait(), ConnectionClosed(-1)
+    )  # without it, the core keeps the number forever
 
 
-def test_only_a_connection_whose_peer_does_not_read_takes_a_writer_thread():
+def test_a_writer_thread_is_started_only_while_the_peer_does_not_read():
     connection, peer, inputs = open_pair(SMALL_LIMITS)
-    before = set(threading.enumerate())  # threads that other tests left may end meanwhile
+    before = set(threading.enumerate())  # includes threads of other tests, which may end during this test
     connection.send(b"first")
     assert set(threading.enumerate()) <= before
     assert inputs.empty()
@@ -247,7 +249,7 @@
     wait_until_closed(inputs)
 
 
-def test_buffers_all_come_back_after_cut_whole_and_hostile_bytes():
+def test_all_buffers_are_released_after_truncated_complete_and_random_messages():
     rng = random.Random(9)
     limits = SMALL_LIMITS._replace(linger_timeout_us=50_000)
     buffers = Buffers(limits)
@@ -255,7 +257,7 @@
     for number in range(60):
         accepted, peer = socket_pair()
         connection = Connection(number, codec.THRIFT_CODEC, inputs, buffers, limits, sock=accepted)
-        whole = (
+        message = (
             (29).to_bytes(4, "big")
             + bytes.fromhex("8001000100000009")
             + b"heartbeat"
@@ -263,7 +265,7 @@
             + b"\0" * 4
         )
         peer.sendall(
-            rng.choice((whole[:29] * 3, whole[: rng.randrange(40)], rng.randbytes(rng.randrange(200))))
+            rng.choice((message[:29] * 3, message[: rng.randrange(40)], rng.randbytes(rng.randrange(200))))
         )
         for _ in range(rng.randrange(4)):
             connection.request_batch()
@@ -287,22 +289,22 @@
     return listener, opened, listener.sock.getsockname()
 
 
-def test_what_the_system_accepted_before_the_end_of_listening_is_taken():
-    listener, opened, address = make_listener(LIMITS)  # nobody accepts: all wait in the backlog
+def test_stop_accepts_the_connections_in_the_backlog():
+    listener, opened, address = make_listener(LIMITS)  # `accept` does not run: clients wait in the backlog
     clients = [socket.create_connection(address) for _ in range(5)]
     for client in clients:
         client.sendall(HEALTH_CHECK)
     listener.stop()
-    taken = [opened.get_nowait()[1] for _ in clients]
-    assert all(sock.recv(100) == HEALTH_CHECK for sock in taken)
+    accepted = [opened.get_nowait()[1] for _ in clients]
+    assert all(sock.recv(100) == HEALTH_CHECK for sock in accepted)
     with pytest.raises(OSError):
         socket.create_connection(address, timeout=1).recv(1)
-    for sock in (*taken, *clients):
+    for sock in (*accepted, *clients):
         sock.close()
 
 
-class LateComer:
-    """A listening socket to which a client connects right after the last look at the backlog."""
+class ListenerWithLateClient:
+    """A listening socket to which a client connects right after the backlog was found empty."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -322,17 +324,17 @@
             raise
 
 
-def test_one_that_connects_as_listening_ends_is_refused_and_not_reset_with_its_request():
-    # Guards against a request lost on a connection that the system made and the node never accepted.
+def test_a_client_that_connects_as_listening_ends_is_not_connected_and_then_reset():
+    # A request was lost if the kernel completed a connection that the node never accepted.
     listener, opened, _ = make_listener(SMALL_LIMITS._replace(descriptors=20))
-    listener.sock = late = LateComer(listener.sock)
+    listener.sock = late_socket = ListenerWithLateClient(listener.sock)
     listener.stop()
-    assert late.was_connected is False
+    assert late_socket.was_connected is False
     assert opened.empty()
-    late.client.close()
+    late_socket.client.close()
 
 
-def test_no_more_are_accepted_than_descriptors_allow_and_the_rest_when_one_closes():
+def test_connections_beyond_the_limit_wait_until_one_closes():
     limits = Limits(memory_bytes=1 << 28, descriptors=20, stop_timeout_us=1)
     listener, opened, address = make_listener(limits)
     thread = threading.Thread(target=listener.accept, daemon=True)
