--- a/tests/dispatchers_double.py
+++ b/tests/dispatchers_double.py
@@ -1,4 +1,4 @@
-"""Dispatchers round one simulated core: they submit attempts, and check how each is answered."""
+"""Simulated dispatchers of a core under test: they submit attempts and check the answer to each."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,12 @@
 from finchcart.thrift.binary_protocol import I32, STRING, STRUCT, Reader
 
 MS = 1000
-LATE_US = 60 * MS  # an answer may be late by this
+MAX_DELAY_US = 60 * MS  # an answer may come this long after the attempt is due
 
 
 @dataclass
 class Attempt:
-    """One attempt of an RPC, as its dispatcher knows it."""
+    """An attempt of an RPC, as its dispatcher knows it."""
 
     method: int
     key: str
@@ -31,12 +31,15 @@
     due: int
     answers: int = 0
     has_run: bool = False
-    response_pending: bool = True  # its dispatcher waits for it
+    response_pending: bool = True  # the dispatcher waits for the response
     outcome: str | None = None  # the value of a FinalOutcome
 
 
 class DispatchersDouble:
-    """The attempts of all dispatchers. `harness`: has the time, the connections and the other peers."""
+    """The dispatchers of a test and their attempts.
+
+    `harness` provides the time, the connections and the other simulated peers.
+    """
 
     def __init__(self, harness):
         self.harness = harness
@@ -47,14 +50,14 @@
         self.last_sequences = {}  # by connection
 
     def open(self, host="127.0.0.1"):
-        """A new connection of a dispatcher."""
+        """Open a connection of a dispatcher, and return its number."""
         self.connection_count += 1
         self.harness.connections[self.connection_count] = "open"
         self.harness.feed(ConnectionOpened(self.connection_count, "front", host))
         return self.connection_count
 
     def submit(self, connection, method=0, retry_of=None, waited=0, **fields):
-        """An attempt; `retry_of`: the name of an earlier one of the same RPC. Returns its name."""
+        """Submit an attempt and return its name; `retry_of` is the name of an earlier attempt of the RPC."""
         name = f"{self.harness.rng.getrandbits(64):016x}"
         sequence = self.last_sequences.get(connection, 0) + 1
         self.last_sequences[connection] = sequence
@@ -63,7 +66,7 @@
         method = first.method if first else method
         kind = self.harness.settings[f"methods.{method}.kind"]
         arrived_at = (self.harness.now - waited) // 1000 * 1000
-        said = {
+        rpc_fields = {
             "c": f"m{method}",
             "i": name,
             "s": str(arrived_at // 1000),
@@ -72,8 +75,8 @@
             "m": "20.0",
             "p": "0.5",
         }
-        said.update({"r": "1"} if first else {})
-        said.update({"k": key} if kind == "keyed" else {}, **fields)
+        rpc_fields.update({"r": "1"} if first else {})
+        rpc_fields.update({"k": key} if kind == "keyed" else {}, **fields)
         attempt = Attempt(
             method=method,
             key=key,
@@ -87,17 +90,20 @@
         self.attempts[name] = attempt
         self.unanswered[name] = attempt
         self.attempts_by_sequence[connection, sequence] = attempt
-        self.harness.deliver(connection, SubmitCall(sequence, said, attempt.body))
+        self.harness.deliver(connection, SubmitCall(sequence, rpc_fields, attempt.body))
         return name
 
     def revoke(self, name):
-        """The caller of an attempt goes."""
+        """Revoke an attempt, as its caller has gone."""
         attempt = self.attempts[name]
         attempt.response_pending = False
         self.harness.deliver(attempt.connection, RevokeNotice(attempt.sequence))
 
     def end_connection(self, connection, reason=""):
-        """The dispatcher closes, or sends what can't be read; nothing in its inbox is read any more."""
+        """End a connection: the dispatcher closes it, or sends invalid bytes if there is a `reason`.
+
+        No message that is still in the connection's inbox is read.
+        """
         unread = {m.sequence for m in self.harness.inboxes.get(connection, ()) if isinstance(m, SubmitCall)}
         for attempt in self.unanswered.values():
             if attempt.connection == connection and (not reason or attempt.sequence in unread):
@@ -105,6 +111,7 @@
         self.harness.lose_connection(connection, reason)
 
     def on_reply(self, connection, data):
+        """Record the final answer that a reply carries."""
         _, name, sequence, arguments = read_answer(data)
         if name == b"submit":
             if (0, STRUCT) in arguments:
@@ -115,15 +122,15 @@
                 self.record_answer(connection, sequence, FinalOutcome.FAILED, b"")
 
     def record_answer(self, connection, sequence, outcome, body):
-        """A final answer has gone out."""
+        """Record a final answer that the core has sent, and check it."""
         attempt = self.attempts_by_sequence.get((connection, sequence))
         if attempt is None:
             return
         attempt.answers += 1
         assert attempt.answers == 1, "two answers"
-        assert self.harness.now <= attempt.due + LATE_US or not attempt.response_pending, "late"
+        assert self.harness.now <= attempt.due + MAX_DELAY_US or not attempt.response_pending, "late"
         if outcome is FinalOutcome.OK:
-            assert (attempt.key, body) in self.harness.pool.results, "served what no run made"
+            assert (attempt.key, body) in self.harness.pool.results, "answered with a result of no run"
         elif outcome is FinalOutcome.REJECTED:
             assert not attempt.has_run, "rejected after it ran"
         attempt.outcome = outcome.value
@@ -136,18 +143,18 @@
         return any(isinstance(each, SubmitCall) and each.sequence == attempt.sequence for each in inbox)
 
     def check(self):
-        """Nothing is answered later than it may be."""
+        """Check that no attempt has been waiting too long for its answer."""
         self.unanswered = {
             name: attempt
             for name, attempt in self.unanswered.items()
             if attempt.response_pending and not attempt.answers
         }
         for name, attempt in self.unanswered.items():
-            assert self.harness.now <= attempt.due + 2 * LATE_US, f"lost: {name} {attempt}"
+            assert self.harness.now <= attempt.due + 2 * MAX_DELAY_US, f"lost: {name} {attempt}"
 
 
 def read_answer(data):
-    """Kind, name, sequence number and arguments of an answer to a dispatcher."""
+    """Return the message type, name, sequence number and arguments of an answer to a dispatcher."""
     reader = Reader(data[4:])
-    head = reader.read_integer(I32) & 0xFF
-    return head, reader.read_value(STRING), reader.read_integer(I32), reader.read_value(STRUCT)
+    kind = reader.read_integer(I32) & 0xFF
+    return kind, reader.read_value(STRING), reader.read_integer(I32), reader.read_value(STRUCT)
