--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -1,4 +1,4 @@
-"""Dispatchers' connections: what can't be read, what is closed and when."""
+"""Tests of dispatchers' connections: invalid messages, idle connections, and when connections are closed."""
 
 import pytest
 
@@ -18,21 +18,21 @@
 from tests.dispatchers_double import read_answer
 
 
-def test_a_dispatcher_that_never_reads_is_read_no_further():
+def test_no_further_messages_are_read_from_a_dispatcher_that_does_not_read():
     harness = plain_harness()
-    link = harness.dispatchers.open()
-    harness.feed(WriteBlocked(link))
+    connection = harness.dispatchers.open()
+    harness.feed(WriteBlocked(connection))
     for _ in range(3):
-        harness.deliver(link, HeartbeatCall(1))
+        harness.deliver(connection, HeartbeatCall(1))
         harness.step(MS)
-    assert len(harness.inboxes[link]) == 2
-    harness.feed(WriteResumed(link))
+    assert len(harness.inboxes[connection]) == 2
+    harness.feed(WriteResumed(connection))
     harness.step(MS)
-    assert not harness.inboxes[link]
+    assert not harness.inboxes[connection]
 
 
 @pytest.mark.parametrize(
-    "spoil, words",
+    "invalid_field, message",
     [
         ({"c": "unheard"}, "no such method"),
         ({"i": "9"}, "16 hex digits"),
@@ -49,220 +49,221 @@
         ({"h": "inf"}, "expected 0"),
     ],
 )
-def test_a_call_that_can_not_be_read_gets_one_answer_that_says_so_and_never_runs(spoil, words):
-    harness, told = plain_harness(), []
-    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
-    harness.dispatchers.submit(harness.dispatchers.open(), 1, **spoil)
+def test_a_call_with_an_invalid_field_is_answered_with_an_exception_and_never_runs(invalid_field, message):
+    harness, answers = plain_harness(), []
+    harness.dispatchers.on_reply = lambda connection, data: answers.append(read_answer(data))
+    harness.dispatchers.submit(harness.dispatchers.open(), 1, **invalid_field)
     harness.step(MS)
     harness.step(MS)
-    ((kind, _, _, args),) = told
+    ((kind, _, _, args),) = answers
     assert kind == EXCEPTION
-    assert words in args[1, STRING].decode()
+    assert message in args[1, STRING].decode()
     assert not harness.pool.runs
     assert not harness.core.controller.state.arrivals.ingress_queueing_delay
     assert not harness.core.controller.state.callers.last_seen
 
 
-def test_a_body_over_the_limit_an_unknown_method_and_the_33rd_open_rpc_are_answered():
-    harness, told = plain_harness(**{"cores": 40, "memory_kb": 200_000}), []
-    link = harness.dispatchers.open()
+def test_an_oversized_body_an_unknown_method_and_the_33rd_open_rpc_are_answered():
+    harness, answers = plain_harness(**{"cores": 40, "memory_kb": 200_000}), []
+    connection = harness.dispatchers.open()
     for _ in range(33):
-        harness.dispatchers.submit(link)
-    harness.dispatchers.on_reply = lambda link, data: told.append(read_answer(data))
-    harness.deliver(link, SubmitCall(40, {"c": "m0"}, b"x" * 2049))
-    harness.deliver(link, UnservedCall(41, "shout"))
+        harness.dispatchers.submit(connection)
+    harness.dispatchers.on_reply = lambda connection, data: answers.append(read_answer(data))
+    harness.deliver(connection, SubmitCall(40, {"c": "m0"}, b"x" * 2049))
+    harness.deliver(connection, UnservedCall(41, "shout"))
     for _ in range(3):
         harness.step(0)
-    assert [(kind, seq) for kind, _, seq, _ in told] == [(2, 33), (3, 40), (3, 41)]
+    assert [(kind, seq) for kind, _, seq, _ in answers] == [(2, 33), (3, 40), (3, 41)]
 
 
-def test_a_sequence_number_in_use_closes_the_connection_once_its_answers_are_out():
+def test_a_sequence_number_in_use_closes_the_connection_once_its_answers_are_sent():
     harness = plain_harness()
-    link = harness.dispatchers.open()
-    name = harness.dispatchers.submit(link)
+    connection = harness.dispatchers.open()
+    name = harness.dispatchers.submit(connection)
     harness.step(MS)
-    harness.deliver(link, SubmitCall(1, {}, b""))
+    harness.deliver(connection, SubmitCall(1, {}, b""))
     harness.step(MS)
-    assert link in harness.frontend.table.connections
-    assert harness.connections[link] == "open"
+    assert connection in harness.frontend.table.connections
+    assert harness.connections[connection] == "open"
     harness.pool.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
     assert how(harness, name) == "ok"
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
 
 
-def test_one_that_sent_what_can_not_be_read_and_ends_is_answered_still():
+def test_a_connection_that_ends_after_invalid_bytes_still_gets_its_answers():
     harness = plain_harness()
     name = running(harness)
-    link = harness.dispatchers.attempts[name].connection
-    harness.dispatchers.end_connection(link, "rubbish")
-    harness.feed(ConnectionEnded(link, None))  # the reader sees the end of what it goes on to read
+    connection = harness.dispatchers.attempts[name].connection
+    harness.dispatchers.end_connection(connection, "rubbish")
+    harness.feed(ConnectionEnded(connection, None))  # the reader continued to read up to the peer's close
     ends_well(harness, name)
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
 
 
-def test_an_idle_connection_is_told_before_it_is_closed_and_what_crosses_is_answered():
+def test_the_close_of_an_idle_connection_is_announced_and_a_crossing_request_is_answered():
     harness = plain_harness()
-    link, told = harness.dispatchers.open(), []
-    name = harness.dispatchers.submit(link)
+    connection, answers = harness.dispatchers.open(), []
+    name = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
-    answered = harness.dispatchers.on_reply
-    harness.dispatchers.on_reply = lambda link, data: (
-        told.append(read_answer(data)[1]),
-        answered(link, data),
+    record_reply = harness.dispatchers.on_reply
+    harness.dispatchers.on_reply = lambda connection, data: (
+        answers.append(read_answer(data)[1]),
+        record_reply(connection, data),
     )
     harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
     harness.step(12 * MS)
-    assert told == [b"submit", b"closing"]
-    crossed = harness.dispatchers.submit(link)
+    assert answers == [b"submit", b"closing"]
+    crossed = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
     harness.pool.end_run(crossed, Outcome.OK)
     harness.step(MS)
     assert how(harness, crossed) == "ok"
-    assert harness.connections[link] == "open"
+    assert harness.connections[connection] == "open"
     for _ in range(300):
         harness.step(10 * MS)
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
 
 
-def at_its_close(harness):
-    """A connection told to close, an instant before it is."""
-    link = harness.dispatchers.open()
-    name = harness.dispatchers.submit(link)
+def open_connection_due_to_close(harness):
+    """Return a connection whose close is announced, a moment before the node closes it."""
+    connection = harness.dispatchers.open()
+    name = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
     harness.pool.end_run(name, Outcome.OK)
     harness.step(MS)
-    while harness.frontend.table.connections[link].state is DispatcherConnectionState.OPEN:
+    while harness.frontend.table.connections[connection].state is DispatcherConnectionState.OPEN:
         harness.step(MS)
     harness.step(harness.limits.close_delay_us - MS)
-    assert harness.connections[link] == "open"
-    return link
+    assert harness.connections[connection] == "open"
+    return connection
 
 
-def test_a_request_that_lies_unread_as_its_connection_is_due_to_close_is_answered():
+def test_a_request_that_is_unread_when_its_connection_is_due_to_close_is_answered():
     harness = plain_harness()
-    harness.write_block_probability, link = 0, at_its_close(harness)
-    harness.reads_requested[link] = (
-        0  # its reader has not been asked: the request lies in the system's buffer
-    )
-    name = harness.dispatchers.submit(link)
+    harness.write_block_probability, connection = 0, open_connection_due_to_close(harness)
+    harness.reads_requested[connection] = 0  # no batch is requested: the request stays in the kernel's buffer
+    name = harness.dispatchers.submit(connection)
     harness.step(2 * MS)
-    assert harness.connections[link] == "open"
+    assert harness.connections[connection] == "open"
     assert how(harness, name) is None
-    harness.reads_requested[link] = 1
+    harness.reads_requested[connection] = 1
     harness.step(MS)
     harness.step(MS)
     ends_well(harness, name)
     for _ in range(300):
         harness.step(10 * MS)
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
 
 
-def test_a_planted_defect_is_found_a_close_that_looks_at_nothing():
+def test_a_planted_defect_is_found_a_close_without_a_check_for_unread_requests():
     harness = plain_harness()
-    harness.write_block_probability, link = 0, at_its_close(harness)
-    harness.reads_requested[link] = 0
-    harness.try_close = lambda link: True
-    name = harness.dispatchers.submit(link)
+    harness.write_block_probability, connection = 0, open_connection_due_to_close(harness)
+    harness.reads_requested[connection] = 0
+    harness.try_close = lambda connection: True
+    name = harness.dispatchers.submit(connection)
     harness.step(2 * MS)
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
     assert how(harness, name) is None
     with pytest.raises(AssertionError, match="lost"):
         for _ in range(1000):
             harness.step(10 * MS)
 
 
-def test_timers_do_not_pile_up_on_a_busy_connection():
+def test_timers_do_not_accumulate_on_a_busy_connection():
     harness = plain_harness()
-    harness.write_block_probability, link, most = 0, harness.dispatchers.open(), 0
+    harness.write_block_probability, connection, max_timers = 0, harness.dispatchers.open(), 0
     harness.core.port.set_idle_timeout(8_000 * MS)
     for _ in range(300):
-        name = harness.dispatchers.submit(link)
+        name = harness.dispatchers.submit(connection)
         harness.step(20 * MS)
         harness.step(MS)
         harness.pool.end_run(name, Outcome.OK)
         harness.step(MS)
-        most = max(most, len(harness.core.effect_buffer.timers))
+        max_timers = max(max_timers, len(harness.core.effect_buffer.timers))
     assert how(harness, name) == "ok"
-    assert most < 12
+    assert max_timers < 12
 
 
-def test_connections_past_the_limit_cost_first_what_asked_once_and_stayed():
+def test_connections_beyond_the_limit_displace_those_with_a_single_health_check_first():
     harness = plain_harness(cores=9)
-    links = [harness.dispatchers.open() for _ in range(harness.limits.max_connections)]
-    names = [harness.dispatchers.submit(links[0])]
-    for link in links[2:]:
-        harness.deliver(link, HeartbeatCall(1))
+    connections = [harness.dispatchers.open() for _ in range(harness.limits.max_connections)]
+    names = [harness.dispatchers.submit(connections[0])]
+    for connection in connections[2:]:
+        harness.deliver(connection, HeartbeatCall(1))
     harness.step(MS)
     names.append(harness.dispatchers.submit(harness.dispatchers.open()))
     harness.step(MS)
-    # what checked once, the longest silent first: no RPC is on its way there
-    assert [link for link in links if harness.connections[link] == "closed"] == [links[2]]
-    harness.deliver(links[3], HeartbeatCall(2))
+    # A connection with a single health check is closed, the one with the longest silence first: no RPC is
+    # expected there.
+    assert [connection for connection in connections if harness.connections[connection] == "closed"] == [
+        connections[2]
+    ]
+    harness.deliver(connections[3], HeartbeatCall(2))
     harness.step(MS)
     names.append(harness.dispatchers.submit(harness.dispatchers.open()))
     harness.step(MS)
-    assert harness.connections[links[4]] == "closed"
-    assert harness.connections[links[3]] == harness.connections[links[5]] == "open"
+    assert harness.connections[connections[4]] == "closed"
+    assert harness.connections[connections[3]] == harness.connections[connections[5]] == "open"
     assert len(harness.frontend.table.connections) == harness.limits.max_connections == 136
     for each in names:
         harness.step(MS)
         ends_well(harness, each)
-    # a crowd that checked once and stays is closed soon, and not those that go on
+    # Connections that stay open after a single health check are closed soon, those with more checks are not.
     for _ in range(130):
         harness.step(10 * MS)
-    assert harness.connections[links[3]] == "open"
-    assert not any(harness.connections[link] == "open" for link in links[4:])
+    assert harness.connections[connections[3]] == "open"
+    assert not any(harness.connections[connection] == "open" for connection in connections[4:])
     assert Limits.from_config({"memory_mb": 32, "sockets": 384}, 3200, 3_000_000).max_connections == 192
     assert Limits.from_config({"memory_mb": 192, "sockets": 1024}, 3200, 3_000_000).max_connections == 960
     assert Limits.from_config({"memory_mb": 192, "sockets": 100}, 3200, 3_000_000).max_connections == 50
 
 
-def test_one_that_checked_once_and_stays_is_closed_and_one_that_goes_on_is_not():
+def test_a_connection_is_closed_after_a_single_health_check_but_not_during_repeated_ones():
     harness = plain_harness()
-    once, on = harness.dispatchers.open(), harness.dispatchers.open()
-    harness.deliver(once, HeartbeatCall(1))
+    single, repeated = harness.dispatchers.open(), harness.dispatchers.open()
+    harness.deliver(single, HeartbeatCall(1))
     for n in range(140):
-        harness.deliver(on, HeartbeatCall(n + 1)) if n % 10 == 0 else None
+        harness.deliver(repeated, HeartbeatCall(n + 1)) if n % 10 == 0 else None
         harness.step(100 * MS)
-    assert harness.connections[once] == "closed"
-    assert harness.connections[on] == "open"
+    assert harness.connections[single] == "closed"
+    assert harness.connections[repeated] == "open"
 
 
-def test_a_fresh_connection_is_not_idle_before_its_first_rpc():
+def test_a_new_connection_is_not_idle_before_its_first_rpc():
     harness = plain_harness()
-    link = harness.dispatchers.open()
+    connection = harness.dispatchers.open()
     for _ in range(20):
         harness.step(10 * MS)
-    assert harness.frontend.table.connections[link].state is DispatcherConnectionState.OPEN
+    assert harness.frontend.table.connections[connection].state is DispatcherConnectionState.OPEN
     for _ in range(16):
         harness.step(100 * MS)
-    assert harness.connections[link] == "closed"  # well before a client that stays silent is owed a close
+    assert harness.connections[connection] == "closed"  # before the deadline for closing a silent client
 
 
 @pytest.mark.parametrize("late_ms", [5, 60, 250])
-def test_a_dispatcher_that_reads_the_closing_notice_late_at_the_node_s_end_is_answered(late_ms):
-    # Guards against requests closed over in the last phase: the node closed 4 ms after its notice.
+def test_a_dispatcher_that_reads_the_closing_notice_late_as_the_node_ends_is_answered(late_ms):
+    # Requests were lost as the node ended, because it closed connections only 4 ms after its notice.
     harness = plain_harness()
     harness.write_block_probability = 0
     harness.drain_notice_at = harness.now
     harness.feed(Drain())
     kill_at = harness.core.shutdown.times.kill_at
     harness.step(kill_at - 280 * MS - harness.now)
-    # Accepted from the backlog as listening ends, or made before: its notice is sent now.
-    link = harness.dispatchers.open()
+    # The connection is accepted from the backlog as listening ends, or opened before; it gets its notice now.
+    connection = harness.dispatchers.open()
     harness.step(late_ms * MS)
-    name = harness.dispatchers.submit(link)
+    name = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
     assert how(harness, name) == "rejected"
-    harness.dispatchers.end_connection(link)
+    harness.dispatchers.end_connection(connection)
     for _ in range(200):
         harness.step(2 * MS)
-    assert harness.connections[link] == "closed"
+    assert harness.connections[connection] == "closed"
     assert harness.ended
