--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Codecs against hand-written, cut and random bytes; the settings' one table; buffers."""
+"""Tests of the codecs with handwritten, truncated and random bytes, of the settings, and of the buffers."""
 
 import json
 import random
@@ -29,17 +29,18 @@
 from finchcart.thrift import codec as thrift
 
 LIMITS = Limits(memory_bytes=192 * 2**20, descriptors=1024, stop_timeout_us=3_000_000)
-LONGEST = LIMITS.buffer_bytes
+MAX_SIZE = LIMITS.buffer_bytes
 
 
-def take(codec, data, at, longest):
-    """The first whole message from `at` on with the place where the next begins, or None."""
-    end = codec.find_frame_end(data, at, longest)
-    return None if end is None else (codec.decode(data[at:end]), end)
+def decode_first(codec, data, start, max_size):
+    """Return the first complete message from `start` on and its end, or None if it is incomplete."""
+    end = codec.find_frame_end(data, start, max_size)
+    return None if end is None else (codec.decode(data[start:end]), end)
 
 
-# Written out by hand from the specification of the strict binary protocol: version 1, type, name, sequence
-# number; each field as type, id, value; a zero byte ends a structure; the frame's length comes first.
+# Written by hand from the specification of the strict binary protocol. A message has the version (1), type,
+# name and sequence number. Each field has a type, an id and a value; a zero byte ends a struct. The frame's
+# length precedes the message.
 SUBMIT = (
     bytes.fromhex("8001000100000006")
     + b"submit"
@@ -62,36 +63,36 @@
 STORED = b"9b1f03aa5c7e2d41 OK 5\r\na\r\nb\0\r\n"
 
 
-def typed(message):
-    """The message with its type, as messages of two types may be equal as tuples."""
+def with_type(message):
+    """Return a message with its type, as messages of different types may be equal as tuples."""
     return type(message), *message
 
 
 def read_line(text):
-    """The message of a line of the worker pool, with its type; the line's end is added."""
-    return typed(take(worker_pool_codec.WORKER_POOL_CODEC, text + b"\n", 0, LONGEST)[0])
+    """Return the message of a line from the worker pool, with its type; the newline is added here."""
+    return with_type(decode_first(worker_pool_codec.WORKER_POOL_CODEC, text + b"\n", 0, MAX_SIZE)[0])
 
 
 def framed(data):
     return len(data).to_bytes(4, "big") + data
 
 
-def test_calls_written_by_hand_are_read():
+def test_handwritten_calls_are_decoded():
     assert thrift.decode_message(SUBMIT) == SubmitCall(7, {"c": "go", "p": "0.5"}, b"\xff\0A")
     assert thrift.decode_message(REVOKE) == RevokeNotice(7)
     assert thrift.decode_message(HEARTBEAT) == HeartbeatCall(1)
     assert thrift.decode_message(HEARTBEAT.replace(b"heartbeat", b"headcount")) == UnservedCall(
         1, "headcount"
     )
-    assert take(thrift.THRIFT_CODEC, framed(REVOKE) + b"more", 0, LONGEST) == (
+    assert decode_first(thrift.THRIFT_CODEC, framed(REVOKE) + b"more", 0, MAX_SIZE) == (
         RevokeNotice(7),
         len(REVOKE) + 4,
     )
 
 
-def test_unknown_fields_of_all_types_are_passed_over():
-    # bool, byte, double, i16, i64, a string, a struct, a map of bytes to lists of i16, a set of bools, a list
-    odd = (
+def test_unknown_fields_of_all_types_are_skipped():
+    # bool, byte, double, i16, i64, string, struct, map from byte to list of i16, set of bool, list of struct
+    unknown_fields = (
         "02000a"
         "01"
         "03000b"
@@ -125,13 +126,13 @@
         "00000001"
         "00"
     )
-    at = SUBMIT.index(bytes.fromhex("0b0002"))
-    assert thrift.decode_message(SUBMIT[:at] + bytes.fromhex(odd) + SUBMIT[at:]) == thrift.decode_message(
-        SUBMIT
-    )
+    position = SUBMIT.index(bytes.fromhex("0b0002"))
+    assert thrift.decode_message(
+        SUBMIT[:position] + bytes.fromhex(unknown_fields) + SUBMIT[position:]
+    ) == thrift.decode_message(SUBMIT)
 
 
-def test_a_call_without_what_it_needs_is_read_as_lacking_it():
+def test_missing_or_invalid_arguments_of_a_call_are_decoded_as_none():
     none = SUBMIT[:18] + b"\0"
     assert thrift.decode_message(none) == SubmitCall(7, None, None)
     assert thrift.decode_message(SUBMIT.replace(b"go", b"\xff\xfe")).fields is None
@@ -145,13 +146,13 @@
     )
 
 
-def test_answers_are_the_bytes_of_the_specification():
-    riding = bytes.fromhex("0d00020b0b0000000100000001") + b"v" + bytes.fromhex("00000006") + b"0.2500"
+def test_answers_are_encoded_as_in_the_specification():
+    feedback = bytes.fromhex("0d00020b0b0000000100000001") + b"v" + bytes.fromhex("00000006") + b"0.2500"
     assert thrift.ok_reply(7, b"\xff\0A", {"v": "0.2500"}) == framed(
         bytes.fromhex("8001000200000006")
         + b"submit"
         + bytes.fromhex("000000070c00000b000100000003ff0041")
-        + riding
+        + feedback
         + bytes.fromhex("020003010000")
     )
     assert thrift.rejected_reply(7, {"l": "1"}) == framed(
@@ -184,7 +185,7 @@
 
 
 @pytest.mark.parametrize(
-    "codec, whole",
+    "codec, message",
     [
         (thrift.THRIFT_CODEC, framed(SUBMIT)),
         (thrift.THRIFT_CODEC, framed(REVOKE)),
@@ -194,29 +195,31 @@
         (store_codec.STORE_CODEC, STORED),
     ],
 )
-def test_every_cut_waits_for_more_and_every_flip_reads_or_is_malformed(codec, whole):
-    for cut in range(len(whole)):
-        assert take(codec, whole[:cut], 0, LONGEST) is None
-    assert take(codec, whole, 0, LONGEST)[1] == len(whole)
-    rng = random.Random(len(whole))
+def test_truncated_messages_are_incomplete_and_corrupt_ones_are_decoded_or_malformed(codec, message):
+    for cut in range(len(message)):
+        assert decode_first(codec, message[:cut], 0, MAX_SIZE) is None
+    assert decode_first(codec, message, 0, MAX_SIZE)[1] == len(message)
+    rng = random.Random(len(message))
     for _ in range(4000):
-        bad = bytearray(whole)
+        corrupt = bytearray(message)
         for _ in range(rng.randint(1, 6)):
-            bad[rng.randrange(len(bad))] = rng.choice((0, 1, 11, 13, 127, 128, 255, rng.randrange(256)))
+            corrupt[rng.randrange(len(corrupt))] = rng.choice(
+                (0, 1, 11, 13, 127, 128, 255, rng.randrange(256))
+            )
         with suppress(ProtocolError):
-            got = take(codec, bytes(bad), 0, LONGEST)
-            assert got is None or 0 < got[1] <= len(bad)
+            decoded = decode_first(codec, bytes(corrupt), 0, MAX_SIZE)
+            assert decoded is None or 0 < decoded[1] <= len(corrupt)
 
 
 @pytest.mark.parametrize(
     "codec", [thrift.THRIFT_CODEC, worker_pool_codec.WORKER_POOL_CODEC, store_codec.STORE_CODEC]
 )
-def test_random_bytes_are_no_harm(codec):
+def test_random_bytes_raise_only_protocol_errors(codec):
     rng = random.Random(5)
     for _ in range(2000):
         data = rng.randbytes(rng.randint(1, 60)) + rng.choice((b"", b"\n", b"\r\n"))
         with suppress(ProtocolError):
-            take(codec, data, 0, LONGEST)
+            decode_first(codec, data, 0, MAX_SIZE)
 
 
 @pytest.mark.parametrize(
@@ -233,14 +236,14 @@
         framed(HEARTBEAT[:21] + bytes.fromhex("0c0001") * 200),
     ],
 )
-def test_what_is_no_call_is_malformed(data):
+def test_a_message_that_is_not_a_call_is_malformed(data):
     with pytest.raises(ProtocolError):
-        take(thrift.THRIFT_CODEC, data, 0, LONGEST)
+        decode_first(thrift.THRIFT_CODEC, data, 0, MAX_SIZE)
 
 
-def test_lines_of_the_pool():
+def test_notices_of_the_worker_pool_are_decoded():
     name = "9b1f03aa5c7e2d41"
-    assert typed(take(worker_pool_codec.WORKER_POOL_CODEC, FINISHED, 0, LONGEST)[0]) == (
+    assert with_type(decode_first(worker_pool_codec.WORKER_POOL_CODEC, FINISHED, 0, MAX_SIZE)[0]) == (
         RunEndedNotice,
         4,
         name,
@@ -248,7 +251,7 @@
         1500,
         b"\xff\0A",
     )
-    assert typed(take(worker_pool_codec.WORKER_POOL_CODEC, POLLED, 0, LONGEST)[0]) == (
+    assert with_type(decode_first(worker_pool_codec.WORKER_POOL_CODEC, POLLED, 0, MAX_SIZE)[0]) == (
         GaugesRead,
         "9",
         (0.5, 3.0, 0.25, 17.0),
@@ -264,7 +267,7 @@
     assert read_line(b'{"event":"of a later day"}') == (UnknownNotice,)
 
 
-def test_invalid_lines_of_the_pool_are_malformed():
+def test_invalid_lines_of_the_worker_pool_are_malformed():
     for bad in (
         b"[]",
         b"{}",
@@ -284,17 +287,17 @@
             read_line(bad)
 
 
-def test_commands_to_the_pool_are_a_json_object_a_line():
-    said = [
+def test_commands_to_the_worker_pool_are_one_json_object_per_line():
+    commands = [
         worker_pool_codec.encode_subscribe(3),
         worker_pool_codec.encode_start("x", "m", b"\xff\0A"),
         worker_pool_codec.encode_reply("x", b"A"),
         worker_pool_codec.encode_degrade("x", 5),
         worker_pool_codec.encode_gauges_request("7"),
     ]
-    assert all(line.count(b"\n") == 1 for line in said)
-    assert all(line.endswith(b"\n") for line in said)
-    assert [json.loads(line) for line in said] == [
+    assert all(line.count(b"\n") == 1 for line in commands)
+    assert all(line.endswith(b"\n") for line in commands)
+    assert [json.loads(line) for line in commands] == [
         {"event": "bind", "cursor": 3},
         {"event": "spawn", "handle": "x", "entry": "m", "arg": "/wBB"},
         {"event": "supply", "handle": "x", "arg": "QQ=="},
@@ -303,17 +306,17 @@
     ]
 
 
-def test_lines_of_the_store_and_the_registry():
-    reply, end = take(store_codec.STORE_CODEC, STORED, 0, LONGEST)
-    assert typed(reply) == (StoreReply, "9b1f03aa5c7e2d41", Outcome.OK, b"a\r\nb\0")
+def test_messages_of_the_store_and_the_registry():
+    reply, end = decode_first(store_codec.STORE_CODEC, STORED, 0, MAX_SIZE)
+    assert with_type(reply) == (StoreReply, "9b1f03aa5c7e2d41", Outcome.OK, b"a\r\nb\0")
     assert end == len(STORED)
-    proofs = {b"BUSY": True, b"ERR": False, b"LATE": False, b"VOID": True}
-    for word, proof in proofs.items():
-        (name, outcome, body), _ = take(store_codec.STORE_CODEC, b"x " + word + b"\r\n", 0, LONGEST)
-        assert (name, outcome.never_ran, body) == ("x", proof, b"")
+    replies = {b"BUSY": True, b"ERR": False, b"LATE": False, b"VOID": True}
+    for word, never_ran in replies.items():
+        (name, outcome, body), _ = decode_first(store_codec.STORE_CODEC, b"x " + word + b"\r\n", 0, MAX_SIZE)
+        assert (name, outcome.never_ran, body) == ("x", never_ran, b"")
     for bad in (b"x\r\n", b"x OK\r\n", b"x OK -1\r\n", b"x OK 99999\r\n", b"x OK 1\r\nabc", b"x WHAT\r\n"):
         with pytest.raises(ProtocolError):
-            take(store_codec.STORE_CODEC, bad, 0, LONGEST)
+            decode_first(store_codec.STORE_CODEC, bad, 0, MAX_SIZE)
     assert store_codec.encode_call("x", 250_001, b"a\r\nb") == b"CALL x 251 4\r\na\r\nb\r\n"
     assert (
         registry_codec.encode_registration("n3", True),
@@ -321,7 +324,7 @@
     ) == (b"HERE n3 on", b"HERE n3 off")
 
 
-def test_the_wire_and_the_configuration_give_the_same_settings():
+def test_wire_pairs_and_json_configuration_give_the_same_settings():
     tree = {
         "contract": {"overloadFactor": 8.0, "cold": 18_000_000},
         "me": 5,
@@ -353,26 +356,28 @@
             "services.1.odd.x=1"
         ).split()
     )
-    told = settings.from_json(tree)
-    assert told == settings.from_pairs(pairs)
-    assert told.methods[0].name == "7"
-    assert told.methods[1].kind is MethodKind.KEYED
-    assert told.can_stop is False
-    assert [method.degraded_value for method in told.methods] == [0.6, 0.0]
-    assert told.gauges == ("core_use", "on_cores")
+    loaded = settings.from_json(tree)
+    assert loaded == settings.from_pairs(pairs)
+    assert loaded.methods[0].name == "7"
+    assert loaded.methods[1].kind is MethodKind.KEYED
+    assert loaded.can_stop is False
+    assert [method.degraded_value for method in loaded.methods] == [0.6, 0.0]
+    assert loaded.gauges == ("core_use", "on_cores")
 
 
-def test_a_list_without_values_leaves_each_method_as_it_is():
+def test_an_empty_list_of_settings_leaves_the_defaults_of_each_method():
     services = [{"name": "a"}, {"name": "b"}]
     family = {"classCalls": [], "worthWithout": []}
-    told = settings.from_json({"services": services, "familyInfo": family})
+    loaded = settings.from_json({"services": services, "familyInfo": family})
     pairs = {"services.count": "2", "services.0.name": "a", "services.1.name": "b"}
-    assert told == settings.from_pairs({**pairs, "familyInfo.classCalls": "", "familyInfo.worthWithout": ""})
-    assert [method.makes_call for method in told.methods] == [False, False]
-    assert [method.degraded_value for method in told.methods] == [0, 0]
+    assert loaded == settings.from_pairs(
+        {**pairs, "familyInfo.classCalls": "", "familyInfo.worthWithout": ""}
+    )
+    assert [method.makes_call for method in loaded.methods] == [False, False]
+    assert [method.degraded_value for method in loaded.methods] == [0, 0]
 
 
-def test_buffers_are_reused_and_never_given_back_twice():
+def test_buffers_are_reused_and_cannot_be_released_twice():
     buffers, rng, taken = Buffers(LIMITS), random.Random(3), []
     for _ in range(3000):
         if taken and rng.random() < 0.5:
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""The front's contract: a few lines of front in memory run the same seeded rule checks through the core."""
+"""Tests of the contract between core and frontend: a minimal frontend passes the seeded rule checks."""
 
 import random
 from dataclasses import replace
@@ -18,10 +18,10 @@
 
 
 class MemoryFrontend:
-    """No protocol at all: messages are the harness's tuples, answers are tuples too."""
+    """A frontend without a protocol: messages are the harness's tuples, and answers are tuples."""
 
     def __init__(self, core, limits):
-        self.core, self.effect_buffer, self.rpcs, self.said, self.links = (
+        self.core, self.effect_buffer, self.rpcs, self.notifications, self.connections = (
             core,
             core.effect_buffer,
             {},
@@ -29,18 +29,20 @@
             set(),
         )
 
-    def connection_opened(self, link):
-        self.links.add(link)
-        self.effect_buffer.emit(Read(link))
+    def connection_opened(self, connection):
+        self.connections.add(connection)
+        self.effect_buffer.emit(Read(connection))
 
-    def message_received(self, link, message):
+    def message_received(self, connection, message):
         if isinstance(message, RevokeNotice):
-            rpc = self.rpcs.pop((link, message.sequence), None)
+            rpc = self.rpcs.pop((connection, message.sequence), None)
             if rpc:
                 self.core.abandon(rpc)
             return
-        seq, told, body = message
-        rpc = self.rpcs[link, seq] = NodeRpc(self, (link, seq), told["i"], told["c"], body)
+        sequence, fields, body = message
+        rpc = self.rpcs[connection, sequence] = NodeRpc(
+            self, (connection, sequence), fields["i"], fields["c"], body
+        )
         if not self.core.ready:
             self.send_final_answer(rpc, FinalOutcome.REJECTED, b"", 0, False)
             return
@@ -48,10 +50,10 @@
             self.core.accept(
                 rpc,
                 RpcAttributes(
-                    arrived_at=min(self.effect_buffer.now, int(told["s"]) * 1000),
-                    caller=link,
-                    idempotency_key=told.get("k"),
-                    is_retry="r" in told,
+                    arrived_at=min(self.effect_buffer.now, int(fields["s"]) * 1000),
+                    caller=connection,
+                    idempotency_key=fields.get("k"),
+                    is_retry="r" in fields,
                     service_time_hint_us=100 * MS,
                     memory_kb=20.0,
                 ),
@@ -59,33 +61,33 @@
         except InvalidRpcError:
             self.send_final_answer(rpc, FinalOutcome.FAILED, b"", 0, False)
 
-    def batch_completed(self, link):
-        self.effect_buffer.emit(Read(link))
+    def batch_completed(self, connection):
+        self.effect_buffer.emit(Read(connection))
 
     def send_final_answer(self, rpc, outcome, result, retry_after_us, do_not_retry):
-        del self.rpcs[rpc.reference]  # a second answer, or one after `leave`, fails here
+        del self.rpcs[rpc.reference]  # raises KeyError on a second answer, or on an answer after `abandon`
         self.effect_buffer.emit(Send(rpc.reference[0], (rpc.reference[1], outcome, result)))
 
-    def connection_ended(self, link, fault):
+    def connection_ended(self, connection, fault):
         if fault:
-            return  # what was read before is answered still
-        for ref in [ref for ref in self.rpcs if ref[0] == link]:
+            return  # RPCs that were read before the fault are still answered
+        for ref in [ref for ref in self.rpcs if ref[0] == connection]:
             self.core.abandon(self.rpcs.pop(ref))
-        self.effect_buffer.emit(Drop(link))
+        self.effect_buffer.emit(Drop(connection))
 
-    def connection_closed(self, link):
-        self.links.discard(link)
+    def connection_closed(self, connection):
+        self.connections.discard(connection)
 
-    def write_blocked(self, link):
-        """Nothing is kept for one that does not read."""
+    def write_blocked(self, connection):
+        """Do nothing: this frontend does not limit reads from a peer that does not read."""
 
     write_resumed = write_blocked
 
     def set_idle_timeout(self, timeout_us):
-        self.said.append(("idle timeout", timeout_us))
+        self.notifications.append(("idle timeout", timeout_us))
 
     def set_health(self, healthy):
-        self.said.append(("health", healthy))
+        self.notifications.append(("health", healthy))
 
     def announce_close(self):
         pass
@@ -97,10 +99,10 @@
         pass
 
     def drain(self, kill_at):
-        self.said.append(("drain", kill_at))
+        self.notifications.append(("drain", kill_at))
 
     def is_idle(self):
-        return not self.links
+        return not self.connections
 
 
 class MemoryFrontendDispatchers(DispatchersDouble):
@@ -117,29 +119,29 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rules_hold_through_a_frontend_of_another_kind(seed):
+def test_rules_hold_with_a_frontend_without_a_protocol(seed):
     rng = random.Random(100 + seed)
     harness = MemoryFrontendHarness(
         {**draw_settings(rng), **GAUGES}, seed, cached_results_bytes=rng.choice((60, 10_000))
     )
     assert "ok" in play(harness, rng)
     assert not harness.frontend.rpcs
-    assert ("health", False) in harness.frontend.said
-    assert harness.frontend.said[-1][0] != "health"
+    assert ("health", False) in harness.frontend.notifications
+    assert harness.frontend.notifications[-1][0] != "health"
 
 
-def test_two_frontends_share_keys_and_one_name_is_one_rpc():
+def test_connections_share_keys_and_an_attempt_name_in_use_is_invalid():
     harness = MemoryFrontendHarness({**PLAIN, **GAUGES})
     harness.step(MS)
     harness.step(MS)
     name = running(harness, 1)
-    link = harness.dispatchers.open()
+    connection = harness.dispatchers.open()
     first = harness.dispatchers.attempts[name]
-    harness.deliver(link, SubmitCall(9, {"i": name, "c": "m0", "s": str(harness.now // 1000)}, b""))
+    harness.deliver(connection, SubmitCall(9, {"i": name, "c": "m0", "s": str(harness.now // 1000)}, b""))
     harness.dispatchers.attempts["x"] = replace(first, body=b"other")
-    odd = harness.dispatchers.submit(link, 1, "x")
+    mismatched = harness.dispatchers.submit(connection, 1, "x")
     harness.step(MS)
-    assert harness.dispatchers.attempts[odd].outcome == "failed"
+    assert harness.dispatchers.attempts[mismatched].outcome == "failed"
     assert list(harness.pool.runs) == [name]
-    assert (link, 9) not in harness.frontend.rpcs  # a name in use was unfit, and kept nothing
+    assert (connection, 9) not in harness.frontend.rpcs  # rejected as invalid: the name is in use
     assert harness.core.lifecycle.find_running(name) is harness.core.lifecycle.rpcs[0]
