--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,12 +1,13 @@
-"""System calls that fail for a moment cost nobody a request, and no node its start.
+"""Tests that transient errors of system calls neither lose a request nor prevent a node from starting.
 
-The failure. In staging nodes did not start, or ended, once each: one ENOBUFS of `socket` or `listen`, or two
-EADDRINUSE of `bind`, gave status 2; ENFILE at the second to fourth `socket`, or no thread for the first
-readers, gave status 1. A node that left lost requests in its backlog after one ECONNABORTED of `accept`, and
-a connection whose reader thread could not be started was closed with the request in it.
+In staging, such errors ended nodes at the start: one ENOBUFS of `socket` or `listen`, or two EADDRINUSE of
+`bind`, led to exit status 2; ENFILE of the second to fourth `socket` call, or a failed start of one of the
+first reader threads, led to status 1. A draining node lost the requests in its backlog after one ECONNABORTED
+of `accept`. A connection whose reader thread could not be started was closed, and its request was lost.
 
-The evidence. A library in the process that fails the n-th call of a kind (finchcart/fault_injection/
-process_shim.c): the exit status, and each request that had no answer.
+The tests preload a library into the node that makes the n-th call of a kind fail
+(finchcart/fault_injection/processes/process_shim.c), and check the exit status and that each request is
+answered.
 """
 
 import errno
@@ -22,8 +23,8 @@
 from finchcart.net.listener import Listener
 from tests.test_connections import HEALTH_CHECK, open_pair
 
-SAMPLE = 36
-PEERS = 3
+SAMPLE_SIZE = 36
+PEER_COUNT = 3
 START_FAULTS = (
     CallFault(Call.SOCKET, errno.ENOBUFS, 1),
     CallFault(Call.LISTEN, errno.ENOBUFS, 1),
@@ -37,19 +38,19 @@
 )
 
 
-def test_a_start_gets_over_calls_that_fail_for_a_moment(tmp_path):
+def test_a_node_starts_despite_transient_errors_of_system_calls(tmp_path):
     sweep = CallSweep(tmp_path)
     assert [line for fault in START_FAULTS for line in sweep.play_start(fault)] == []
 
 
-def test_calls_that_fail_in_service_cost_nobody_a_request(tmp_path):
-    """A seeded sample; `finchcart trial calls` plays each call, error and count."""
-    faults = random.Random(7).sample(all_faults(), SAMPLE)
+def test_transient_errors_of_system_calls_in_service_lose_no_request(tmp_path):
+    """Runs a seeded sample; `finchcart trial calls` runs every combination of call, error and count."""
+    faults = random.Random(7).sample(all_faults(), SAMPLE_SIZE)
     assert CallSweep(tmp_path).play_in_service(faults) == []
 
 
-class FailingLook:
-    """A socket whose looks at what the system received fail for a moment."""
+class SocketWithFailingTcpInfo:
+    """A socket on which the request for the count of received bytes fails with a transient error."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -62,19 +63,19 @@
         return getattr(self.sock, name)
 
 
-def test_a_look_that_fails_closes_no_connection_over_what_waits():
+def test_close_if_idle_keeps_a_connection_open_if_its_check_fails():
     connection, peer, _ = open_pair()
-    connection.sock = FailingLook(connection.sock)
+    connection.sock = SocketWithFailingTcpInfo(connection.sock)
     peer.sendall(HEALTH_CHECK)
     assert not connection.close_if_idle()
 
 
-def test_log_lines_that_can_not_be_written_are_counted_and_told_once_they_can(monkeypatch):
+def test_lost_log_lines_are_counted_and_reported_once_writes_succeed_again(monkeypatch):
     written = []
-    full = [True]
+    is_full = [True]
 
     def write(descriptor, data):
-        if full[0]:
+        if is_full[0]:
             raise OSError(errno.ENOSPC, "full")
         written.append(bytes(data[:7]))  # short writes
         return len(written[-1])
@@ -83,14 +84,14 @@
     sink = LogSink()
     sink("lost\n")
     sink("lost too\n")
-    full[0] = False
+    is_full[0] = False
     sink("a line\n")
     sink("another line\n")
     assert b"".join(written) == b"2 log lines could not be written\na line\nanother line\n"
 
 
-class AbortedAccepts:
-    """A listening socket some of whose accepts fail, as where the peer has gone already."""
+class ListenerWithAbortedAccepts:
+    """A listening socket on which some calls of `accept` fail, as if the peer had already gone."""
 
     def __init__(self, sock, failing):
         self.sock = sock
@@ -107,40 +108,40 @@
         return getattr(self.sock, name)
 
 
-def test_the_end_of_listening_takes_the_backlog_over_accepts_that_fail():
+def test_stop_accepts_the_whole_backlog_despite_failing_accepts():
     for failing in ({1}, {2, 3}, {1, 3, 4}):
-        assert accepted_at_the_end(failing) == PEERS, failing
+        assert accepted_by_stop(failing) == PEER_COUNT, failing
 
 
-def accepted_at_the_end(failing):
+def accepted_by_stop(failing):
     limits = Limits(memory_bytes=64 << 20, descriptors=200, stop_timeout_us=3_000_000)
     listener = Listener(("127.0.0.1", 0), limits)
     address = listener.sock.getsockname()
-    peers = [socket.create_connection(address) for _ in range(PEERS)]
-    listener.sock = AbortedAccepts(listener.sock, failing)
+    peers = [socket.create_connection(address) for _ in range(PEER_COUNT)]
+    listener.sock = ListenerWithAbortedAccepts(listener.sock, failing)
     accepted = SimpleQueue()
     listener.on_accepted = lambda number, sock, host, on_closed: accepted.put(sock)
     listener.stop()
-    assert len(peers) == PEERS
+    assert len(peers) == PEER_COUNT
     return accepted.qsize()
 
 
-def test_a_connection_whose_reader_can_not_be_started_waits_for_a_thread():
+def test_a_connection_that_cannot_be_served_yet_waits_and_keeps_its_request():
     limits = Limits(
         memory_bytes=64 << 20, descriptors=200, stop_timeout_us=3_000_000, accept_retry_delay_us=1_000
     )
     listener = Listener(("127.0.0.1", 0), limits)
-    refusals = [OSError(errno.EAGAIN, "no thread")] * 3
-    taken = SimpleQueue()
+    errors = [OSError(errno.EAGAIN, "no thread")] * 3
+    accepted = SimpleQueue()
 
     def on_accepted(number, sock, host, on_closed):
-        if refusals:
-            raise refusals.pop()
-        taken.put(sock)
+        if errors:
+            raise errors.pop()
+        accepted.put(sock)
 
     listener.on_accepted = on_accepted
     threading.Thread(target=listener.accept, daemon=True).start()
     peer = socket.create_connection(listener.sock.getsockname())
     peer.sendall(b"request")
-    assert taken.get(timeout=10).recv(100) == b"request"
+    assert accepted.get(timeout=10).recv(100) == b"request"
     listener.stop()
