--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -227,11 +227,11 @@
     """Decode a reply with the reader of the binary protocol, which accepts any message."""
     reader = Reader(data[4:])
     values = [
-        reader.integer(I32),
-        reader.value(STRING),
-        reader.integer(I32),
+        reader.read_integer(I32),
+        reader.read_value(STRING),
+        reader.read_integer(I32),
     ]
-    return to_plain([*values, reader.value(STRUCT)])
+    return plain([*values, reader.read_value(STRUCT)])
 
 
 def decode_example(name, data):
