--- a/tests/pins/codec_examples.py
+++ b/tests/pins/codec_examples.py
@@ -231,7 +231,7 @@
         reader.read_value(STRING),
         reader.read_integer(I32),
     ]
-    return plain([*values, reader.read_value(STRUCT)])
+    return to_plain([*values, reader.read_value(STRUCT)])
 
 
 def decode_example(name, data):
--- a/tests/test_dispatcher_connections.py
+++ b/tests/test_dispatcher_connections.py
@@ -88,17 +88,17 @@
     harness.pool.end_run(name, Outcome.OK)
     for _ in range(3):
         harness.step(MS)
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert harness.connections[connection] == "closed"
 
 
 def test_a_connection_that_ends_after_invalid_bytes_still_gets_its_answers():
     harness = plain_harness()
-    name = running(harness)
+    name = start_run(harness)
     connection = harness.dispatchers.attempts[name].connection
     harness.dispatchers.end_connection(connection, "rubbish")
     harness.feed(ConnectionEnded(connection, None))  # the reader continued to read up to the peer's close
-    ends_well(harness, name)
+    end_run_with_success(harness, name)
     assert harness.connections[connection] == "closed"
 
 
@@ -122,7 +122,7 @@
     harness.step(MS)
     harness.pool.end_run(crossed, Outcome.OK)
     harness.step(MS)
-    assert how(harness, crossed) == "ok"
+    assert outcome_of(harness, crossed) == "ok"
     assert harness.connections[connection] == "open"
     for _ in range(300):
         harness.step(10 * MS)
@@ -151,7 +151,7 @@
     name = harness.dispatchers.submit(connection)
     harness.step(2 * MS)
     assert harness.connections[connection] == "open"
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     harness.reads_requested[connection] = 1
     harness.step(MS)
     harness.step(MS)
@@ -169,7 +169,7 @@
     name = harness.dispatchers.submit(connection)
     harness.step(2 * MS)
     assert harness.connections[connection] == "closed"
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     with pytest.raises(AssertionError, match="lost"):
         for _ in range(1000):
             harness.step(10 * MS)
@@ -186,7 +186,7 @@
         harness.pool.end_run(name, Outcome.OK)
         harness.step(MS)
         max_timers = max(max_timers, len(harness.core.effect_buffer.timers))
-    assert how(harness, name) == "ok"
+    assert outcome_of(harness, name) == "ok"
     assert max_timers < 12
 
 
@@ -213,7 +213,7 @@
     assert len(harness.frontend.table.connections) == harness.limits.max_connections == 136
     for each in names:
         harness.step(MS)
-        ends_well(harness, each)
+        end_run_with_success(harness, each)
     # Connections that stay open after a single health check are closed soon, those with more checks are not.
     for _ in range(130):
         harness.step(10 * MS)
@@ -261,7 +261,7 @@
     name = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
-    assert how(harness, name) == "rejected"
+    assert outcome_of(harness, name) == "rejected"
     harness.dispatchers.end_connection(connection)
     for _ in range(200):
         harness.step(2 * MS)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -134,7 +134,7 @@
     harness = MemoryFrontendHarness({**PLAIN, **GAUGES})
     harness.step(MS)
     harness.step(MS)
-    name = running(harness, 1)
+    name = start_run(harness, 1)
     connection = harness.dispatchers.open()
     first = harness.dispatchers.attempts[name]
     harness.deliver(connection, SubmitCall(9, {"i": name, "c": "m0", "s": str(harness.now // 1000)}, b""))
