--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -13,7 +13,8 @@
 from finchcart.decisions.rpc import RpcHandle
 
 QUOTA_RESERVE_DIVISOR = 20  # one twentieth of a fleet quota is reserved for each higher criticality rank
-# With a free core, an RPC is admitted if its expected service time is below this fraction of the time left.
+# On a free core, an RPC with a service time hint is run if its expected service time is below this fraction
+# of the time left. An RPC without a hint is always run on a free core.
 FREE_CORE_FRACTION = 0.8
 IDLE_NODE_FRACTION = 1.2  # the same fraction while less than half of the cores are in use
 # Probability of running an RPC that is expected to be late: without these runs, the estimates of a slow node
--- a/finchcart/decisions/deadlines.py
+++ b/finchcart/decisions/deadlines.py
@@ -16,8 +16,11 @@
 RESPONSE_MARGIN = 20 * MS  # part of the margin in addition to two ticks and a maintenance interval
 TERMINATION_MARGIN = 50 * MS  # during a shutdown, responses are due this long before the termination deadline
 MAX_LATENESS_MARGIN = SECOND  # upper bound of the margin that is added for late timers
-LATENESS_DECAY = 63, 64  # numerator and denominator of the decay factor per maintenance interval
-BEST_CASE_FRACTION = 0.6  # fraction of its expected service time that a short run is assumed to take
+# Decay factor per maintenance interval, as numerator and denominator: the lateness decays within seconds.
+LATENESS_DECAY = 63, 64
+# Fraction of its expected service time that a short run is assumed to take. Service times vary, so a waiting
+# RPC is given up only if even a short run would be late.
+BEST_CASE_FRACTION = 0.6
 
 
 class ResponseDeadlines:
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -15,7 +15,9 @@
 from finchcart.decisions.units import SECOND
 
 OBJECTIVE_WITHOUT_METHODS = SECOND
-MIN_COLD_SPEED = 0.1  # fraction of the full speed; a slower configured cold start is raised to this
+MIN_COLD_SPEED = (
+    0.1  # fraction of the full speed; a slower configured start is implausible and raised to this
+)
 
 
 class Method:
