--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -112,7 +112,7 @@
             start_thread(self._run, name)
         except OSError:
             if thread_starter is None or self._address:
-                raise  # the caller reports a connection that was to be opened as refused, and it is retried
+                raise  # the caller reports the connection as refused, and the core connects again
             thread_starter.start(DeferredThread(self._run, name, self._abandon_reader))
 
     def _abandon_reader(self) -> None:
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -105,7 +105,7 @@
         self._mailbox.put((channel, event))
 
     def post_now(self, channel: bytes | None, event: MachineInput) -> None:
-        """Queue an input for immediate processing: an empty datagram to the own socket wakes the thread."""
+        """Queue an input for immediate processing: an empty datagram to itself wakes the thread."""
         self._mailbox.put((channel, event))
         with suppress(OSError):  # without the datagram, the input is processed at the next tick
             self.sock.sendto(b"", MSG_DONTWAIT, self.sock.getsockname())
@@ -151,9 +151,9 @@
     def _receive_pending(self) -> None:
         """Process the datagrams that arrived before the tick.
 
-        If this thread runs late, a tick without these datagrams would suspect other members for the delay of
-        this process. The timeout is set to 0 because a read on a socket with a timeout waits even with
-        MSG_DONTWAIT.
+        If this thread runs late, a tick that ignored the waiting datagrams would make other members suspects
+        because of a delay in this process. The timeout is set to 0 because a read on a socket with a timeout
+        waits even with MSG_DONTWAIT.
         """
         self.sock.settimeout(0)
         for _ in range(MAX_DATAGRAMS_PER_TICK):
--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -17,7 +17,7 @@
 from finchcart.net.clock import boot_clock
 from finchcart.net.transient_errors import MAX_SHORTAGES, SHORTAGE_PAUSE_S, is_transient
 
-MIN_WAIT_US = 2_000  # a read that took longer than this waited for its first byte to arrive
+MIN_WAIT_US = 2_000  # if a read takes longer than this, it has waited for its first byte to arrive
 
 
 class FrameBatch(NamedTuple):
@@ -25,7 +25,7 @@
 
     frames: list[bytes]
     fault: ProtocolError | None
-    empty_at: int  # when the receive buffer was last empty before these bytes, boot clock in microseconds
+    empty_at: int  # time on the boot clock, in microseconds, at which the receive buffer was last empty
     was_waiting: bool  # the reader was blocked when the first byte arrived
 
 
@@ -127,7 +127,7 @@
     def _wait_without_buffer(self, sock: socket.socket) -> bytearray:
         """Release the buffer, wait for data, and acquire a buffer again.
 
-        The first byte is only peeked at. So idle connections use no buffer memory.
+        The wait only peeks at the first byte, so that idle connections use no buffer memory.
         """
         self._release_buffer()
         if not self._read(sock, self._first_byte, socket.MSG_PEEK):
@@ -146,7 +146,7 @@
             self._data = bytes(view[: self._filled])
 
     def _read(self, sock: socket.socket, target: memoryview | bytearray, flags: int) -> int:
-        """Receive into `target`; retry while the system is short of memory, as no data is lost by that."""
+        """Receive into `target`; retry while the system is short of memory, which loses no received data."""
         for _ in range(MAX_SHORTAGES):
             try:
                 return sock.recv_into(target, 0, flags)
@@ -163,9 +163,8 @@
             read_started_at: when the read started.
             emptied: whether the read took everything from the socket's receive buffer.
         """
-        is_continued = self._start < len(
-            self._data
-        )  # the bytes continue a frame that began in an earlier read
+        # The received bytes may continue a frame that began in an earlier read.
+        is_continued = self._start < len(self._data)
         if not is_continued:
             self._empty_at = self._emptied_at
             self._was_waiting = boot_clock() - read_started_at > MIN_WAIT_US
--- a/finchcart/protocol/store_codec.py
+++ b/finchcart/protocol/store_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the store's protocol, whose messages are a line and, for some, a body of the length in the line.
+"""Codec of the store's protocol, in which a message is a line that can announce a body after it.
 
 This module alone defines the encoding of the protocol and the words in it. The functions do no I/O, keep no
 state, and raise only `ProtocolError`, whatever bytes they decode.
