--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -25,7 +25,7 @@
 
     frames: list[bytes]
     fault: ProtocolError | None
-    empty_at: int  # time on the boot clock, in microseconds, at which the receive buffer was last empty
+    empty_at: int  # boot clock in microseconds; the receive buffer was empty then, before these bytes came
     was_waiting: bool  # the reader was blocked when the first byte arrived
 
 
