--- a/finchcart/node/port.py
+++ b/finchcart/node/port.py
@@ -1,6 +1,7 @@
-"""What the decision module can do in a node: the implementation of `finchcart.decisions.port.Port`.
+"""The implementation of `finchcart.decisions.port.Port` in a node, by which the decision module acts.
 
-Owns no state. Each verb takes effect immediately, in the order in which it is called; it must never decide.
+Each method takes effect immediately, so the effects are in the order of the calls. `CorePort` must never make
+decisions of its own, and keeps no state but the shed level that is published.
 """
 
 from collections.abc import Mapping
@@ -24,7 +25,7 @@
 
 
 class CorePort:
-    """The port of one node, see `finchcart.decisions.port.Port`. Times are whole microseconds."""
+    """The port of one node; see `finchcart.decisions.port.Port`. Times are whole microseconds."""
 
     def __init__(
         self,
@@ -46,12 +47,12 @@
         self.frontends = frontends
         self.limiters = limiters
         self.key_leases = key_leases
-        self.shed_level: float | None = None  # published with all answers
+        self.shed_level: float | None = None  # sent with all answers; None: not set yet
 
     # ---- Runs
 
     def run(self, index: int) -> None:
-        """Start a queued RPC, where its key lease still allows it."""
+        """Start the run of a queued RPC, unless its key lease has expired."""
         rpc = self.rpcs[index]
         rpc.started = True
         if self.key_leases and not self.key_leases.may_run(index):
@@ -62,19 +63,19 @@
         self.pool.run(rpc, self.lifecycle.methods[rpc.method].is_idempotent)
 
     def stop(self, index: int) -> None:
-        """Refuse: the settings state that this worker pool stops nothing (supported_settings.py)."""
-        raise NotImplementedError("this worker pool stops nothing")
+        """Raise an error, as this worker pool can't stop runs; supported_settings.py disables stopping."""
+        raise NotImplementedError("this worker pool can't stop runs")
 
     # ---- Final answers
 
     def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
-        """Send the final answer that it never ran here, and count it by its reason."""
+        """Send the final answer that the RPC never ran here, and count the rejection by its reason."""
         self.effect_buffer.statistics.count(f"rejections: {reason.value}")
         rpc = self.rpcs[index]
         self.lifecycle.answer(rpc, FinalOutcome.REJECTED, b"", retry_after, do_not_retry)
 
     def fail(self, index: int) -> None:
-        """Send the final answer that it failed, whether it ran or not."""
+        """Send the final answer that the RPC failed, and abandon its call."""
         rpc = self.rpcs[index]
         self.store.drop(rpc)
         self.lifecycle.answer(rpc, FinalOutcome.FAILED)
@@ -82,7 +83,7 @@
     # ---- Calls
 
     def call(self, index: int, timeout: int) -> None:
-        """Make the call that a run awaits, where there is an address and capacity for it."""
+        """Make the call that a run awaits, if the store has an address and the fleet limits allow it."""
         rpc = self.rpcs[index]
         if self.store.address is None:
             self.effect_buffer.emit(Defer(CallNotMade(index)))
@@ -94,7 +95,7 @@
     def _call_within_limits(self, limiters: "LimiterSet", rpc: NodeRpc, timeout_us: int) -> None:
         permit = limiters.acquire_call(self.store)
         if permit is None:
-            # Deferred, as the decision module is in the midst of its calls.
+            # Deferred, because the decision module can't handle an input before its call of the port returns.
             self.effect_buffer.emit(Defer(CallNotMade(rpc.index)))
             return
         limit_us = permit.time_limit_us
@@ -104,7 +105,7 @@
         self.store.call(rpc, timeout_us, _awaited_call(rpc).body, permit.leased, permit.write_by)
 
     def degrade(self, index: int) -> None:
-        """Leave out the call that a run awaits, for a degraded answer."""
+        """Tell a run to continue without the call that it awaits, for a degraded answer."""
         rpc = self.rpcs[index]
         cursor = _awaited_call(rpc).cursor
         rpc.awaited_call = None
@@ -113,59 +114,60 @@
     # ---- Idempotency keys
 
     def answer_duplicate(self, index: int) -> None:
-        """Answer a duplicate from the result of the first RPC of its key, once that is known."""
+        """Answer a duplicate with the result of the first RPC of its key, once that result is known."""
         rpc = self.rpcs[index]
         rpc.joined_at = self.effect_buffer.now
         self.lifecycle.idempotency.join_in_flight(rpc)
 
     def store_key(self, index: int, ttl: int) -> None:
-        """Keep the RPC's idempotency key, so that duplicates are recognized."""
+        """Keep the idempotency key of an RPC, so that duplicates are recognized."""
         rpc = self.rpcs[index]
-        # The window counts from the arrival of what ran: after a step of the wall clock from the latest that
-        # it can have been, lest it take effect twice.
+        # The time to live starts at the arrival of the RPC that ran. After a step of the wall clock the
+        # arrival time is uncertain, and a key that expired too early would let an effect happen twice, so the
+        # time to live is extended by the uncertainty.
         self.lifecycle.idempotency.store(rpc, ttl + rpc.arrival_uncertainty_us)
 
     def evict_key(self, index: int) -> None:
-        """Remove the RPC's idempotency key."""
+        """Remove the idempotency key of an RPC."""
         self.lifecycle.idempotency.evict(entry_of(self.rpcs[index]))
 
-    # ---- What is published
+    # ---- Published values
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """Set how health checks and the registry are answered from now on."""
+        """Set the health that health checks and the registry receive from now on."""
         self.registration.set_health(healthy)
         for frontend in self.frontends.values():
             frontend.set_health(healthy)
 
     def set_shed_level(self, level: float) -> None:
-        """Publish the shed level with all answers."""
+        """Send the shed level with all answers from now on."""
         self.shed_level = level
 
     def set_credit(self, credit: float) -> None:
-        """Refuse: the settings state that answers carry no credit (supported_settings.py)."""
-        raise NotImplementedError("dispatchers' answers carry no credit")
+        """Raise an error, as answers can't carry a credit; supported_settings.py disables credits."""
+        raise NotImplementedError("answers to dispatchers can't carry a credit")
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Close connections that are idle for so long."""
+        """Close connections that are idle for `timeout` microseconds."""
         for frontend in self.frontends.values():
             frontend.set_idle_timeout(timeout)
 
-    # ---- Timers, log lines, the end of an RPC
+    # ---- Timers, log lines and the release of RPCs
 
     def set_timer(self, delay: int) -> None:
-        """Have the decision module's `on_timer` called with gauges after `delay`."""
+        """Call `on_timer` of the decision module with the gauges after `delay` microseconds."""
         self.effect_buffer.schedule(self.effect_buffer.now + delay, self.pool.request_gauges)
 
     def log(self, text: str) -> None:
-        """Write one line for the operators."""
+        """Write a log line for the operators."""
         self.effect_buffer.emit(Log(text))
 
     def release(self, index: int) -> None:
-        """Forget the RPC: the decision module won't name this index again."""
+        """Forget the RPC; the decision module does not use this index again."""
         self.lifecycle.release(index)
 
 
 def _awaited_call(rpc: NodeRpc) -> AwaitedCall:
     """Return the call that the run of an RPC awaits."""
-    assert rpc.awaited_call is not None, f"RPC {rpc.index}: awaits no call"
+    assert rpc.awaited_call is not None, f"the run of RPC {rpc.index} awaits no call"
     return rpc.awaited_call
--- a/finchcart/node/store.py
+++ b/finchcart/node/store.py
@@ -1,8 +1,9 @@
-"""Calls to the store that all nodes share.
+"""The client of the store that all nodes share, which makes the calls of the runs.
 
-Owns the connections to the store, each with one call at a time, and the time limit of each call. It must
-never write a call where a late or copied reply to another call of the same RPC could pass for its own, nor
-retry one: the decision module decides that.
+`StoreClient` owns the connections to the store, each of which carries one call at a time, and the timeout of
+each call. It must never make a call on a connection where a late or duplicate reply to another call of the
+same RPC could be mistaken for the reply to this call. It must never retry a call: the decision module decides
+about retries.
 """
 
 from collections.abc import Callable
@@ -17,39 +18,43 @@
 from finchcart.protocol import store_codec
 from finchcart.protocol.messages import StoreReply
 
-PARTY = "store"  # in log lines
+PARTY = "store"  # prefix of log lines and of statistics counters
 
 CallEnded = Callable[[NodeRpc, Outcome, bytes, int], None]
 
 
 class StoreConnection:
-    """One connection to the store, which carries one call at a time: a bad reply costs no other call."""
+    """One connection to the store.
+
+    A connection carries one call at a time, so that a corrupt reply fails no other call.
+    """
 
     __slots__ = ("idle_since", "is_leased", "names_used", "number", "retired", "rpc")
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.rpc: NodeRpc | None = None  # the RPC whose call it carries
-        self.is_leased = False  # that call is beyond the floor of the fleet's limit
-        self.names_used: set[str] = set()  # of all RPCs that it carried calls for
-        self.retired = False  # it takes no further call
-        self.idle_since = 0  # of one that carries no call
+        self.rpc: NodeRpc | None = None  # the RPC whose call is in flight on this connection
+        self.is_leased = False  # whether that call uses the leased part of the fleet limit, beyond the floor
+        self.names_used: set[str] = set()  # names of all RPCs whose calls this connection has carried
+        self.retired = False  # whether the connection is closed after its current call
+        self.idle_since = 0  # valid only while no call is in flight
 
 
 class AbandonedCall(NamedTuple):
-    """A call that the store may not know yet to be abandoned."""
+    """An abandoned call that the store may still be working on."""
 
-    until: int
+    counted_until: int
     is_leased: bool
 
 
 class StoreClient:
-    """The calls in flight. Times are whole microseconds.
+    """The client that makes calls to the store. Times are whole microseconds.
 
-    `call_ended(rpc, outcome, body, spent_us)` is notified of each call that was not dropped. Bounds:
-    connections by the calls that the decision module allows at once, and each is closed once it idles or has
-    carried `limits.calls_per_store_connection`; abandoned calls by what is abandoned within `linger_us`, for
-    which each counts as in flight still.
+    `call_ended(rpc, outcome, body, spent_us)` is called at the end of each call that was not dropped. An
+    abandoned call still counts as in flight for `linger_us`. Bounds: at most as many connections as the
+    decision module allows calls at once; a connection is closed when it has been idle for too long or has
+    carried `limits.calls_per_store_connection` calls. The list of abandoned calls holds those of the last
+    `linger_us`.
     """
 
     def __init__(
@@ -66,13 +71,16 @@
         self.call_ended = call_ended
         self.linger_us = linger_us
         self.connections: dict[int, StoreConnection] = {}
-        self.idle: list[StoreConnection] = []  # the one used last is taken first
+        self.idle: list[StoreConnection] = []  # the most recently used connection is last and reused first
         self._abandoned: list[AbandonedCall] = []
 
     def in_flight(self, leased: bool) -> int:
-        """Return how many calls the store may be working on: beyond the floor of the limit, or the others."""
+        """Return the number of calls that the store may be working on.
+
+        `leased` selects either the calls beyond the floor of the fleet limit, or those within the floor.
+        """
         now = self.effect_buffer.now
-        self._abandoned = [call for call in self._abandoned if call.until > now]
+        self._abandoned = [call for call in self._abandoned if call.counted_until > now]
         carried = sum(
             connection.rpc is not None and connection.is_leased is leased
             for connection in self.connections.values()
@@ -85,11 +93,12 @@
         """Make the call of an RPC.
 
         Arguments:
-            rpc: whose call it is.
-            timeout_us: it is abandoned after this time.
-            body: what the store is sent.
-            leased: whether it is beyond the floor of the fleet's limit.
-            write_by: on the boot clock; it is written until then or not at all. None: at any time.
+            rpc: the RPC whose run awaits the call.
+            timeout_us: the time after which the call is abandoned.
+            body: the body of the call.
+            leased: whether the call uses the leased part of the fleet limit, beyond the floor.
+            write_by: the latest time, on the boot clock, at which the call may be written; after it the call
+                is not written at all. None: no such limit.
         """
         effect_buffer = self.effect_buffer
         connection = self._connection_for(rpc)
@@ -107,7 +116,7 @@
         effect_buffer.schedule(effect_buffer.now + timeout_us, self.time_out, rpc, rpc.calls_made)
 
     def drop(self, rpc: NodeRpc) -> None:
-        """Abandon a call, and its connection with it: a late reply may still come there."""
+        """Abandon the call of an RPC, and close its connection, on which a late reply may still arrive."""
         if rpc.call_connection is None:
             return
         connection = self.connections.get(rpc.call_connection)
@@ -116,28 +125,29 @@
             self._close(connection)
 
     def time_out(self, rpc: NodeRpc, call_number: int) -> None:
-        """End the RPC's call of this number, whose time limit is over."""
+        """Abandon the call of an RPC on its timeout, unless the call of this number is already over."""
         if rpc.call_connection is not None and rpc.calls_made == call_number:
             self.drop(rpc)
             self.call_ended(rpc, Outcome.TIMEOUT, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Make new calls at another address; those in flight end at the old one."""
+        """Make new calls to another address; calls in flight end on their connections to the old address."""
         self.address = address
         for connection in list(self.connections.values()):
             self._retire(connection)
 
-    # ---- What comes on the connections: see ConnectionOwner
+    # ---- Events of the connections: see ConnectionOwner
 
     def message_received(self, number: int, message: StoreReply) -> None:
-        """Complete the call that the reply belongs to."""
+        """Complete the call in flight on the connection, if the reply belongs to this call."""
         connection = self.connections.get(number)
         if connection is None:
             return
         name, outcome, body = message
         rpc = connection.rpc
         if rpc is None or name != rpc.name:
-            # Guards against a copy, or another's reply, that passes for a call's: none is made here again.
+            # The reply is a duplicate, or belongs to another call. The connection carries no further call, on
+            # which another such reply could be mistaken for its own.
             self._retire(connection)
             return
         rpc.call_connection = None
@@ -155,31 +165,32 @@
             self.effect_buffer.emit(Read(number))
 
     def connection_refused(self, number: int, reason: str) -> None:
-        """End its call, which never ran."""
+        """End the call of a connection that was never established; the store did not receive the call."""
         self._lose(number, Outcome.UNREACHABLE, reason)
 
     def connection_ended(self, number: int, fault: ProtocolError | None) -> None:
-        """End its call, which may have run."""
+        """End the call of a lost connection; the store may have executed the call."""
         self._lose(number, Outcome.CONNECTION_LOST, str(fault or ""))
 
     def write_blocked(self, number: int) -> None:
-        """Do nothing: the call's own time limit bounds it."""
+        """Do nothing, because the timeout of the call limits how long the write can take."""
 
     def write_resumed(self, number: int) -> None:
-        """Do nothing: the call's own time limit bounds it."""
+        """Do nothing; see `write_blocked`."""
 
     def connection_closed(self, number: int) -> None:
-        """Do nothing: it was forgotten when it was dropped."""
+        """Do nothing, because the connection was forgotten when it was dropped."""
 
     # ---- Connections
 
     def _connection_for(self, rpc: NodeRpc) -> StoreConnection:
-        # Guards against a copy of a reply that passes for this call's: not where one may come.
+        # A duplicate reply to an earlier call of the same RPC could be mistaken for the reply to this call,
+        # so no connection is used for a second call of the same RPC.
         for connection in reversed(self.idle):
             if rpc.name not in connection.names_used:
                 self.idle.remove(connection)
                 return connection
-        assert self.address is not None, "a call without an address: see CorePort.call"
+        assert self.address is not None, "a call without an address of the store; see CorePort.call"
         effect_buffer = self.effect_buffer
         connection = StoreConnection(effect_buffer.connect("store", self.address, self))
         self.connections[connection.number] = connection
@@ -199,18 +210,18 @@
             call = (
                 f"call of {rpc.name} after {self.effect_buffer.now - rpc.call_started_at} us"
                 if rpc
-                else "no call"
+                else "no call in flight"
             )
             text = f"connection {number}: {outcome.value} ({reason or 'closed'}), {call}"
             self.effect_buffer.log_fault(
-                PARTY, outcome.value, f"{text}, {len(self.connections)} connections left"
+                PARTY, outcome.value, f"{text}, {len(self.connections)} connections still open"
             )
         if rpc:
             rpc.call_connection = None
             self.call_ended(rpc, outcome, b"", self.effect_buffer.now - rpc.call_started_at)
 
     def _retire(self, connection: StoreConnection) -> None:
-        """Give the connection no further call, and close it once it has none."""
+        """Close the connection now if it is idle, else once its current call has ended."""
         connection.retired = True
         if connection.rpc is None:
             self._close(connection)
@@ -225,7 +236,11 @@
         self.effect_buffer.emit(Drop(connection.number))
 
     def _close_if_idle(self, connection: StoreConnection) -> None:
-        """Close what idles, long before the store does, so that no call crosses the store's close."""
+        """Close a connection that has been idle for too long, else check again when it may have been.
+
+        The idle timeout is far below the store's own, so that no call is written to a connection that the
+        store is closing.
+        """
         if connection.number not in self.connections:
             return
         since = self.effect_buffer.now if connection.rpc else connection.idle_since
