--- a/finchcart/node/recording_port.py
+++ b/finchcart/node/recording_port.py
@@ -1,6 +1,6 @@
-"""A port that records what the decision module answers and publishes, for watch mode.
+"""A port that records the answers and the published values of a decision module, for watch mode.
 
-Owns what was recorded and not compared yet. It must never change what it passes on.
+`RecordingPort` owns the records that were not compared yet. It must never change the calls that it forwards.
 """
 
 from typing import NamedTuple
@@ -10,49 +10,49 @@
 
 
 class RecordedRejection(NamedTuple):
-    """What a rejection advised the caller."""
+    """The advice to the caller in a rejection."""
 
     retry_after: int  # microseconds
     do_not_retry: bool
 
 
 class RecordedDecisions(NamedTuple):
-    """What was decided of one RPC."""
+    """The recorded decisions about one RPC."""
 
-    rejection: RecordedRejection | None  # None: it was not rejected
+    rejection: RecordedRejection | None  # None: the RPC was not rejected
     failed_or_paused: bool
 
 
 class RecordingPort:
-    """Records, and passes each verb on to `port` where there is one; see `Port` for the verbs.
+    """Records decisions, and forwards each call to `port` if there is one; see `Port` for the methods.
 
-    Bounds: what is recorded of an RPC is taken away once that is completed.
+    Bounds: the records of an RPC are removed by `pop_decisions` once the RPC is completed.
     """
 
     def __init__(self, port: Port | None = None) -> None:
         self.port = port
         self.enabled = True
-        self.rejections: dict[int, RecordedRejection] = {}  # by index
-        self.failed_or_paused: set[int] = set()  # indices
-        self.feedback: float | None = None  # the shed level or credit that was published last
+        self.rejections: dict[int, RecordedRejection] = {}  # by index of the RPC
+        self.failed_or_paused: set[int] = set()  # indices of RPCs
+        self.feedback: float | None = None  # the last published shed level or credit
         self.healthy = True
 
-    def take(self, index: int) -> RecordedDecisions:
-        """Return what was recorded of an RPC, and forget it."""
+    def pop_decisions(self, index: int) -> RecordedDecisions:
+        """Return the recorded decisions about an RPC, and remove them."""
         failed_or_paused = index in self.failed_or_paused
         self.failed_or_paused.discard(index)
         return RecordedDecisions(self.rejections.pop(index, None), failed_or_paused)
 
     def disable(self) -> None:
-        """Record nothing from here on: nobody would take it away."""
+        """Remove all records and record nothing from now on, because nothing would remove further records."""
         self.enabled = False
         self.rejections = {}
         self.failed_or_paused = set()
 
-    # ---- Verbs that are recorded
+    # ---- Methods that record and forward
 
     def reject(self, index: int, reason: RejectionReason, retry_after: int, do_not_retry: bool) -> None:
-        """Record the rejection and its advice."""
+        """Record the rejection with its advice."""
         if self.enabled:
             self.rejections[index] = RecordedRejection(retry_after, do_not_retry)
         if self.port:
@@ -66,21 +66,21 @@
             self.port.fail(index)
 
     def stop(self, index: int) -> None:
-        """Record the pause."""
+        """Record the pause of the run."""
         if self.enabled:
             self.failed_or_paused.add(index)
         if self.port:
             self.port.stop(index)
 
     def set_shed_level(self, level: float) -> None:
-        """Record the feedback."""
+        """Record the shed level as the feedback."""
         if self.enabled:
             self.feedback = level
         if self.port:
             self.port.set_shed_level(level)
 
     def set_credit(self, credit: float) -> None:
-        """Record the feedback."""
+        """Record the credit as the feedback."""
         if self.enabled:
             self.feedback = credit
         if self.port:
@@ -93,54 +93,54 @@
         if self.port:
             self.port.set_health(healthy, cached)
 
-    # ---- Verbs that are only passed on
+    # ---- Methods that only forward
 
     def run(self, index: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.run(index)
 
     def call(self, index: int, timeout: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.call(index, timeout)
 
     def degrade(self, index: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.degrade(index)
 
     def answer_duplicate(self, index: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.answer_duplicate(index)
 
     def store_key(self, index: int, ttl: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.store_key(index, ttl)
 
     def evict_key(self, index: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.evict_key(index)
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.set_idle_timeout(timeout)
 
     def set_timer(self, delay: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.set_timer(delay)
 
     def log(self, text: str) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.log(text)
 
     def release(self, index: int) -> None:
-        """Pass it on."""
+        """Forward the call."""
         if self.port:
             self.port.release(index)
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -1,4 +1,4 @@
-"""Watching: the same answers with it on and off, counts where decisions differ, and faults kept apart."""
+"""Watch mode: it changes no answer, counts differing decisions, and isolates exceptions in the shadow."""
 
 import json
 import random
@@ -28,48 +28,51 @@
 PERIOD = 1000 * MS
 
 
-def shadow_settings(told, watched, period):
-    """Some watched settings over those in force, as a configuration makes them."""
-    return ShadowSettings(typed(watched, supported_settings(typed({**told, **GAUGES}))), period)
+def shadow_settings(active, watched, period):
+    """Return watched settings applied over the active settings, as a configuration file makes them."""
+    return ShadowSettings(typed(watched, supported_settings(typed({**active, **GAUGES}))), period)
 
 
-def day(seed, told, watched=None):
-    """A random day. Returns the far side, how each try ended, and the counts of all lines."""
-    watching = watched and shadow_settings(told, watched, PERIOD)
-    harness = CoreHarness({**told, **GAUGES}, seed, shadow=watching)
+def random_run(seed, active, watched=None):
+    """Run random traffic; return the harness, the outcomes of the attempts and the counts in the log."""
+    watch_settings = watched and shadow_settings(active, watched, PERIOD)
+    harness = CoreHarness({**active, **GAUGES}, seed, shadow=watch_settings)
     started = harness.now
-    ends = play(harness, random.Random(seed))
+    outcomes = play(harness, random.Random(seed))
     lines = [line for line in harness.log_lines if line.startswith("watching: ")]
-    assert len(lines) <= (harness.now - started) / PERIOD, "more than one line a period"
-    return harness, ends, [int(count) for line in lines for count in re.findall(r" (\d+)(?:,|$)", line)]
+    assert len(lines) <= (harness.now - started) / PERIOD, "more than one line per period"
+    return harness, outcomes, [int(count) for line in lines for count in re.findall(r" (\d+)(?:,|$)", line)]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_whatever_is_watched_answers_are_the_same_and_the_same_settings_decide_alike(seed):
-    told = draw_settings(random.Random(seed))
-    plain, ends, counts = day(seed, told)
+def test_watch_mode_changes_no_answer_and_equal_settings_make_equal_decisions(seed):
+    active = draw_settings(random.Random(seed))
+    plain, outcomes, counts = random_run(seed, active)
     assert type(plain.core.controller) is NodeController
     assert not counts
     other = {"methods.0.latency_target": 1 * MS, "can_stop": True, "can_pause": True, "feedback": "credit"}
-    for watched, differs in (({"tick": told["tick"]}, False), (other, True)):
-        harness, watched_ends, counts = day(seed, told, watched)
-        assert (watched_ends, harness.reports) == (ends, plain.reports)
+    for watched, differs in (({"tick": active["tick"]}, False), (other, True)):
+        harness, watched_outcomes, counts = random_run(seed, active, watched)
+        assert (watched_outcomes, harness.reports) == (outcomes, plain.reports)
         assert counts
         assert any(counts) is differs
-    for broken in ({"cores": None}, {"memory_kb": None}):  # a fault at its start, and at its first arrival
-        harness, watched_ends, _ = day(seed, told, broken)
-        assert (watched_ends, harness.reports) == (ends, plain.reports)
-        ended(harness)
+    for broken in (
+        {"cores": None},
+        {"memory_kb": None},
+    ):  # the shadow raises at its start, and at its first arrival
+        harness, watched_outcomes, _ = random_run(seed, active, broken)
+        assert (watched_outcomes, harness.reports) == (outcomes, plain.reports)
+        assert_watch_mode_ended(harness)
 
 
-def ended(harness):
-    """A fault of the watched has ended the watching alone, with one line."""
+def assert_watch_mode_ended(harness):
+    """Check that an exception in the shadow ended watch mode with one log line."""
     control = harness.core.controller
     assert sum("watching ended by a fault" in line for line in harness.log_lines) == 1
     assert not (control.shadow or control.handles or control.port.rejections or control.port.failed_or_paused)
 
 
-def test_a_fault_as_one_of_many_ends_for_the_watched_too_ends_the_watching_alone():
+def test_an_exception_while_completed_rpcs_are_ended_in_the_shadow_ends_only_watch_mode():
     harness = CoreHarness({**PLAIN, **GAUGES}, shadow=shadow_settings(PLAIN, {}, PERIOD))
     harness.write_block_probability = 0
     harness.step(MS)
@@ -81,13 +84,13 @@
         handle.shadow = SimpleNamespace(state=None, run_ended=lambda *_: None, caller_gone=lambda now: 1 / 0)
     for _ in range(400):
         harness.step(10 * MS)
-    ended(harness)
+    assert_watch_mode_ended(harness)
     assert all(harness.dispatchers.attempts[name].answers == 1 for name in names)
 
 
-def crowded(watched, told=PLAIN, waited=0):
-    """More than two cores can do, for a while, on a node that is busy itself."""
-    harness = CoreHarness({**told, **GAUGES}, shadow=shadow_settings(told, watched, 10**12))
+def overload_counts(watched, active=PLAIN, waited=0):
+    """Return the counts of differing decisions after an overload of two cores on a node with busy input."""
+    harness = CoreHarness({**active, **GAUGES}, shadow=shadow_settings(active, watched, 10**12))
     harness.write_block_probability = 0
     links = [harness.dispatchers.open() for _ in range(4)]
     for step in range(300):
@@ -101,28 +104,28 @@
     return harness.core.controller.counts
 
 
-def targets(ms):
+def latency_objectives(ms):
     return {f"methods.{n}.latency_target": ms * MS for n in (0, 1)}
 
 
 @pytest.mark.parametrize(
-    "kind, watched, told, waited",
+    "kind, watched, active, waited",
     [
-        (shadow.ADMITTED_WOULD_REJECT, targets(5), {}, 0),
-        (shadow.REJECTED_WOULD_ADMIT, targets(1000), targets(5), 0),
+        (shadow.ADMITTED_WOULD_REJECT, latency_objectives(5), {}, 0),
+        (shadow.REJECTED_WOULD_ADMIT, latency_objectives(1000), latency_objectives(5), 0),
         (shadow.FAILED_OR_PAUSED, {"can_stop": True, "can_pause": True}, {}, 0),
         (shadow.ADVICE, {"marks_retries": False}, {}, 0),
         (shadow.FEEDBACK, {"feedback": "credit"}, {}, 0),
-        (shadow.HEALTH, targets(400), {}, 300 * MS),
+        (shadow.HEALTH, latency_objectives(400), {}, 300 * MS),
     ],
 )
-def test_each_kind_is_counted_where_settings_must_differ(kind, watched, told, waited):
-    assert crowded(watched, {**PLAIN, **told}, waited)[kind] > 0
-    assert not any(crowded({}, {**PLAIN, **told}, waited).values())
+def test_each_kind_of_difference_is_counted_for_settings_that_must_differ(kind, watched, active, waited):
+    assert overload_counts(watched, {**PLAIN, **active}, waited)[kind] > 0
+    assert not any(overload_counts({}, {**PLAIN, **active}, waited).values())
 
 
 @pytest.mark.parametrize(
-    "name, value, words",
+    "name, value, expected",
     [
         ("watch", 5, "watch: 5: expected an object"),
         (
@@ -139,19 +142,19 @@
         ("settings", {"services": [{"effect": "odd"}]}, "services.0.effect: 'odd': expected one of"),
     ],
 )
-def test_a_setting_that_can_not_be_is_named_with_its_value_and_what_is_expected(tmp_path, name, value, words):
+def test_an_error_names_an_invalid_setting_its_value_and_what_is_expected(tmp_path, name, value, expected):
     config = json.loads(Path("example/config.json").read_text(encoding="utf-8"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**config, name: value}))
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as raised:
         read_config(str(path))
-    assert words in str(told.value)
-    assert "\n" not in str(told.value)
-    assert reread_config(str(path), {}) is None  # at SIGHUP: logged and left
+    assert expected in str(raised.value)
+    assert "\n" not in str(raised.value)
+    assert reread_config(str(path), {}) is None  # on SIGHUP the error is logged and the file ignored
 
 
-def test_settings_of_the_new_shape_reach_the_module_from_a_configuration():
-    told = settings.from_json(
+def test_the_settings_of_a_configuration_reach_the_decision_module():
+    node_settings = settings.from_json(
         {
             "callers": {"marksRetry": False},
             "familyInfo": {
@@ -163,7 +166,7 @@
             },
         }
     )
-    assert told == NodeSettings(
+    assert node_settings == NodeSettings(
         marks_retries=False,
         dependency=Dependency.TIER,
         can_stop=True,
@@ -180,7 +183,7 @@
     return config, path
 
 
-def test_a_watch_is_put_over_the_settings_in_force(tmp_path):
+def test_watched_settings_are_applied_over_the_settings_in_force(tmp_path):
     items = [{"target": 5}, {"lateWorth": 0.5}]
     watched = {"familyInfo": {"preemption": "pause", "worthWithout": 0.25}, "services": items}
     _, path = config_with(tmp_path, watch={"settings": watched, "period_ms": 500})
@@ -198,7 +201,7 @@
     )
 
 
-def test_what_waits_for_the_next_start_is_named_by_its_key_alone(tmp_path):
+def test_the_log_names_only_the_keys_whose_changes_wait_for_the_next_start(tmp_path):
     config, path = config_with(tmp_path, watch={"settings": {"round": 5000}})
     used = read_config(str(path))
     lines = []
