--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -1,7 +1,7 @@
-"""All limiters of a node, and the recovery ramp of a store that was down by the fleet's consensus.
+"""The limiters of a node together, and the recovery ramp of a store that the fleet held to be down.
 
-Owns which limiter counts what. It must never decide which call is made or which RPC gives way: the decision
-module does, by the capacity that it is given.
+`LimiterSet` owns the limiters and determines which of them count a call or an RPC. It must never decide which
+call is made or which RPC is shed: the decision module decides that, by the reported capacity.
 """
 
 from collections.abc import Iterable, Sequence
@@ -20,7 +20,7 @@
 )
 from finchcart.quota.limits import Limit
 
-RECOVERY_STEPS = 12  # after so many doublings a store that came back has no bound any more
+RECOVERY_STEPS = 12  # doublings of the call capacity, after which the recovery ramp ends
 
 RpcLimiter = RateLimiter | RpcConcurrencyLimiter
 
@@ -28,16 +28,16 @@
 class LimitedCall(NamedTuple):
     """The permission of all limiters for one more call."""
 
-    leased: bool  # it is beyond the floor of the fleet's limit
-    time_limit_us: int | None  # how long it may take; None: as long as the decision module likes
-    write_by: int | None  # on the boot clock; None: at any time
+    leased: bool  # whether the call uses the amount beyond the floor of the fleet limit
+    time_limit_us: int | None  # upper bound of the timeout; None: the decision module chooses freely
+    write_by: int | None  # latest time of the write, on the boot clock; None: no such limit
 
 
 class LimiterSet:
-    """The limiters by what they count.
+    """The limiters of a node, by what they count.
 
-    `slack_us`, `processes`: see `Limiter`. Bounds: one limiter a limit of the settings at the start of the
-    process; new limits wait for the next start.
+    `slack_us`, `processes`: see `Limiter`. Bounds: one limiter for each limit in the settings at the start of
+    the process; limits that are added later take effect at the next start.
     """
 
     def __init__(self, limits: Iterable[Limit], slack_us: int, processes: int) -> None:
@@ -48,8 +48,8 @@
         self.calls_rate: RateLimiter | None = None
         self.probe: ProbeLimiter | None = None
         self.rpcs: list[RpcLimiter] = []
-        # See finchcart/consensus: a store that comes back gets twice as many calls after each step, and a
-        # probe call takes so long at most.
+        # Set by the host from the settings of finchcart/consensus. The call capacity doubles after each
+        # recovery step; a probe call is abandoned after its timeout.
         self.recovery_step_us = 0
         self.probe_timeout_us = 0
         self._recovering_since: int | None = None
@@ -75,25 +75,25 @@
             self.all.append(self.calls)
 
     def set_clock(self, now_us: int) -> None:
-        """Set the boot clock of this turn."""
+        """Set the boot clock of this turn, in microseconds."""
         self.now_us = now_us
         for limiter in self.all:
             limiter.now_us = now_us
 
     def set_allowance(self, name: str, floor: int | None, amount: int, until: int) -> None:
-        """Set what the node may use of the limit of that name; an unknown one is ignored."""
+        """Set the allowance of this node for the named limit; an unknown name is ignored."""
         if name in self.by_name:
             self.by_name[name].set_allowance(floor, amount, until)
 
-    # ---- A store that is down by the fleet's consensus, and its recovery ramp
+    # ---- Probe calls while the consensus is that the store is down, and the recovery ramp
 
     @property
     def probing(self) -> bool:
-        """Whether the store is down by the fleet's consensus, and only probe calls are made."""
+        """Whether the consensus of the fleet is that the store is down, so that only probe calls are made."""
         return self.probe is not None and self.probe.probing
 
     def set_dependency_down(self, down: bool) -> None:
-        """Apply the fleet's consensus on the store."""
+        """Apply the consensus of the fleet on whether the store is down."""
         if self.probe and self.probe.probing != down:
             self.probe.probing = down
             self._recovering_since = None if down else self.now_us
@@ -101,8 +101,8 @@
     def _recovery_capacity(self, calls: CallsInFlight) -> int | None:
         """Return how many calls the consensus allows in flight; None: no bound.
 
-        This node's part of the probe calls, then twice as many after each step. Guards against a rush of all
-        nodes on a store that came back.
+        While the store is down, this is the share of this node in the probe calls. Once the store is up,
+        the capacity starts at 1 and doubles after each step, so that the nodes together don't overload it.
         """
         if self.probe is not None and self.probe.probing:
             return self.probe.capacity(calls)
@@ -127,7 +127,7 @@
         return min((capacity for capacity in capacities if capacity is not None), default=None)
 
     def acquire_call(self, calls: CallsInFlight) -> LimitedCall | None:
-        """Return the permission for one more call, or None where there is no capacity."""
+        """Return the permission for one more call, or None if there is no capacity."""
         recovery_capacity = self._recovery_capacity(calls)
         if recovery_capacity is not None:
             in_flight = calls.in_flight(False) + calls.in_flight(True)
@@ -151,7 +151,7 @@
     # ---- RPCs
 
     def limiters_of(self, method: str, caller: str | int) -> list[RpcLimiter]:
-        """Return those that an RPC is counted by."""
+        """Return the limiters that count an RPC of this method and caller."""
         return [
             limiter
             for limiter in self.rpcs
@@ -161,7 +161,10 @@
         ]
 
     def quota(self, limiters: Sequence[RpcLimiter]) -> FleetQuota | None:
-        """Return what is left for one more RPC, of the limit that has the least left; None without any."""
+        """Record the demand of one RPC, and return its quota.
+
+        The quota is that of the limiter with the least left; None: there are no limiters.
+        """
         for limiter in limiters:
             limiter.record_demand()
         if not limiters:
@@ -171,7 +174,7 @@
     def usage(
         self, calls: CallsInFlight, waiting: int, waiting_with_priority: int
     ) -> list[tuple[str, Usage]]:
-        """Return the usage of the limits of which something changed, by name; see `Limiter.usage`."""
+        """Return the names and usages of the limits whose usage changed; see `Limiter.usage`."""
         changed = []
         for limiter in self.all:
             usage = limiter.usage(calls, waiting, waiting_with_priority)
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -1,12 +1,12 @@
-"""One limiter for each limit of the fleet that this node is held to.
+"""The limiters, each of which enforces this node's part of one limit of the fleet.
 
-Owns what the node may have in flight or admit a second: its floor, and beyond it what it was allowed until a
-time on the boot clock. Calls in flight are the store client's, queried each time. It must never give out more
-than was allowed, nor decide which call is made or which RPC gives way: the decision module does, by the
-capacity that it is given.
+A limiter owns the allowance of this node: its floor, which never expires, and an amount beyond the floor that
+expires at a time on the boot clock. Limiters don't count calls in flight; the store client does. A limiter
+must never grant more than its allowance. It must never decide which call is made or which RPC is shed: the
+decision module decides that, by the capacity that the limiters report.
 
-`now_us` is the boot clock in whole microseconds, set by the host before each turn: the turn's own clock may
-be set back, and would lengthen an allowance.
+`now_us` is the boot clock in whole microseconds, which the host sets before each turn of the event loop. The
+clock of the turn itself may be set back, which would extend an allowance.
 """
 
 from math import ceil
@@ -17,21 +17,24 @@
 
 MS = 1_000
 SECOND = 1_000_000
-PROBE_DEMAND_PERIOD_US = 10 * SECOND  # who called the store within it takes part in probing it
-DEMAND_PERIOD_US = 250 * MS  # over which demand is measured
-WRITE_MARGIN_US = 2 * MS  # besides the slack, from the decision on a call to its write
-DEMAND_HEADROOM = 1.1  # demand is published a little above what was requested, so that an allowance can grow
+PROBE_DEMAND_PERIOD_US = 10 * SECOND  # a node that called the store within this period requests a probe call
+DEMAND_PERIOD_US = 250 * MS  # interval over which demand is measured
+WRITE_MARGIN_US = 2 * MS  # allowed in addition to the slack, from the decision on a call to its write
+DEMAND_HEADROOM = 1.1  # published demand over measured demand, so that an allowance can grow
 
 
 class CallsInFlight(Protocol):
-    """What counts the calls in flight: the store client."""
+    """The source of the number of calls in flight, which is the store client."""
 
     def in_flight(self, leased: bool) -> int:
-        """Return how many are beyond the floor of the fleet's limit, or the others."""
+        """Return the number of calls beyond the floor of the fleet limit, or of those within the floor."""
 
 
 class Usage(NamedTuple):
-    """What this node uses and wants of one limit; beyond the floor where that is strict, else in all."""
+    """The usage and demand of this node for one limit.
+
+    The numbers cover only the part beyond the floor for a strict limit, and the total for a loose one.
+    """
 
     in_use: int
     demand: int
@@ -39,24 +42,24 @@
 
 
 class CallPermit(NamedTuple):
-    """The permission for one more call."""
+    """The permission of one limiter for one more call."""
 
-    leased: bool  # it is beyond the floor
-    time_limit_us: int | None  # how long it may take there; None: as long as the decision module likes
+    leased: bool  # whether the call uses the amount beyond the floor
+    time_limit_us: int | None  # upper bound of the timeout; None: the decision module chooses freely
 
 
 class Availability(NamedTuple):
-    """How many may be admitted now, of how many at most."""
+    """The number of requests that may be admitted now, and the capacity under the present allowance."""
 
     available: int
     capacity: int
 
 
 class Limiter:
-    """What all kinds have in common.
+    """The base class of all limiters.
 
-    `limit`: see finchcart/quota/limits.py; `slack_us`: a call is written so long after this turn began, or
-    not at all; `processes`: how many nodes may run together.
+    `limit`: see finchcart/quota/limits.py. `slack_us`: a call is written within this time after the start of
+    the turn, or not at all. `processes`: the number of nodes that may run at once.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
@@ -65,15 +68,15 @@
         self.slack_us = slack_us
         self.processes = processes
         self.now_us = 0
-        self.removed = False  # the limit is in the settings no more
+        self.removed = False  # whether the limit was removed from the settings
         self.floor = limit.floor if limit.is_strict else 0
-        self.amount = 0  # allowed beyond the floor
-        self.until = 0  # for so long, on the boot clock
+        self.amount = 0  # allowance beyond the floor
+        self.until = 0  # expiry of `amount`, on the boot clock
         self.refusals = 0
         self._last_usage: Usage | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """Set what the node may use from now on; a floor of None: the limit is removed."""
+        """Set the allowance from now on; a floor of None: the limit is removed."""
         if floor is None:
             self.removed = True
             return
@@ -83,17 +86,17 @@
         self.until = until
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed.
+        """Return the usage to publish, or None if the usage has not changed.
 
         Arguments:
-            calls: what counts the calls in flight.
-            waiting: runs that await a call.
-            waiting_with_priority: those of them whose method has priority.
+            calls: the source of the number of calls in flight.
+            waiting: the number of runs that await a call.
+            waiting_with_priority: the number of these runs whose method has priority.
         """
-        raise NotImplementedError(f"{type(self).__name__}: a limiter publishes its usage")
+        raise NotImplementedError(f"{type(self).__name__}: expected an implementation of usage()")
 
     def _if_changed(self, usage: Usage) -> Usage | None:
-        """Return the usage where it is another than the last one published."""
+        """Return the usage if it differs from the last returned one, else None."""
         if usage == self._last_usage:
             return None
         self._last_usage = usage
@@ -101,25 +104,25 @@
 
 
 class CallConcurrencyLimiter(Limiter):
-    """Calls in flight.
+    """Limits the number of calls in flight.
 
-    The store's time limit is what is left of a strict allowance less the slack, so that it ends the call
-    itself however late this process is then.
+    A call beyond the floor of a strict limit carries the remaining time of the allowance, less the slack, as
+    its timeout. The store ends the call at this timeout, even if this process is stopped by then.
     """
 
     def leased_time_left_us(self) -> int:
-        """Return how long a call beyond the floor may take from here on, in microseconds."""
+        """Return for how many microseconds from now a call beyond the floor may last."""
         return self.until - self.now_us - self.slack_us - WRITE_MARGIN_US
 
     def capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls may be in flight now; None: as many as the decision module likes."""
+        """Return how many calls may be in flight now; None: the limit is removed."""
         return None if self.removed else self._capacity()
 
     def _capacity(self) -> int:
         return self.floor + (self.amount if self.leased_time_left_us() > self.slack_us else 0)
 
     def try_acquire(self, calls: CallsInFlight) -> CallPermit | None:
-        """Return the permission for one more call, or None where there is no capacity."""
+        """Return the permission for one more call, or None if there is no capacity."""
         if self.removed:
             return CallPermit(False, None)
         if not self.limit.is_strict:
@@ -135,7 +138,7 @@
         return None
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed; see `Limiter.usage`."""
+        """Return the usage to publish if it changed; see `Limiter.usage`."""
         if not self.limit.is_strict:
             in_use = calls.in_flight(False)
             return self._if_changed(Usage(in_use, max(in_use, waiting), waiting_with_priority))
@@ -145,9 +148,10 @@
 
 
 class ProbeLimiter(CallConcurrencyLimiter):
-    """This node's part of the fleet's few probe calls, while its consensus is that the store is down.
+    """Limits the probe calls of this node while the consensus of the fleet is that the store is down.
 
-    Requested by who called it lately, so that the parts are there when they are needed.
+    The fleet allows a few probe calls in all. Each node that called the store recently requests a share in
+    advance, so that the node has its share when the store goes down.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
@@ -156,7 +160,7 @@
         self._called_at: int | None = None
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: who called lately requests one."""
+        """Return the usage to publish if it changed: a demand of 1 if this node called the store recently."""
         in_flight = calls.in_flight(False) + calls.in_flight(True)
         if waiting or in_flight:
             self._called_at = self.now_us
@@ -165,32 +169,33 @@
 
 
 class RateLimiter(Limiter):
-    """A token bucket: a rate a second, and no more together than this node's part of the burst.
+    """Limits a rate by a token bucket, which holds at most this node's share of the burst.
 
-    Each of `processes` has one of the burst; what is left is divided as the rate is. A part that grows
-    begins empty. So all nodes together never take more than the burst and what the rate gives, in any time.
+    Each of the `processes` nodes has one token of the burst; the rest of the burst is divided in proportion
+    to the rates. A share that grows adds no tokens at once. Therefore all nodes together never acquire more
+    than the burst plus the rate times the elapsed time, over any period.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
         super().__init__(limit, slack_us, processes)
         self.tokens = 0.0
-        self.demand_per_second = 0.0  # lately
+        self.demand_per_second = 0.0  # moving average
         self._filled_at: int | None = None
-        self._requests = 0  # in this period
+        self._requests = 0  # in the current period
         self._period_began_at: int | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """Set what the node may use from now on; a floor of None: the limit is removed."""
+        """Set the allowance from now on; a floor of None: the limit is removed."""
         if not self.removed:
-            self.fill()  # at the old rate until now
+            self.fill()  # adds the tokens of the old rate up to now
         super().set_allowance(floor, amount, until)
 
     def per_second(self) -> int:
-        """Return the rate that is allowed now, in requests a second."""
+        """Return the rate that is allowed now, in requests per second."""
         return self.floor + (self.amount if self.now_us < self.until else 0)
 
     def fill(self) -> None:
-        """Add the tokens since the last time: the allowance may have ended meanwhile."""
+        """Add the tokens since the last call, taking into account that the allowance may have expired."""
         if self._filled_at is None:
             self._filled_at = self.now_us
         allowed = max(0, min(self.now_us, self.until) - self._filled_at) * self.amount
@@ -199,20 +204,20 @@
         self._filled_at = self.now_us
 
     def capacity(self) -> float:
-        """Return how many tokens the bucket holds at most."""
+        """Return how many tokens the bucket can hold."""
         return 1 + max(0, self.limit.burst - self.processes) * self.per_second() / self.limit.amount
 
     def availability(self) -> Availability:
-        """Return what may be acquired now of a limit that is not removed."""
+        """Return how many tokens may be acquired now; the limit must not be removed."""
         self.fill()
         return Availability(int(self.tokens), int(self.capacity()))
 
     def record_demand(self) -> None:
-        """Count one that is requested, whether it is admitted or not."""
+        """Count one RPC or call, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc | None = None) -> bool:
-        """Return whether one more was acquired."""
+        """Acquire one token; return False if there is none."""
         if self.removed:
             return True
         self.fill()
@@ -223,12 +228,15 @@
         return True
 
     def retry_after_us(self) -> int:
-        """Return after how long there is one more at the present rate."""
+        """Return after how many microseconds there is one token at the present rate."""
         rate = self.per_second()
         return int((1 - min(1.0, self.tokens)) / rate * SECOND) if rate else SECOND
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: calls that wait are to be made within a second."""
+        """Return the usage to publish if it changed.
+
+        The demand includes the backlog of waiting calls, so that the rate suffices to make them in a second.
+        """
         backlog = 0
         if self.limit.counts == "calls":
             backlog = max(0, waiting - calls.in_flight(False) - calls.in_flight(True))
@@ -247,16 +255,16 @@
 
 
 class RpcConcurrencyLimiter(Limiter):
-    """RPCs in flight, from their admission until they are completed.
+    """Limits the number of RPCs in flight, from their admission to their completion.
 
-    A loose limit alone: an RPC can't be ended with an allowance.
+    Only a loose limit can be of this kind, because RPCs can't be ended when an allowance expires.
     """
 
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
         super().__init__(limit, slack_us, processes)
         self.count = 0
-        self._requests = 0  # in this period
-        self._requests_before = 0  # in the period before
+        self._requests = 0  # in the current period
+        self._previous_requests = 0  # in the previous period
         self._period_began_at = 0
 
     def capacity(self) -> int:
@@ -264,28 +272,34 @@
         return self.floor + (self.amount if self.now_us < self.until else 0)
 
     def availability(self) -> Availability:
-        """Return what may be admitted now under a limit that is not removed."""
+        """Return how many RPCs may be admitted now; the limit must not be removed."""
         return Availability(self.capacity() - self.count, self.capacity())
 
     def record_demand(self) -> None:
-        """Count one that is requested, whether it is admitted or not."""
+        """Count one RPC or call, whether it is admitted or not."""
         self._requests += 1
 
     def try_acquire(self, rpc: NodeRpc) -> bool:
-        """Count an admitted RPC until it is completed: the decision module knew the capacity before."""
+        """Count an admitted RPC until it is completed; return True.
+
+        The capacity is not checked, because the decision module knew it when it admitted the RPC.
+        """
         self.count += 1
         rpc.counted_by = (*(rpc.counted_by or ()), self)
         return True
 
     def retry_after_us(self) -> int:
-        """Return 0, no advice: nobody knows when one is completed."""
+        """Return 0, which means no advice, because the time of the next completion is unknown."""
         return 0
 
     def usage(self, calls: CallsInFlight, waiting: int, waiting_with_priority: int = 0) -> Usage | None:
-        """Return what to publish, where it changed: who was rejected in the last period counts too."""
+        """Return the usage to publish if it changed.
+
+        The demand includes the RPCs that were rejected in the previous or the current period.
+        """
         if self.now_us - self._period_began_at >= DEMAND_PERIOD_US:
-            self._requests_before = self._requests
+            self._previous_requests = self._requests
             self._requests = 0
             self._period_began_at = self.now_us
-        demand = max(self.count, self._requests_before, self._requests)
+        demand = max(self.count, self._previous_requests, self._requests)
         return self._if_changed(Usage(self.count, demand, 0))
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""The limits of the fleet, as a node's core applies them."""
+"""The limits of the fleet, as the core of a node enforces them."""
 
 import random
 
@@ -14,8 +14,8 @@
 from tests.random_core_runs import may_be_running_at_the_end, play
 
 
-def limits_by_chance(rng):
-    """One limit of the fleet of each kind, and what this node is given of each, now and then."""
+def random_limiters(rng):
+    """Return limiters for a random selection of limits, with at most one limit of each kind."""
     limits = (
         Limit("calls", 40, 1),
         Limit("calls a second", 200, 1, per="rate", burst=20),
@@ -27,34 +27,33 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_with_limits_of_the_fleet(seed, meddle=lambda meters, harness: None):
+def test_rules_hold_with_limits_of_the_fleet(seed, plant_defect=lambda limiters, harness: None):
     rng = random.Random(seed)
-    meters = limits_by_chance(rng)
-    harness = CoreHarness({**draw_settings(rng), **GAUGES}, seed, limiters=meters)
-    meddle(meters, harness)
-    taken = {
-        meter: [0.0, harness.now] for meter in meters.all if isinstance(meter, RateLimiter)
-    }  # its bucket's level
-    for meter, bucket in taken.items():
-        take = meter.try_acquire
-
-        def took(rpc=None, take=take, meter=meter, bucket=bucket):
-            got = take(rpc)
-            if got:
-                limit = meter.limit
+    limiters = random_limiters(rng)
+    harness = CoreHarness({**draw_settings(rng), **GAUGES}, seed, limiters=limiters)
+    plant_defect(limiters, harness)
+    # Per rate limiter the level of a bucket that acquisitions fill, and the time of its last update.
+    buckets = {limiter: [0.0, harness.now] for limiter in limiters.all if isinstance(limiter, RateLimiter)}
+    for limiter, bucket in buckets.items():
+        try_acquire = limiter.try_acquire
+
+        def checked_try_acquire(rpc=None, try_acquire=try_acquire, limiter=limiter, bucket=bucket):
+            acquired = try_acquire(rpc)
+            if acquired:
+                limit = limiter.limit
                 bucket[0] = max(0.0, bucket[0] - (harness.now - bucket[1]) * limit.amount / 1e6) + 1
                 bucket[1] = harness.now
-                assert bucket[0] <= limit.burst + 1e-6, "more than the burst and what the rate gives"
-            return got
+                assert bucket[0] <= limit.burst + 1e-6, "more than the burst and the rate allow"
+            return acquired
 
-        meter.try_acquire = took
+        limiter.try_acquire = checked_try_acquire
     step = harness.step
 
-    def stepped(dt):
-        step(dt)
+    def step_and_check(elapsed_us):
+        step(elapsed_us)
         if rng.random() < 0.1 and not harness.ended:
-            meter = rng.choice(meters.all)
-            limit = meter.limit
+            limiter = rng.choice(limiters.all)
+            limit = limiter.limit
             harness.feed(
                 AllocationGranted(
                     limit.name,
@@ -63,59 +62,63 @@
                     harness.now + rng.randint(0, 3000) * MS,
                 )
             )
-        for meter in meters.rpcs:
-            if isinstance(meter, RpcConcurrencyLimiter):
-                counted = sum(meter in (rpc.counted_by or ()) for rpc in harness.core.lifecycle.rpcs.values())
-                assert meter.count == counted, "counted and not in hand"
+        for limiter in limiters.rpcs:
+            if isinstance(limiter, RpcConcurrencyLimiter):
+                counted = sum(
+                    limiter in (rpc.counted_by or ()) for rpc in harness.core.lifecycle.rpcs.values()
+                )
+                assert limiter.count == counted, "the limiter's count differs from the RPCs that it counts"
                 assert all(
                     not rpc.completed and (rpc.response_pending or rpc.started)
                     for rpc in harness.core.lifecycle.rpcs.values()
                     if rpc.counted_by
                 )
 
-    harness.step = stepped
+    harness.step = step_and_check
     play(harness, rng)
     running = may_be_running_at_the_end(harness)
-    for meter in meters.rpcs:  # what may be running at the end is counted, and nothing else
-        counted = sum(meter in (rpc.counted_by or ()) for rpc in running)
-        assert not isinstance(meter, RpcConcurrencyLimiter) or meter.count == counted
+    for limiter in limiters.rpcs:  # at the end exactly the RPCs that may be running are counted
+        counted = sum(limiter in (rpc.counted_by or ()) for rpc in running)
+        assert not isinstance(limiter, RpcConcurrencyLimiter) or limiter.count == counted
 
 
-def not_counted_out(meters, harness):
+def never_release_limits(limiters, harness):
     harness.core.lifecycle.release_limits = lambda rpc: None
 
 
-def test_a_planted_defect_is_found_rpcs_that_are_not_counted_out():
+def test_a_planted_defect_is_found_if_completed_rpcs_stay_counted():
     with pytest.raises(AssertionError):
         for seed in range(6):
-            test_rules_hold_with_limits_of_the_fleet(seed, not_counted_out)
+            test_rules_hold_with_limits_of_the_fleet(seed, never_release_limits)
 
 
-def test_an_rpc_over_a_limit_of_the_fleet_is_rejected_at_once_with_when_to_retry():
-    meters = LimiterSet(
+def test_an_rpc_over_a_limit_of_its_dispatcher_is_rejected_at_once_and_its_demand_published():
+    limiters = LimiterSet(
         (Limit("a second", 50, 0, counts="rpcs", per="rate", burst=10, dispatcher="3"),), 0, 10
     )
-    harness = plain_harness(limiters=meters, retry_after_max=1000 * MS)
-    link = harness.dispatchers.open()
+    harness = plain_harness(limiters=limiters, retry_after_max=1000 * MS)
+    connection = harness.dispatchers.open()
     harness.feed(AllocationGranted("a second", 0, 10, harness.now + 10**9))
     harness.step(MS)
     harness.step(100 * MS)
-    first = harness.dispatchers.submit(link)
+    first = harness.dispatchers.submit(connection)
     harness.step(MS)
-    second = harness.dispatchers.submit(link)
+    second = harness.dispatchers.submit(connection)
     harness.step(MS)
-    other = harness.dispatchers.submit(link, f="4")
+    other = harness.dispatchers.submit(connection, f="4")
     harness.step(MS)
-    how = [harness.dispatchers.attempts[name].outcome for name in (first, second, other)]
-    assert how[1] == "rejected", "of that dispatcher alone"
-    assert "rejected" not in (how[0], how[2]), "of that dispatcher alone"
+    outcomes = [harness.dispatchers.attempts[name].outcome for name in (first, second, other)]
+    assert outcomes[1] == "rejected", "the limit holds for that dispatcher"
+    assert "rejected" not in (outcomes[0], outcomes[2]), "the limit holds for that dispatcher only"
     for _ in range(20):
         harness.step(40 * MS)
-    assert any(name == "a second" and wants > 0 for name, _, wants, _ in harness.usage), "its demand is told"
+    assert any(name == "a second" and demand > 0 for name, _, demand, _ in harness.usage), (
+        "its demand is not published"
+    )
 
 
-def test_a_part_of_a_limit_is_kept_for_what_matters_more():
-    meters = LimiterSet((Limit("in hand", 50, counts="rpcs", mode="loose"),), 0, 10)
+def test_a_part_of_a_limit_is_reserved_for_more_critical_methods():
+    limiters = LimiterSet((Limit("in hand", 50, counts="rpcs", mode="loose"),), 0, 10)
     settings = {
         "methods.count": 2,
         "methods.1.name": "m1",
@@ -127,15 +130,15 @@
         "degraded_value": (0.0, 0.0),
         "cores": 64,
     }
-    harness = plain_harness(limiters=meters, **settings)
-    links = [harness.dispatchers.open() for _ in range(3)]
+    harness = plain_harness(limiters=limiters, **settings)
+    connections = [harness.dispatchers.open() for _ in range(3)]
     harness.feed(AllocationGranted("in hand", 0, 40, harness.now + 10**9))
-    names = [harness.dispatchers.submit(links[n % 2]) for n in range(45)]
+    names = [harness.dispatchers.submit(connections[n % 2]) for n in range(45)]
     harness.step(MS)
-    names += [harness.dispatchers.submit(links[2], 1) for _ in range(5)]
+    names += [harness.dispatchers.submit(connections[2], 1) for _ in range(5)]
     harness.step(MS)
-    lesser, more = (
+    less_critical, more_critical = (
         [harness.dispatchers.attempts[name].outcome for name in part].count("rejected")
         for part in (names[:45], names[45:])
     )
-    assert (lesser, more) == (7, 3), "two of forty are kept free of the lesser ones"
+    assert (less_critical, more_critical) == (7, 3), "two of forty are reserved for the more critical method"
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -56,10 +56,7 @@
         assert (watched_outcomes, harness.reports) == (outcomes, plain.reports)
         assert counts
         assert any(counts) is differs
-    for broken in (
-        {"cores": None},
-        {"memory_kb": None},
-    ):  # the shadow raises at its start, and at its first arrival
+    for broken in ({"cores": None}, {"memory_kb": None}):  # raises at the start, and at the first arrival
         harness, watched_outcomes, _ = random_run(seed, active, broken)
         assert (watched_outcomes, harness.reports) == (outcomes, plain.reports)
         assert_watch_mode_ended(harness)
