--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -66,7 +66,7 @@
         for frontend in self.frontends.values():
             frontend.drain(times.kill_at)
         if self._key_leases:
-            self._key_leases.end_by(times.kill_at - KEY_LEASE_MARGIN_US)
+            self._key_leases.resolve_all_by(times.kill_at - KEY_LEASE_MARGIN_US)
         if self.controllers.controller is not None:
             self.controllers.drain()
         else:
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -102,7 +102,7 @@
         if unsent:
             self.effect_buffer.emit(KeyLeaseCommand(RequestKeyLeases(unsent)))
 
-    def end_by(self, when: int) -> None:
+    def resolve_all_by(self, when: int) -> None:
         """Have all requests resolved by then: the decision module does not know of their RPCs yet."""
         self._end = when
         for key, waiting in self.waiting.items():
