--- a/finchcart/node/fleet_inputs.py
+++ b/finchcart/node/fleet_inputs.py
@@ -1,8 +1,9 @@
-"""The one boundary between the core and the fleet's state machines.
+"""The conversions between the core of a node and the state machines of the fleet.
 
-Owns the conversion of what membership, quota, consensus and key leases emit into inputs of the core, and of
-the core's commands into inputs of the key lease client. It must never be imported where no fleet is
-configured, nor keep anything.
+`fleet_input` converts the effects of membership, quota, consensus and key leases to inputs of the core.
+`key_lease_client_input` converts the commands of the core to inputs of the key lease client. No other module
+may convert between them. This module must never keep state, and must never be imported if no fleet is
+configured.
 """
 
 from finchcart.consensus.effects import DecisionsChanged
@@ -36,7 +37,7 @@
 )
 from finchcart.quota.effects import LimitAllowance
 
-OUTCOMES = {
+KEY_LEASE_OUTCOMES = {
     LeaseStatus.GRANTED: KeyLeaseOutcome.GRANTED,
     LeaseStatus.HELD: KeyLeaseOutcome.HELD_ELSEWHERE,
     LeaseStatus.COMPLETED: KeyLeaseOutcome.ENDED,
@@ -47,19 +48,19 @@
 
 
 def fleet_input(change: FleetEffect) -> FleetInput:
-    """Return the input of the core for a change that a state machine of the fleet emitted."""
+    """Return the input of the core for an effect that a state machine of the fleet emitted."""
     match change:
         case LimitAllowance():
             return AllocationGranted(*change)
         case DecisionsChanged(store, sources, is_ejected, minimum_level):
             return ConsensusChanged(store, is_ejected, minimum_level, sources)
         case LeaseAnswer(key, status, result, run_before):
-            return KeyLeaseAnswered(key, OUTCOMES[status], result, run_before)
+            return KeyLeaseAnswered(key, KEY_LEASE_OUTCOMES[status], result, run_before)
         case membership_effects.IsolationChanged(is_isolated):
             return FleetIsolationChanged(is_isolated)
         case membership_effects.MemberChanged(name, state, incarnation):
             return FleetMemberChanged(name, FleetMemberState(state), incarnation)
-    raise TypeError(f"change of the fleet: expected an effect of its packages, found {type(change).__name__}")
+    raise TypeError(f"effect of the fleet's state machines: unexpected type {type(change).__name__}")
 
 
 def key_lease_client_input(command: KeyLeaseAction) -> ClientInput:
@@ -73,4 +74,4 @@
             return KeyLeaseRunCancelled(key)
         case AbandonKeyLeaseRequest(key):
             return AbandonKeyLease(key)
-    raise TypeError(f"key lease command: expected one of effects.py, found {type(command).__name__}")
+    raise TypeError(f"key lease command: expected a type of node/effects.py, found {type(command).__name__}")
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -1,10 +1,11 @@
-"""RPCs whose run needs a key lease of the whole fleet first.
+"""The gate for RPCs that need a key lease of the fleet before they may run.
 
-Owns the RPCs that wait for the answer of a key lease, and the key leases that are this node's. It must never
-let a run be commanded without its key lease, nor past the time until which that allows it; nor decide: an RPC
-that holds its key lease goes to the decision module as any RPC, the rest is answered by its outcome.
+`KeyLeaseGate` owns the RPCs that wait for the answer to a key lease request, and the key leases that this
+node holds. It must never permit a run without a key lease, or after the time until which the key lease
+permits the start of the run. It must never decide about an RPC: an RPC with a granted key lease passes to the
+decision module like any other RPC, and every other RPC is answered by the outcome of its request.
 
-`now_us` is the boot clock in whole microseconds, set by the host before each turn.
+`now_us` is the boot clock in whole microseconds, which the host sets before each turn of the event loop.
 """
 
 from collections import Counter
@@ -25,8 +26,8 @@
 from finchcart.node.inputs import KeyLeaseOutcome, KeyLeasesRequested
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 
-MAX_WAITING = 2_000  # that wait for an answer; more are rejected
-COUNTED_AS = {
+MAX_WAITING = 2_000  # RPCs that wait for an answer; further ones are resolved as "no majority"
+COUNTER_NAMES = {
     KeyLeaseOutcome.GRANTED: "granted",
     KeyLeaseOutcome.ENDED: "result of a run elsewhere",
     KeyLeaseOutcome.NO_MAJORITY: "no majority",
@@ -39,7 +40,7 @@
 
 
 class WaitingRpc(NamedTuple):
-    """One RPC that waits, and what is called once its key lease is resolved."""
+    """An RPC that waits for its key lease, and the callback for the outcome of the request."""
 
     rpc: NodeRpc
     attributes: RpcAttributes
@@ -47,40 +48,40 @@
 
 
 class HeldKeyLease(NamedTuple):
-    """A key lease of this node."""
+    """A key lease that this node holds."""
 
     key: bytes
-    run_by: int  # on the boot clock: the run is commanded until then or not at all
+    run_by: int  # latest time to command the run, on the boot clock
 
 
 class KeyLeaseGate:
-    """The RPCs that wait and the key leases held. `lifetime_us`: the duration of a requested lease.
+    """The waiting RPCs and the held key leases. `lifetime_us` is the duration of a requested lease.
 
-    Bounds: `MAX_WAITING` that wait, each until its due time; a key lease for each open RPC that was granted
-    one.
+    Bounds: at most `MAX_WAITING` RPCs wait, each until its due time; at most one key lease is held for each
+    open RPC.
     """
 
     def __init__(self, effect_buffer: EffectBuffer, lifetime_us: int) -> None:
         self.effect_buffer = effect_buffer
         self.lifetime_us = lifetime_us
         self.now_us = 0
-        self.waiting: dict[bytes, WaitingRpc] = {}
+        self.waiting: dict[bytes, WaitingRpc] = {}  # by digest of the key
         self.held: dict[int, HeldKeyLease] = {}  # by index of the RPC
         self.counts: Counter[str] = Counter()
-        self._unsent: list[KeyToLease] = []  # of this turn
-        self._end: int | None = None  # all is answered by then: the process is killed
+        self._unsent: list[KeyToLease] = []  # requests of this turn
+        self._resolve_by: int | None = None  # time by which all requests must be resolved; None: not draining
 
     def request(
         self, rpc: NodeRpc, key: str, attributes: RpcAttributes, due: int, on_resolved: OnResolved
     ) -> None:
-        """Request the key lease of an RPC that is not known here.
+        """Request the key lease of an RPC whose key this node does not know.
 
         Arguments:
-            rpc: which is to run.
-            key: its idempotency key.
-            attributes: as they came with it.
-            due: when it has to be answered at the latest.
-            on_resolved: is called once with the outcome, perhaps inside this call.
+            rpc: the RPC that is to run.
+            key: the idempotency key of the RPC.
+            attributes: the attributes of the RPC as the frontend read them.
+            due: the latest time at which the RPC must be answered.
+            on_resolved: called once with the outcome, possibly before this method returns.
         """
         digest = key_digest(rpc.method, key)
         if digest in self.waiting or len(self.waiting) >= MAX_WAITING:
@@ -89,10 +90,10 @@
             return
         self.waiting[digest] = WaitingRpc(rpc, attributes, on_resolved)
         if not self._unsent:
-            self.effect_buffer.emit(Defer(KeyLeasesRequested()))  # those of one batch go in one message
+            self.effect_buffer.emit(Defer(KeyLeasesRequested()))  # one message for the whole batch
         self._unsent.append(KeyToLease(digest, payload_digest(rpc.body), self.lifetime_us))
         self.effect_buffer.schedule(
-            due if self._end is None else min(due, self._end), self._time_out, digest, rpc
+            due if self._resolve_by is None else min(due, self._resolve_by), self._time_out, digest, rpc
         )
 
     def send_requests(self) -> None:
@@ -103,24 +104,27 @@
             self.effect_buffer.emit(KeyLeaseCommand(RequestKeyLeases(unsent)))
 
     def resolve_all_by(self, when: int) -> None:
-        """Have all requests resolved by then: the decision module does not know of their RPCs yet."""
-        self._end = when
+        """Resolve all requests by this time, because the process ends soon after it.
+
+        The decision module, which otherwise answers RPCs during a drain, does not know the waiting ones yet.
+        """
+        self._resolve_by = when
         for key, waiting in self.waiting.items():
             self.effect_buffer.schedule(when, self._time_out, key, waiting.rpc)
 
     def abandon(self, rpc: NodeRpc) -> bool:
-        """Handle the loss of the caller; return whether it waited for its key lease, which ends here."""
+        """Handle the loss of the caller of an RPC; return whether the RPC waited for its key lease."""
         key = next((key for key, waiting in self.waiting.items() if waiting.rpc is rpc), None)
         if key is not None:
             self._abandon_request(key)
         return key is not None
 
     def answered(self, key: bytes, outcome: KeyLeaseOutcome, result: bytes, run_by: int | None) -> None:
-        """Handle the answer to the request for a key; see `KeyLeaseAnswered`."""
+        """Handle the answer to the request for a key lease; see `KeyLeaseAnswered`."""
         waiting = self.waiting.pop(key, None)
         if waiting is None:
             if outcome is KeyLeaseOutcome.GRANTED:
-                self._release(key)  # nobody waits for it any more
+                self._release(key)  # no RPC waits for the key lease any more
             return
         rpc = waiting.rpc
         if outcome is KeyLeaseOutcome.GRANTED:
@@ -129,13 +133,13 @@
             else:
                 self._release(key)
                 outcome = KeyLeaseOutcome.NO_MAJORITY
-        self.counts[COUNTED_AS[outcome]] += 1
+        self.counts[COUNTER_NAMES[outcome]] += 1
         if outcome is KeyLeaseOutcome.NO_MAJORITY and waiting.attributes.is_retry:
-            outcome = KeyLeaseOutcome.FAILED  # an earlier attempt may have run elsewhere
+            outcome = KeyLeaseOutcome.FAILED  # an earlier attempt may have run on another node
         waiting.on_resolved(rpc, waiting.attributes, outcome, result)
 
     def may_run(self, index: int) -> bool:
-        """Return whether a run may be commanded now. RPCs that need no key lease may always run."""
+        """Return whether the run of an RPC may be commanded now; RPCs without a key lease may always run."""
         lease = self.held.get(index)
         if lease is None or self.now_us < lease.run_by:
             return True
@@ -143,7 +147,7 @@
         return False
 
     def run_ended(self, index: int, succeeded: bool, result: bytes) -> None:
-        """Handle the end of an RPC's run."""
+        """Report the end of a run to the fleet, if the RPC holds a key lease."""
         lease = self.held.pop(index, None)
         if lease:
             self.effect_buffer.emit(
@@ -151,7 +155,7 @@
             )
 
     def release(self, index: int) -> None:
-        """Release the key lease of an RPC that will not run, where it has not."""
+        """Release the key lease of an RPC that has not run and will not run."""
         lease = self.held.pop(index, None)
         if lease:
             self._release(lease.key)
@@ -160,7 +164,7 @@
         self.effect_buffer.emit(KeyLeaseCommand(ReleaseKeyLease(key)))
 
     def _abandon_request(self, key: bytes) -> None:
-        """Withdraw a request that nobody waits for any more."""
+        """Withdraw a request for which no RPC waits any more."""
         del self.waiting[key]
         unsent = len(self._unsent)
         self._unsent = [request for request in self._unsent if request.key != key]
@@ -169,7 +173,10 @@
             self._release(key)
 
     def _time_out(self, key: bytes, rpc: NodeRpc) -> None:
-        """Resolve a request without an answer: the RPC never ran here, a duplicate may have elsewhere."""
+        """Resolve a request that was not answered in time.
+
+        The RPC never ran on this node. If it is a retry, an earlier attempt may have run on another node.
+        """
         waiting = self.waiting.get(key)
         if waiting and waiting.rpc is rpc:
             self._abandon_request(key)
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -1,4 +1,4 @@
-"""A node whose runs need key leases."""
+"""A node whose runs need key leases: the gate in the core, with simulated replicas."""
 
 import random
 
@@ -18,28 +18,28 @@
 
 
 class SimulatedReplicas:
-    """Answers the attempts of a simulated core by chance; `statuses`: those that are drawn from.
+    """Answers the key lease requests of a core at random times with statuses drawn from `statuses`.
 
-    Knows which keys are asked for and which are the core's.
+    Tracks which keys are requested and which the core holds.
     """
 
     def __init__(self, harness, rng, statuses):
         self.harness = harness
         self.rng = rng
         self.statuses = statuses
-        self.asked, self.held, self.outcomes = {}, set(), []
-        harness.on_key_lease_command = lambda command: self.take(key_lease_client_input(command))
+        self.requested, self.held, self.outcomes = {}, set(), []
+        harness.on_key_lease_command = lambda command: self.handle(key_lease_client_input(command))
         step = harness.step
 
-        def step_and_answer(dt):
-            step(dt)
-            for key in [key for key in self.asked if rng.random() < 0.2]:
+        def step_and_answer(elapsed_us):
+            step(elapsed_us)
+            for key in [key for key in self.requested if rng.random() < 0.2]:
                 self.answer(key)
 
         harness.step = step_and_answer
 
     def answer(self, key):
-        del self.asked[key]
+        del self.requested[key]
         status = self.rng.choice(self.statuses)
         if status == LeaseStatus.GRANTED:
             self.held.add(key)
@@ -47,35 +47,35 @@
             run_before = self.harness.now + self.rng.choice((5, 1000)) * MS
             self.harness.feed(fleet_input(LeaseAnswer(key, status, b"", run_before)))
 
-    def take(self, command):
+    def handle(self, command):
         if isinstance(command, AcquireKeyLeases):
             for key, _, _ in command.keys:
-                assert key not in self.asked, "asked for twice"
-                assert key not in self.held, "asked for twice"
-                self.asked[key] = True
+                assert key not in self.requested, "requested twice"
+                assert key not in self.held, "requested while it is held"
+                self.requested[key] = True
         elif isinstance(command, KeyLeaseRunEnded):
             self.held.remove(command.key)
             self.outcomes.append(command.status)
         else:
             self.held.discard(command.key)
-            self.asked.pop(command.key, None)
+            self.requested.pop(command.key, None)
 
 
 def check_runs_hold_leases(harness, replicas):
     run = harness.core.pool.run
 
-    def checked_run(rpc, repeatable):
+    def checked_run(rpc, idempotent):
         if rpc.key_entry:
-            key, by = harness.core.key_leases.held[rpc.index]
-            assert key in replicas.held, "commanded without a lease"
-            assert harness.now < by, "commanded without a lease"
-        run(rpc, repeatable)
+            key, run_by = harness.core.key_leases.held[rpc.index]
+            assert key in replicas.held, "commanded without a key lease"
+            assert harness.now < run_by, "commanded after the key lease expired"
+        run(rpc, idempotent)
 
     harness.core.pool.run = checked_run
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_with_key_leases_and_none_is_left_behind(seed):
+def test_rules_hold_with_key_leases_and_no_lease_outlives_its_rpc(seed):
     rng = random.Random(seed)
     harness = CoreHarness(
         {**draw_settings(rng), **GAUGES},
@@ -94,20 +94,23 @@
     gate = harness.core.key_leases
     running = {rpc.index for rpc in may_be_running_at_the_end(harness)}
     assert not gate.waiting
-    assert running.issuperset(gate.held)  # none is held for what is over
+    assert running.issuperset(gate.held)  # no key lease is held for a completed RPC
     assert set(replicas.held) == {key for key, _ in gate.held.values()}
 
 
-def one_keyed(status, again=False, by=1000, result=b"there"):
-    """How a keyed RPC is answered whose lease comes to `status`, whether it ran, and how late it was."""
+def answer_one_keyed(status, is_retry=False, run_within_ms=1000, result=b"there"):
+    """Answer the key lease request of one RPC with `status`; None: don't answer it.
+
+    Return the outcome of the RPC, whether it ran, and by how many microseconds it was answered late.
+    """
     harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
-    name = harness.dispatchers.submit(harness.dispatchers.open(), 1, **({"r": "1"} if again else {}))
+    name = harness.dispatchers.submit(harness.dispatchers.open(), 1, **({"r": "1"} if is_retry else {}))
     harness.step(MS)
     (acquire_input,) = harness.key_lease_inputs
-    asked = acquire_input.keys[0]
-    assert not harness.pool.runs, "not before its lease"
+    request = acquire_input.keys[0]
+    assert not harness.pool.runs, "it ran before its key lease was granted"
     if status is not None:
-        harness.feed(fleet_input(LeaseAnswer(asked.key, status, result, harness.now + by * MS)))
+        harness.feed(fleet_input(LeaseAnswer(request.key, status, result, harness.now + run_within_ms * MS)))
     harness.step(MS)
     ran = name in harness.pool.runs
     for _ in range(200):
@@ -121,23 +124,27 @@
     )
 
 
-def test_the_answer_to_an_attempt_decides_what_the_caller_receives():
-    assert one_keyed(LeaseStatus.GRANTED)[:2] == (None, True)
-    assert one_keyed(LeaseStatus.HELD)[:2] == ("failed", False)
-    assert one_keyed(LeaseStatus.FAILED)[0] == "failed"
-    assert one_keyed(LeaseStatus.UNAVAILABLE)[0] == "rejected", "a first try never ran"
-    assert one_keyed(LeaseStatus.UNAVAILABLE, again=True)[0] == "failed", "an earlier one may have, elsewhere"
-    assert one_keyed(LeaseStatus.GRANTED, by=0)[:2] == ("rejected", False), "the lease is over when it comes"
-    how, ran, late = one_keyed(None)
-    assert how == "rejected", "no replica answers: by its due time"
-    assert not ran, "no replica answers: by its due time"
-    assert late <= 0, "no replica answers: by its due time"
+def test_the_answer_to_a_key_lease_request_determines_what_the_caller_receives():
+    assert answer_one_keyed(LeaseStatus.GRANTED)[:2] == (None, True)
+    assert answer_one_keyed(LeaseStatus.HELD)[:2] == ("failed", False)
+    assert answer_one_keyed(LeaseStatus.FAILED)[0] == "failed"
+    assert answer_one_keyed(LeaseStatus.UNAVAILABLE)[0] == "rejected", "a first attempt never ran"
+    assert answer_one_keyed(LeaseStatus.UNAVAILABLE, is_retry=True)[0] == "failed", (
+        "an earlier attempt may have run elsewhere"
+    )
+    assert answer_one_keyed(LeaseStatus.GRANTED, run_within_ms=0)[:2] == ("rejected", False), (
+        "the key lease arrives expired"
+    )
+    outcome, ran, late_us = answer_one_keyed(None)
+    assert outcome == "rejected", "no replica answers"
+    assert not ran, "no replica answers"
+    assert late_us <= 0, "answered after its due time"
 
 
-def test_a_run_elsewhere_gives_its_result():
+def test_the_result_of_a_run_on_another_node_is_returned():
     harness = plain_harness(key_leases=lambda effect_buffer: KeyLeaseGate(effect_buffer, 20 * SECOND))
     replies = []
-    harness.dispatchers.on_reply = lambda link, data: replies.append(read_answer(data))
+    harness.dispatchers.on_reply = lambda connection, data: replies.append(read_answer(data))
     harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     key = harness.key_lease_inputs[0].keys[0].key
