--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet as one node's core sees it: what it may use, what it holds to be so, who is a member.
+"""The fleet as the core of a node sees it: the allowances, the consensus and the members.
 
-Owns the joint of the core with limiters and observer, where each may be absent. It must never decide about an
-RPC: the decision module does, by the quota and the gauges.
+`FleetView` connects the core with the limiters and the observer, each of which may be absent. It must never
+decide about an RPC: the decision module does, by the quota and the gauges that `FleetView` supplies.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,7 +16,7 @@
 from finchcart.node.methods import MethodInfo
 from finchcart.node.rpc import NodeRpc, RpcAttributes
 
-if TYPE_CHECKING:  # neither is imported where no fleet is configured
+if TYPE_CHECKING:  # at run time these modules are imported only if a fleet is configured
     from finchcart.node.limiter_set import LimiterSet, RpcLimiter
     from finchcart.node.limiters import CallsInFlight
     from finchcart.node.observer import NodeObserver
@@ -25,17 +25,17 @@
 
 
 class FleetMember(NamedTuple):
-    """A member of the fleet, as last reported."""
+    """The last reported state of a member of the fleet."""
 
     state: FleetMemberState
     incarnation: int
 
 
 class FleetView:
-    """Limiters and observer, where there are any. Times are whole microseconds.
+    """The limiters, the observer and the members of the fleet. Times are whole microseconds.
 
-    Bounds: members by what the membership keeps, which alone remembers those that are gone; one host a
-    connection, until that is closed.
+    Bounds: at most as many members as the membership keeps; failed members and those that left are removed.
+    One host for each connection, until the connection is closed.
     """
 
     def __init__(
@@ -52,23 +52,23 @@
         self.limits_rpcs = limiters is not None or observer is not None
         self.members: dict[str, FleetMember] = {}  # by name
         self.isolated = False
-        self._hosts: dict[int, str | None] = {}  # by connection, where there is an observer
+        self._hosts: dict[int, str | None] = {}  # by connection; empty without an observer
 
-    # ---- Inputs of the fleet
+    # ---- Inputs from the fleet
 
     def member_changed(self, name: str, state: FleetMemberState, incarnation: int) -> None:
-        """Handle a change of a member, see `FleetMemberChanged`."""
+        """Handle a change of the state of a member; see `FleetMemberChanged`."""
         if state in GONE_STATES:
             self.members.pop(name, None)
         else:
             self.members[name] = FleetMember(state, incarnation)
 
     def isolation_changed(self, isolated: bool) -> None:
-        """Handle the loss or return of contact, see `FleetIsolationChanged`."""
+        """Handle the loss or return of contact with the fleet; see `FleetIsolationChanged`."""
         self.isolated = isolated
 
     def allocation_granted(self, limit: str, floor: int | None, amount: int, until: int) -> None:
-        """Apply an allocation, see `AllocationGranted`."""
+        """Apply an allocation; see `AllocationGranted`."""
         if self.limiters:
             self.limiters.set_allowance(limit, floor, amount, until)
 
@@ -79,7 +79,7 @@
         min_shed_level: float,
         source_states: Mapping[int, int],
     ) -> None:
-        """Apply what the fleet holds to be so, see `ConsensusChanged`."""
+        """Apply the consensus of the fleet; see `ConsensusChanged`."""
         if self.observer:
             self.observer.apply_consensus(dependency_state, ejected, min_shed_level, source_states)
             if self.limiters:
@@ -88,16 +88,16 @@
     # ---- Connections
 
     def connection_opened(self, connection: int, host: str | None) -> None:
-        """Remember where a connection comes from."""
+        """Remember the host from which a connection comes."""
         if self.observer:
             self._hosts[connection] = host
 
     def connection_closed(self, connection: int) -> None:
-        """Forget a connection that is gone."""
+        """Forget a closed connection."""
         self._hosts.pop(connection, None)
 
     def record_invalid_traffic(self, connection: int) -> None:
-        """Record a message that can't be read, or a connection without any."""
+        """Record an unreadable message, or a connection that sent no RPC."""
         if self.observer:
             self.observer.record_invalid_traffic(self._hosts.get(connection))
 
@@ -106,14 +106,14 @@
     def quota_for(
         self, method: str, attributes: RpcAttributes
     ) -> "tuple[FleetQuota | None, Sequence[RpcLimiter]]":
-        """Return what an RPC may use, None for no bound, and the limiters that count it if admitted."""
+        """Return the quota of an RPC, None for no bound, and the limiters that count the RPC if admitted."""
         quota = None
         limiters: Sequence[RpcLimiter] = ()
         caller = attributes.caller
         if self.limiters:
             limiters = self.limiters.limiters_of(method, caller)
             quota = self.limiters.quota(limiters)
-            if self.observer and quota and quota.available <= 0 and _counts_dispatcher(limiters):
+            if self.observer and quota and quota.available <= 0 and _any_limits_one_dispatcher(limiters):
                 self.observer.record_over_limit(caller)
         if self.observer:
             host = None if attributes.connection is None else self._hosts.get(attributes.connection)
@@ -128,7 +128,7 @@
             self.observer.run_ended(outcome, spent_us)
 
     def call_awaited(self) -> None:
-        """Record the demand of a run that awaits a call."""
+        """Record the demand for a call that a run awaits."""
         if self.limiters and self.limiters.calls_rate:
             self.limiters.calls_rate.record_demand()
 
@@ -140,7 +140,7 @@
     # ---- The control loop
 
     def add_gauges(self, gauges: Gauges, calls: "CallsInFlight") -> Gauges:
-        """Return the gauges with what the fleet allows and holds."""
+        """Return the gauges with the call capacity and the consensus of the fleet added."""
         if self.limiters:
             gauges = gauges._replace(call_capacity=self.limiters.call_capacity(calls))
         if self.observer:
@@ -152,7 +152,7 @@
         return gauges
 
     def publish_usage(self, rpcs: Iterable[NodeRpc], calls: "CallsInFlight") -> None:
-        """Publish use and demand of the limits of which something changed."""
+        """Publish the usage and demand of the limits whose usage or demand changed."""
         if not self.limiters:
             return
         waiting = [self.methods[rpc.method].has_priority for rpc in rpcs if rpc.awaited_call is not None]
@@ -160,12 +160,12 @@
             self.effect_buffer.emit(PublishUsage(limit, *usage))
 
     def publish_evidence(self, shed_level: float) -> None:
-        """Publish what was seen since the last time, where that is due."""
+        """Publish the evidence since the last publication, if the next one is due."""
         if self.observer:
             evidence = self.observer.collect_evidence(self.effect_buffer.now, shed_level)
             if evidence:
                 self.effect_buffer.emit(PublishEvidence(evidence))
 
 
-def _counts_dispatcher(limiters: "Sequence[RpcLimiter]") -> bool:
+def _any_limits_one_dispatcher(limiters: "Sequence[RpcLimiter]") -> bool:
     return any(limiter.limit.dispatcher for limiter in limiters)
