--- a/tests/pool_double.py
+++ b/tests/pool_double.py
@@ -1,4 +1,4 @@
-"""The worker pool of one simulated core: it runs what it is commanded, and checks that it may."""
+"""The worker pool of a simulated core, which checks each command that it receives."""
 
 from base64 import b64decode
 from dataclasses import dataclass
@@ -16,17 +16,20 @@
 
 @dataclass
 class Run:
-    """A run in the worker pool."""
+    """The state of a run in the worker pool."""
 
     state: str  # "running", "blocked" or "over"
     key: str
     calls: int = 0
-    call_never_ran: bool = True  # it is proved of its last call
-    cursor: int | None = None  # of the notice that it is blocked
+    call_never_ran: bool = True  # whether it is proven that the store did not execute the last call
+    cursor: int | None = None  # number of the notice that reported the last call
 
 
 class PoolDouble:
-    """The runs and notices of a worker pool. `harness`: has the time, connections and other peers."""
+    """The runs and notices of a worker pool.
+
+    `harness` supplies the time, the connections and the other peers.
+    """
 
     def __init__(self, harness):
         self.harness = harness
@@ -38,37 +41,37 @@
         self.notices_numbered = 0
         self.runs = {}  # by name
         self.active_runs = {}
-        self.results = set()  # (key, result) of all runs that ended well, also of those started once more
+        self.results = set()  # (key, result) of all successful runs, including those of a second start
 
-    def read_command(self, connection, said):
-        event = said["event"]
-        name = said.get("handle")
+    def read_command(self, connection, command):
+        event = command["event"]
+        name = command.get("handle")
         run = self.runs.get(name)
         if event == "bind":
-            assert said["cursor"] <= self.notices_numbered
+            assert command["cursor"] <= self.notices_numbered
             self.harness.deliver(connection, Subscribed(self.is_cold, self.harness.now - self.started_at))
-            for notice in self.notices[said["cursor"] :]:
+            for notice in self.notices[command["cursor"] :]:
                 self.harness.deliver(connection, notice)
         elif event == "poll":
-            self.harness.deliver(connection, GaugesRead(said["ticket"], (0.5, 1.0)))
+            self.harness.deliver(connection, GaugesRead(command["ticket"], (0.5, 1.0)))
         elif event == "spawn":
-            self.start_run(name, said)
+            self.start_run(name, command)
         elif event in ("supply", "pass") and run and run.state == "blocked":
             if event == "supply":
-                assert b64decode(said["arg"]) == self.harness.store.replies[name], (
-                    "not the reply to this call"
+                assert b64decode(command["arg"]) == self.harness.store.replies[name], (
+                    "the reply belongs to another call"
                 )
-            elif said["cursor"] != run.cursor:
-                return  # of an earlier call
+            elif command["cursor"] != run.cursor:
+                return  # the command belongs to an earlier call
             run.state = "running"
 
-    def start_run(self, name, said):
+    def start_run(self, name, command):
         run = self.runs.get(name)
         attempt = self.harness.dispatchers.attempts[name]
-        assert (said["entry"], b64decode(said["arg"])) == (f"m{attempt.method}", attempt.body)
+        assert (command["entry"], b64decode(command["arg"])) == (f"m{attempt.method}", attempt.body)
         if run and run.state != "over":
             return
-        assert run is None or attempt.kind == "idempotent", "run again"
+        assert run is None or attempt.kind == "idempotent", "a run that is not idempotent is started again"
         if attempt.answers or not attempt.response_pending:
             self.send_notice(RunEndedNotice, name, Outcome.NOT_STARTED, 0, b"")
             self.runs[name] = Run(state="over", key=attempt.key)
@@ -80,10 +83,12 @@
         ]
         window = self.harness.settings[f"methods.{attempt.method}.window"]
         if attempt.kind == "keyed":
-            assert all(each.arrived_at + window < attempt.arrived_at for each in others), "effect twice"
+            assert all(each.arrived_at + window < attempt.arrived_at for each in others), (
+                "an effect happens twice"
+            )
         if self.harness.drain_notice_at is not None:
             grace_ends_at = self.harness.drain_notice_at + self.harness.settings["drain_grace"]
-            assert attempt.arrived_at <= grace_ends_at, "ran what came past the grace"
+            assert attempt.arrived_at <= grace_ends_at, "an RPC that arrived after the grace period runs"
         attempt.has_run = True
         self.runs[name] = self.active_runs[name] = Run(state="running", key=attempt.key)
 
@@ -103,7 +108,7 @@
         self.send_notice(RunEndedNotice, name, outcome, RUN_TIME_US, result)
 
     def block_at_call(self, name):
-        """The run awaits a call."""
+        """Report that a run awaits a call."""
         run = self.runs[name]
         run.state = "blocked"
         run.cursor = len(self.notices) + 1
@@ -116,7 +121,7 @@
             self.harness.lose_connection(self.connection)
 
     def restart(self):
-        """The worker pool dies, and its runs with it."""
+        """Restart the worker pool, which loses all runs."""
         self.lose_connection()
         self.started_at = self.harness.now
         self.is_cold = True
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -1,15 +1,13 @@
-"""What runs in the worker pool is counted by the node until something proves that it is over.
-
-The failure. Users saw a node's machine fall over in staging, seconds after its start, with no more traffic
-than before. The connection to the worker pool had been cut four times in two seconds. Each time the node held
-runs whose start it could not prove to have been read, and that it must not start again as they have effects;
-it reported them to the decision module as stopped. The module gave their cores and memory to others, while
-they ran on. Runs without effects were started again, also where the first run ended on the way: the second
-one was in nobody's count.
-
-The evidence. A relay that cuts the connection, and the worker pool's own record: 10 runs at once where 6 were
-without cuts; with answers 30 ms late 8 where 4 were, and 24 of 169 idempotent runs started twice. No cut with
-the same late answers: 4. docs/incidents/2026-12-02-staging-fault-injection.md.
+"""The node counts each run in the worker pool as running until the run has provably ended.
+
+These tests guard against an overload of the machine after lost connections to the worker pool. The node can't
+prove that a start command was read if the connection is lost after the write. Runs that are not idempotent
+were reported to the decision module as stopped, and their cores and memory were assigned to other runs while
+they continued. Idempotent runs were started again, even if the first run ended meanwhile, and the second run
+was not counted. In staging this happened with four lost connections in two seconds. With a relay that cuts
+the connection 10 runs were in progress at once, instead of 6 without cuts; with answers delayed by 30 ms 8
+runs, instead of 4 without cuts, and 24 of 169 idempotent runs were started twice. See
+docs/incidents/2026-12-02-staging-fault-injection.md.
 """
 
 import random
@@ -32,7 +30,7 @@
 
 
 class CountingHarness(CoreHarness):
-    """Holds what the node counts against what runs, at every step, with many cuts of its connection."""
+    """Compares the counted runs with the actual runs at each step, and often cuts the connection."""
 
     cut_probability = 0.06
 
@@ -42,21 +40,23 @@
         if controller is None:
             return
         on_cores = sum(run.state == "running" for run in self.pool.active_runs.values())
-        assert controller.state.runs.in_progress >= len(self.pool.active_runs), "runs that nobody counts"
-        assert controller.state.runs.on_cores >= on_cores, "runs on cores that nobody counts"
+        assert controller.state.runs.in_progress >= len(self.pool.active_runs), (
+            "more runs in progress than the node counts"
+        )
+        assert controller.state.runs.on_cores >= on_cores, "more runs on cores than the node counts"
         if self.rng.random() < self.cut_probability:
             self.pool.lose_connection()
 
 
-def test_every_run_is_counted_through_cuts_of_the_connection():
+def test_every_run_stays_counted_while_connections_are_lost():
     for seed in SEEDS:
         rng = random.Random(seed)
         harness = CountingHarness({**draw_settings(rng), **GAUGES}, seed)
         assert "ok" in play(harness, rng)
 
 
-def test_a_start_written_again_as_its_first_run_ends_is_counted_too():
-    """The end of the first run crosses the second start: the worker pool runs it again."""
+def test_a_second_run_is_counted_if_the_first_one_ends_while_its_start_is_sent_again():
+    """The worker pool reads the second start after the end of the first run, and runs the RPC again."""
     harness = plain_harness()
     name = harness.dispatchers.submit(harness.dispatchers.open(), 0)
     harness.step(0)
@@ -66,8 +66,8 @@
         harness.step(MS)
         if any(b"spawn" in data for _, data in harness.commands):
             break
-    assert any(b"spawn" in data for _, data in harness.commands), "it is not written again"
-    harness.pool.end_run(name, Outcome.OK)  # its notice is on the way as the start is read once more
+    assert any(b"spawn" in data for _, data in harness.commands), "the start is not written again"
+    harness.pool.end_run(name, Outcome.OK)  # the notice is in transit when the second start is read
     for _ in range(3):
         harness.step(MS)
     assert how(harness, name) == "ok"
@@ -79,7 +79,7 @@
     assert harness.core.controller.state.runs.on_cores == 0
 
 
-def test_a_bound_that_is_read_late_is_no_restart_of_the_worker_pool():
+def test_a_subscription_reply_that_is_read_late_is_not_mistaken_for_a_restart():
     harness = plain_harness()
     name = running(harness, 1)
     harness.pool.lose_connection()
@@ -87,14 +87,14 @@
         harness.now += MS
         harness.feed(TimersDue())
         harness.establish_connections()
-    harness.read_commands()  # `bound` is written,
-    harness.step(1_500 * MS)  # and read later than starts of a worker pool lie apart
+    harness.read_commands()  # the worker pool replies with `bound`
+    harness.step(1_500 * MS)  # the reply is delayed for longer than the tolerance of the restart detection
     assert how(harness, name) is None
     assert harness.core.controller.state.runs.in_progress == 1
     ends_well(harness, name)
 
 
-def test_a_command_that_was_not_carried_out_says_nothing_of_its_run():
+def test_the_rejection_of_a_later_command_does_not_end_the_run():
     harness = plain_harness()
     name = running(harness, 1)
     harness.deliver(harness.pool.connection, CommandRejected(False, name))
@@ -104,14 +104,14 @@
     ends_well(harness, name)
 
 
-def test_a_run_whose_end_can_not_be_read_is_counted_for_its_deadline_and_no_longer():
+def test_a_run_whose_end_notice_is_unreadable_is_counted_until_its_deadline():
     harness = plain_harness()
     name = running(harness, 1)
     for _ in range(10):
-        harness.step(10 * MS)  # its start is known to be read
+        harness.step(10 * MS)  # the start is confirmed
     assert not harness.core.pool.commands.unconfirmed
-    harness.pool.notices_numbered = 1  # the notice of its end, which is never readable
-    for _ in range(2):  # the same notice again right after the next bind: it is passed over
+    harness.pool.notices_numbered = 1  # the unreadable notice of the end
+    for _ in range(2):  # the notice is sent again after the reconnection, and then skipped
         harness.lose_connection(harness.pool.connection, "a line that is no message")
         for _ in range(40):
             harness.step(MS)
@@ -119,15 +119,15 @@
                 break
     assert harness.core.pool.cursor.position == 1
     assert harness.core.controller.state.runs.in_progress == 1
-    end = harness.now + harness.settings["methods.1.deadline"]
-    while harness.now <= end:
+    deadline = harness.now + harness.settings["methods.1.deadline"]
+    while harness.now <= deadline:
         harness.step(20 * MS)
     assert how(harness, name) == "failed"
     assert harness.core.controller.state.runs.in_progress == 0
 
 
-class BreakingPool(SimulatedWorkerPool):
-    """Breaks the connection right after every third start: it was read, and nothing told the node so."""
+class DisconnectingPool(SimulatedWorkerPool):
+    """Closes the connection right after every third start, before the node can know that it was read."""
 
     starts = 0
 
@@ -139,27 +139,29 @@
         return started
 
 
-def test_a_machine_bears_what_a_node_starts_while_its_connection_breaks(testbed):
+def test_a_node_never_starts_more_runs_than_cores_while_its_connection_keeps_breaking(testbed):
     settings = testbed.config["settings"]
     settings["contract"]["overloadFactor"] = 2.0
     testbed.write_config()
-    testbed.pool = BreakingPool(testbed.addresses["pool"], dict.fromkeys(METHODS, False), RUN_TIME_S, CORES)
+    testbed.pool = DisconnectingPool(
+        testbed.addresses["pool"], dict.fromkeys(METHODS, False), RUN_TIME_S, CORES
+    )
     testbed.pool.started -= 60
     testbed.start()
     wait_until(testbed.serves)
-    answered = []
+    outcomes = []
 
     def call(number):
         client = testbed.client()
         for attempt in range(12):
             key = f"{number:016x}{attempt:016x}"
             sequence = client.submit("book", b"seat", key, f=str(number))
-            answered.append(read_answers(client, 1)[sequence][0])
+            outcomes.append(read_answers(client, 1)[sequence][0])
 
     callers = [threading.Thread(target=call, args=(number,)) for number in range(CALLERS)]
     for caller in callers:
         caller.start()
     for caller in callers:
         caller.join()
-    assert answered.count("ok") > 3 * CORES
-    assert testbed.pool.peak_load() <= CORES, "more runs at once than the node allows itself"
+    assert outcomes.count("ok") > 3 * CORES
+    assert testbed.pool.peak_load() <= CORES, "more runs at once than cores"
--- a/tests/test_worker_pool_client.py
+++ b/tests/test_worker_pool_client.py
@@ -1,4 +1,4 @@
-"""The worker pool's client in a core: lost connections, unconfirmed commands, restarts, other addresses."""
+"""The worker pool client in a core: lost connections, unconfirmed commands, restarts, address changes."""
 
 from finchcart.decisions.outcome import Outcome
 from finchcart.node.addresses import NodeAddresses
@@ -7,15 +7,15 @@
 from tests.core_harness import MS
 
 
-def test_commands_lost_with_the_pool_connection_are_written_again_after_the_replay():
+def test_commands_lost_with_the_connection_are_written_again_after_the_missed_notices():
     harness = plain_harness()
-    link = harness.dispatchers.open()
-    done = harness.dispatchers.submit(link)
+    connection = harness.dispatchers.open()
+    done = harness.dispatchers.submit(connection)
     harness.step(MS)
     harness.step(MS)
     harness.pool.lose_connection()
-    harness.pool.end_run(done, Outcome.OK)  # while no link exists
-    lost = harness.dispatchers.submit(link)
+    harness.pool.end_run(done, Outcome.OK)  # while there is no connection
+    lost = harness.dispatchers.submit(connection)
     for _ in range(60):
         harness.step(10 * MS)
     assert how(harness, done) == "ok"
@@ -26,25 +26,25 @@
     assert len([notice for notice in harness.pool.notices if notice.rpc_name == done]) == 1
 
 
-def test_an_effect_whose_start_may_have_been_lost_is_answered_and_never_started_twice():
+def test_a_non_idempotent_run_whose_start_may_be_lost_is_answered_and_never_started_again():
     harness = plain_harness()
     name = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     harness.step(MS)
     harness.pool.lose_connection()
     while harness.now < harness.dispatchers.attempts[name].due:
-        assert harness.core.controller.state.runs.in_progress == 1  # it may be running
+        assert harness.core.controller.state.runs.in_progress == 1  # the run may be in progress
         harness.step(10 * MS)
     assert how(harness, name) == "failed"
     assert name not in harness.pool.runs
     harness.step(100 * MS)
-    assert harness.core.controller.state.runs.in_progress == 0  # for as long as the settings let it
-    again = harness.dispatchers.submit(harness.dispatchers.open(), 1, name)
+    assert harness.core.controller.state.runs.in_progress == 0  # the longest allowed run time has passed
+    duplicate = harness.dispatchers.submit(harness.dispatchers.open(), 1, name)
     harness.step(MS)
-    assert how(harness, again) == "failed"
+    assert how(harness, duplicate) == "failed"
     assert not harness.pool.runs
 
 
-def test_an_effect_whose_start_was_never_written_is_started_once_the_link_is_back():
+def test_a_non_idempotent_run_whose_start_was_never_written_is_started_after_the_reconnection():
     harness = plain_harness()
     harness.pool.accepts = False
     harness.pool.lose_connection()
@@ -57,12 +57,12 @@
     ends_well(harness, name)
 
 
-def test_a_reply_that_may_have_been_lost_leaves_the_call_out_where_that_is_allowed():
+def test_a_run_whose_reply_may_be_lost_is_told_to_degrade_if_that_is_allowed():
     harness = plain_harness(degraded_value=(0.5, 0.0))
-    name, link = calling(harness)
-    harness.store.reply(link, name, Outcome.OK)
+    name, connection = calling(harness)
+    harness.store.reply(connection, name, Outcome.OK)
     harness.step(0)
-    assert harness.pool.runs[name].state == "blocked"  # the reply is on its way
+    assert harness.pool.runs[name].state == "blocked"  # the reply is in transit
     harness.pool.lose_connection()
     for _ in range(20):
         harness.step(10 * MS)
@@ -70,33 +70,33 @@
     ends_well(harness, name)
 
 
-def move(harness):
+def change_addresses(harness):
     harness.addresses = NodeAddresses(*((host, port + 1) for host, port in harness.addresses))
     harness.feed(AddressesChanged(harness.addresses))
 
 
-def test_connections_follow_a_new_configuration_and_nothing_is_lost_on_the_way():
+def test_a_change_of_the_addresses_loses_no_command_and_no_call():
     harness = plain_harness()
-    held, (called, link) = running(harness, 1), calling(harness)
-    name, old = harness.dispatchers.submit(harness.dispatchers.open(), 1), harness.pool.connection
+    running_name, (calling_name, connection) = running(harness, 1), calling(harness)
+    starting_name, old = harness.dispatchers.submit(harness.dispatchers.open(), 1), harness.pool.connection
     harness.step(0)
-    assert name not in harness.pool.runs  # its start is on the old link
-    move(harness)
-    during = harness.dispatchers.submit(harness.dispatchers.open(), 1)
+    assert starting_name not in harness.pool.runs  # its start is in transit on the old connection
+    change_addresses(harness)
+    queued_name = harness.dispatchers.submit(harness.dispatchers.open(), 1)
     for _ in range(8):
         harness.step(MS)
     assert harness.connections[old] == "closed"
     assert harness.connections[harness.pool.connection] == "open"
     assert harness.reports[-1][0] == harness.now - 8 * MS
-    harness.store.reply(link, called, Outcome.OK)  # at the old place
+    harness.store.reply(connection, calling_name, Outcome.OK)  # on the connection to the old address
     harness.step(MS)
     harness.step(MS)
-    assert harness.pool.runs[called].state == "running"
-    for each in (held, called, name, during):
-        ends_well(harness, each)
+    assert harness.pool.runs[calling_name].state == "running"
+    for name in (running_name, calling_name, starting_name, queued_name):
+        ends_well(harness, name)
 
 
-def test_a_restarted_pool_has_lost_its_runs_and_none_is_run_again():
+def test_the_runs_of_a_restarted_worker_pool_fail_and_are_not_started_again():
     harness = plain_harness()
     names = [harness.dispatchers.submit(harness.dispatchers.open(), n) for n in (0, 1)]
     harness.step(MS)
@@ -105,15 +105,15 @@
     for _ in range(30):
         harness.step(10 * MS)
     assert [how(harness, name) for name in names] == ["failed"] * 2
-    after = running(harness)
-    ends_well(harness, after)
+    new = running(harness)
+    ends_well(harness, new)
 
 
-def test_a_bind_to_the_same_pool_is_no_restart_though_its_age_is_rounded():
+def test_a_rounded_uptime_of_the_same_worker_pool_is_not_mistaken_for_a_restart():
     harness = plain_harness()
     name = running(harness)
     harness.pool.lose_connection()
-    harness.pool.started_at += 900  # told in whole milliseconds
+    harness.pool.started_at += 900  # us; the uptime is sent in whole milliseconds
     for _ in range(30):
         harness.step(10 * MS)
     assert how(harness, name) is None
