--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -138,7 +138,7 @@
             harness.feed(fleet_input(LimitAllowance(name, 0, rng.randrange(3), harness.now + SECOND)))
 
     harness.step = step_and_change_consensus
-    play(harness, rng)
+    run_randomly(harness, rng)
     assert harness.evidence
 
 
@@ -164,7 +164,7 @@
 
 
 def test_the_decision_module_rejects_rpcs_that_need_a_store_that_is_down_and_applies_the_fleets_shed_level():
-    node = Node({**PLAIN, "cores": 8, "method_calls": (True, True), "degraded_value": (0.0, 0.5)})
+    node = SimulatedNode({**PLAIN, "cores": 8, "method_calls": (True, True), "degraded_value": (0.0, 0.5)})
     node.fleet_gauges = {"dependency_down": True, "call_capacity": 1}
     node.step(40 * MS)
     probing, rejected, degraded = node.arrive(0), node.arrive(0), node.arrive(1)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -75,8 +75,8 @@
                 )
 
     harness.step = step_and_check
-    play(harness, rng)
-    running = may_be_running_at_the_end(harness)
+    run_randomly(harness, rng)
+    running = runs_in_progress_at_end(harness)
     for limiter in limiters.rpcs:  # at the end exactly the RPCs that may be running are counted
         counted = sum(limiter in (rpc.counted_by or ()) for rpc in running)
         assert not isinstance(limiter, RpcConcurrencyLimiter) or limiter.count == counted
--- a/tests/test_run_accounting.py
+++ b/tests/test_run_accounting.py
@@ -89,7 +89,7 @@
         harness.establish_connections()
     harness.read_commands()  # the worker pool replies with `bound`
     harness.step(1_500 * MS)  # the reply is delayed for longer than the tolerance of the restart detection
-    assert how(harness, name) is None
+    assert outcome_of(harness, name) is None
     assert harness.core.controller.state.runs.in_progress == 1
     end_run_with_success(harness, name)
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -38,7 +38,7 @@
     watch_settings = watched and shadow_settings(active, watched, PERIOD)
     harness = CoreHarness({**active, **GAUGES}, seed, shadow=watch_settings)
     started = harness.now
-    outcomes = play(harness, random.Random(seed))
+    outcomes = run_randomly(harness, random.Random(seed))
     lines = [line for line in harness.log_lines if line.startswith("watching: ")]
     assert len(lines) <= (harness.now - started) / PERIOD, "more than one line per period"
     return harness, outcomes, [int(count) for line in lines for count in re.findall(r" (\d+)(?:,|$)", line)]
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -68,7 +68,7 @@
 
 def test_an_idle_connection_is_closed_before_the_store_closes_it():
     harness = plain_harness()
-    name, connection = calling(harness)
+    name, connection = start_call(harness)
     harness.store.reply(connection, name, Outcome.OK)
     for _ in range(90):
         harness.step(10 * MS)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT])
 def test_a_call_that_is_not_idempotent_is_not_repeated_if_it_may_have_been_executed(outcome):
     harness = plain_harness()
-    name, connection = calling(harness, 1)
+    name, connection = start_call(harness, 1)
     harness.store.reply(connection, name, outcome)
     for _ in range(5):
         harness.step(MS)
--- a/tests/test_worker_pool_client.py
+++ b/tests/test_worker_pool_client.py
@@ -40,7 +40,7 @@
     assert harness.core.controller.state.runs.in_progress == 0  # the longest allowed run time has passed
     duplicate = harness.dispatchers.submit(harness.dispatchers.open(), 1, name)
     harness.step(MS)
-    assert how(harness, duplicate) == "failed"
+    assert outcome_of(harness, duplicate) == "failed"
     assert not harness.pool.runs
 
 
@@ -59,7 +59,7 @@
 
 def test_a_run_whose_reply_may_be_lost_is_told_to_degrade_if_that_is_allowed():
     harness = plain_harness(degraded_value=(0.5, 0.0))
-    name, connection = calling(harness)
+    name, connection = start_call(harness)
     harness.store.reply(connection, name, Outcome.OK)
     harness.step(0)
     assert harness.pool.runs[name].state == "blocked"  # the reply is in transit
@@ -77,7 +77,7 @@
 
 def test_a_change_of_the_addresses_loses_no_command_and_no_call():
     harness = plain_harness()
-    running_name, (calling_name, connection) = running(harness, 1), calling(harness)
+    running_name, (calling_name, connection) = start_run(harness, 1), start_call(harness)
     starting_name, old = harness.dispatchers.submit(harness.dispatchers.open(), 1), harness.pool.connection
     harness.step(0)
     assert starting_name not in harness.pool.runs  # its start is in transit on the old connection
@@ -93,7 +93,7 @@
     harness.step(MS)
     assert harness.pool.runs[calling_name].state == "running"
     for name in (running_name, calling_name, starting_name, queued_name):
-        ends_well(harness, name)
+        end_run_with_success(harness, name)
 
 
 def test_the_runs_of_a_restarted_worker_pool_fail_and_are_not_started_again():
@@ -104,9 +104,9 @@
     harness.pool.restart()
     for _ in range(30):
         harness.step(10 * MS)
-    assert [how(harness, name) for name in names] == ["failed"] * 2
-    new = running(harness)
-    ends_well(harness, new)
+    assert [outcome_of(harness, name) for name in names] == ["failed"] * 2
+    new = start_run(harness)
+    end_run_with_success(harness, new)
 
 
 def test_a_rounded_uptime_of_the_same_worker_pool_is_not_mistaken_for_a_restart():
