--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -164,8 +164,10 @@
         in_flight = calls.in_flight(False) + calls.in_flight(True)
         if waiting or in_flight:
             self._called_at = self.now_us
-        called_lately = self._called_at is not None and self.now_us - self._called_at < PROBE_DEMAND_PERIOD_US
-        return self._if_changed(Usage(in_flight if self.probing else 0, int(called_lately), 0))
+        called_recently = (
+            self._called_at is not None and self.now_us - self._called_at < PROBE_DEMAND_PERIOD_US
+        )
+        return self._if_changed(Usage(in_flight if self.probing else 0, int(called_recently), 0))
 
 
 class RateLimiter(Limiter):
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -74,8 +74,8 @@
     harness.write_block_probability = 0
     harness.step(MS)
     harness.step(MS)
-    link = harness.dispatchers.open()
-    names = [harness.dispatchers.submit(link, 0) for _ in range(6)]
+    connection = harness.dispatchers.open()
+    names = [harness.dispatchers.submit(connection, 0) for _ in range(6)]
     harness.step(MS)
     for handle in harness.core.controller.handles.values():
         handle.shadow = SimpleNamespace(state=None, run_ended=lambda *_: None, caller_gone=lambda now: 1 / 0)
