--- a/finchcart/membership/anti_entropy.py
+++ b/finchcart/membership/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: find the records that gossip left out by comparing digests, and send them.
+"""Anti-entropy: compare digests between two members, and send the records that gossip missed.
 
-Owns the three steps of the comparison: digests by bucket, pages of versions of a bucket that differs, whole
-records. Each step is one datagram or a few, so that a loss is healed by the next heartbeat whose digest
-differs.
+A comparison has three steps: digests of all buckets, pages of record versions from a few buckets that differ,
+and whole records. Each step is one datagram or a few. A lost datagram is not retransmitted: the next
+heartbeat whose digest differs starts a new comparison.
 """
 
 from random import Random
@@ -21,21 +21,23 @@
 from finchcart.membership.records import MemberTable
 
 MEMBERS_PER_BUCKET = 16
-BUCKETS_AT_ONCE = 2  # differing ones that are compared after one message
+BUCKETS_PER_COMPARISON = 2
 VERSIONS_PER_PAGE = 40
-RECORD_DATAGRAMS_AT_ONCE = 4  # sent for one page
-LAST_ID = 2**64 - 1
+RECORD_DATAGRAMS_PER_PAGE = 4
+MAX_MEMBER_ID = 2**64 - 1
 
 VersionPair = tuple[int, int]  # (incarnation, version)
 
 
 class AntiEntropy:
-    """Keeps no state but the time of the last comparison.
+    """Compares the member table with those of other members.
+
+    Its only state is the time at which it last started a comparison.
 
     Arguments:
         table: the records of all members, and the outbox.
-        config: the period.
-        random: chooses among buckets and ranges of ids.
+        config: provides the heartbeat period.
+        random: selects buckets and ranges of ids.
     """
 
     def __init__(self, table: MemberTable, config: MembershipConfig, random: Random) -> None:
@@ -46,7 +48,7 @@
         self._started_at = 0
 
     def on_heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
-        """Begin a comparison where the sender's digest differs, twice a period at most."""
+        """Start a comparison if the sender's digest differs, at most twice per period."""
         if heartbeat.digest == self.table.digest or now - self._started_at < self.config.period // 2:
             return
         self._started_at = now
@@ -58,21 +60,26 @@
         self.outbox.send(address, BucketDigests(self.table.own_record, digests))
 
     def on_digests(self, message: BucketDigests) -> None:
-        """Send pages of some buckets that differ, chosen at random."""
+        """Send a page of versions for a few randomly chosen buckets that differ."""
         count = len(message.digests)
         digests, ids = self._buckets(count)
         different = [bucket for bucket in range(count) if digests[bucket] != message.digests[bucket]]
-        for bucket in self.random.sample(different, min(BUCKETS_AT_ONCE, len(different))):
+        for bucket in self.random.sample(different, min(BUCKETS_PER_COMPARISON, len(different))):
             self._send_page(message.record, count, bucket, sorted(ids[bucket]))
 
     def on_page(self, message: BucketPage) -> None:
-        """Send what is newer here, and request what is newer there with a page of the own versions."""
-        theirs = {one: (incarnation, version) for one, incarnation, version in message.versions}
-        ids = sorted(one for one in self.table.members if self._is_covered(one, message))
-        gone = {one for one in ids if not self.table.members[one].is_in_digest}
-        self._send_newer(message.record, ids, gone, theirs)
-        if not message.is_reply and self._lacks(theirs):
-            ids = [one for one in ids if one not in gone or one in theirs]
+        """Send the records that are newer here.
+
+        If the sender has newer records, reply with a page of the versions held here to request them.
+        """
+        peer_versions = {
+            member_id: (incarnation, version) for member_id, incarnation, version in message.versions
+        }
+        ids = sorted(member_id for member_id in self.table.members if self._is_covered(member_id, message))
+        gone = {member_id for member_id in ids if not self.table.members[member_id].is_in_digest}
+        self._send_newer(message.record, ids, gone, peer_versions)
+        if not message.is_reply and self._peer_has_newer(peer_versions):
+            ids = [member_id for member_id in ids if member_id not in gone or member_id in peer_versions]
             self._send_page(
                 message.record,
                 message.bucket_count,
@@ -84,7 +91,7 @@
             )
 
     def _buckets(self, count: int) -> tuple[list[int], list[list[int]]]:
-        """Return digest and ids of each bucket, of the members in the fleet."""
+        """Return the digest and the member ids of each bucket, without failed and left members."""
         digests = [0] * count
         ids: list[list[int]] = [[] for _ in range(count)]
         for member_id, known in self.table.members.items():
@@ -102,42 +109,52 @@
         *,
         is_reply: bool = False,
         first_id: int = 0,
-        last_id: int = LAST_ID,
+        last_id: int = MAX_MEMBER_ID,
     ) -> None:
-        """Send the versions of the sorted `ids`, or a page of them that begins at random."""
+        """Send the versions of the sorted `ids`.
+
+        If they do not fit into one page, the page covers a contiguous range with a random start.
+        """
         if len(ids) > VERSIONS_PER_PAGE:
             first = self.random.randrange(len(ids) - VERSIONS_PER_PAGE + 1)
             end = first + VERSIONS_PER_PAGE
             first_id = ids[first - 1] + 1 if first else first_id
             last_id = ids[end] - 1 if end < len(ids) else last_id
             ids = ids[first:end]
-        versions = [(one, *self._version(one)) for one in ids]
+        versions = [(member_id, *self._version(member_id)) for member_id in ids]
         page = BucketPage(self.table.own_record, bucket_count, bucket, first_id, last_id, versions, is_reply)
         self.outbox.send(parse_address(receiver.address), page)
 
     def _send_newer(
-        self, receiver: MemberRecord, ids: list[int], gone: set[int], theirs: dict[int, VersionPair]
+        self, receiver: MemberRecord, ids: list[int], gone: set[int], peer_versions: dict[int, VersionPair]
     ) -> None:
-        """Send records that the receiver lacks; of those gone only where it holds an older one."""
+        """Send the records that are missing or older at the receiver.
+
+        The record of a failed or left member (`gone`) is sent only if the receiver holds an older one.
+        """
         newer = [
-            self.table.members[one].record
-            for one in ids
-            if (self._version(one) > theirs[one] if one in theirs else one not in gone)
+            self.table.members[member_id].record
+            for member_id in ids
+            if (
+                self._version(member_id) > peer_versions[member_id]
+                if member_id in peer_versions
+                else member_id not in gone
+            )
         ]
         address = parse_address(receiver.address)
-        for _ in range(RECORD_DATAGRAMS_AT_ONCE):
-            part = take_fitting(newer, MAX_RECORD_BYTES)
-            if not part or not self.outbox.send(address, MemberRecords(part)):
+        for _ in range(RECORD_DATAGRAMS_PER_PAGE):
+            batch = take_fitting(newer, MAX_RECORD_BYTES)
+            if not batch or not self.outbox.send(address, MemberRecords(batch)):
                 break
-            newer = newer[len(part) :]
+            newer = newer[len(batch) :]
 
-    def _lacks(self, theirs: dict[int, VersionPair]) -> bool:
-        """Whether one of their versions is newer than what is held or was forgotten here."""
-        for one, version in theirs.items():
-            if one in self.table.members:
-                if version > self._version(one):
+    def _peer_has_newer(self, peer_versions: dict[int, VersionPair]) -> bool:
+        """Whether the peer has a record newer than the record or the tombstone held here."""
+        for member_id, version in peer_versions.items():
+            if member_id in self.table.members:
+                if version > self._version(member_id):
                     return True
-            elif one not in self.table.tombstones or version > self.table.tombstones[one][:2]:
+            elif member_id not in self.table.tombstones or version > self.table.tombstones[member_id][:2]:
                 return True
         return False
 
--- a/finchcart/membership/effects.py
+++ b/finchcart/membership/effects.py
@@ -1,7 +1,4 @@
-"""The effects of a member, besides those of finchcart/fleet/effects.py.
-
-Owns their types alone.
-"""
+"""The effects that only a member emits; finchcart/fleet/effects.py has the common ones."""
 
 from typing import NamedTuple
 
@@ -10,12 +7,12 @@
     """A member's state or incarnation changed in this process's view."""
 
     name: str
-    state: str  # a `MemberState`
+    state: str  # value of a `MemberState`
     incarnation: int
 
 
 class IsolationChanged(NamedTuple):
-    """This process lost or regained contact with the fleet."""
+    """This process became isolated from the fleet, or is no longer isolated."""
 
     is_isolated: bool
     reason: str
--- a/finchcart/membership/inputs.py
+++ b/finchcart/membership/inputs.py
@@ -1,7 +1,4 @@
-"""The inputs of a member, besides those of finchcart/fleet/inputs.py.
-
-Owns their types alone.
-"""
+"""The inputs that only a member takes; finchcart/fleet/inputs.py has the common ones."""
 
 from typing import Any, NamedTuple
 
@@ -9,12 +6,12 @@
 
 
 class MembershipConfigChanged(NamedTuple):
-    """The settings were read again."""
+    """The settings file was reloaded and gives this configuration."""
 
     config: MembershipConfig
 
 
 class PiggybackInput(NamedTuple):
-    """An input for the state machines whose gossip entries are piggybacked on the member's heartbeats."""
+    """An input that the member passes on to its `PiggybackClient` state machines."""
 
     event: tuple[Any, ...]
