--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -1,9 +1,11 @@
-"""Failure detection: from links that are down to members that are suspected, failed and alive again.
+"""Failure detection: derive from the state of the links which members are alive, suspected or failed.
 
-Owns the links to the members that this one watches, the graph of who watches whom and the times for which a
-suspicion must last before a member has failed, as in SWIM with Lifeguard's local health: a member that runs
-late is more patient, and one that was suspended accuses nobody until there was time for contact. It must
-never decide who is connected (view.py), nor keep the states (records.py).
+The detector owns the links to the members that this process watches, and the graph of who watches whom. It
+also decides how long a suspicion must last before a member counts as failed. The design follows SWIM with
+Lifeguard's local health: a process whose ticks run late waits longer before it takes a link as down, and a
+process that was suspended suspects no other member until there was time to exchange heartbeats again.
+
+Which members are connected is computed in view.py; the state of each member is stored in records.py.
 """
 
 from collections.abc import Set
@@ -14,16 +16,18 @@
 from finchcart.membership.records import GONE, KnownMember, MemberState, MemberTable, state_in_contact
 from finchcart.membership.view import Graph, connected_members, watch_graph
 
-QUIET_LINK_PERIODS = 10  # a link that is not watched is dropped once nothing came for so long
-LATENESS_DECAY = 16  # the part of the lateness that goes with each tick is one in so many
+IDLE_LINK_PERIODS = 10  # without a heartbeat, after which the link to a member that is not watched is closed
+LATENESS_DECAY_DIVISOR = 16  # each tick reduces the measured lateness by 1/16
 
 
 class FailureDetector:
-    """Bounded by one link a member, and by `config.watch_degree` links that are watched.
+    """Sets the state of each member from the links of this process and the records of all members.
+
+    It keeps at most one link per member, of which `config.watch_degree` are watched.
 
     Arguments:
         table: the records and states of all members.
-        config: periods and patience.
+        config: the heartbeat period and the timeouts.
         now: boot clock, microseconds.
     """
 
@@ -35,8 +39,10 @@
         self.connected = {table.own_id}
         self.excluded: frozenset[int] = frozenset()
         self.loss = LossEstimate()
-        self.lateness = 0  # microseconds by which the own ticks run late
-        self.quiet_until = 0  # accuses nobody before
+        self.lateness = 0  # microseconds by which the ticks of this process run late
+        self.detection_paused_until = (
+            0  # no link is taken as down and no member is suspected before this time
+        )
         self._last_tick_at = now
         table.on_forget.append(lambda member_id: self.links.pop(member_id, None))
 
@@ -46,20 +52,20 @@
         return self.graph[self.table.own_id]
 
     def link_to(self, now: int, member_id: int) -> PeerLink:
-        """Return the link to a member, opened where there is none."""
+        """Return the link to a member; open it if there is none."""
         if member_id not in self.links:
             self.links[member_id] = PeerLink(now)
         return self.links[member_id]
 
     def link_timeout(self) -> int:
-        """Return the microseconds without contact after which a link is down, at the measured loss."""
+        """Return after how many microseconds without contact a link is down, at the measured loss."""
         return self.config.link_timeout(self.loss.value)
 
     # ---- inputs
 
     def on_clock_gap(self, now: int) -> None:
-        """Require new proof of contact after a suspension of this process, and allow time for it."""
-        self.quiet_until = now + self.link_timeout() + self.config.period
+        """Discard all proof of contact after a suspension of this process, and allow time to renew it."""
+        self.detection_paused_until = now + self.link_timeout() + self.config.period
         self.lateness = 0
         self._last_tick_at = now
         for link in self.links.values():
@@ -70,10 +76,10 @@
             known.pending_change_since = None
 
     def on_heartbeat(self, now: int, member_id: int, heartbeat: Heartbeat) -> int | None:
-        """Take a heartbeat into its link.
+        """Record a heartbeat, and its echo of an earlier heartbeat of this process, in the sender's link.
 
         Returns:
-            The microseconds that it can have been in transit at most; None where that is not known.
+            The maximum microseconds that the heartbeat was in transit, or None if that is unknown.
         """
         link = self.link_to(now, member_id)
         link.follow_session(now, heartbeat.record.session)
@@ -86,15 +92,15 @@
         return None if echoed_at is None else now - echoed_at
 
     def on_tick(self, now: int) -> None:
-        """Measure how late the own ticks run."""
+        """Measure how late the ticks of this process run."""
         late = max(0, now - self._last_tick_at - self.config.tick)
-        self.lateness = max(late, self.lateness - self.lateness // LATENESS_DECAY)
+        self.lateness = max(late, self.lateness - self.lateness // LATENESS_DECAY_DIVISOR)
         self._last_tick_at = now
 
     # ---- once a tick
 
     def review(self, now: int) -> None:
-        """Derive the view from links and records, and set the states that follow; once a tick."""
+        """Recompute the view from the links and records, and set the member states; called once per tick."""
         table = self.table
         self.loss.update()
         if table.is_graph_outdated:
@@ -107,32 +113,36 @@
 
     def _update_graph(self) -> None:
         table = self.table
-        ids = [one for one, known in table.members.items() if known.record.status != DeclaredStatus.LEFT]
+        ids = [
+            member_id
+            for member_id, known in table.members.items()
+            if known.record.status != DeclaredStatus.LEFT
+        ]
         self.graph = watch_graph(ids, self.config.watch_degree)
         table.is_graph_outdated = False
         table.is_changed = True
 
     def _review_links(self, now: int) -> None:
-        """Judge the own links, and declare in the own record which are down."""
+        """Update which watched links are down, and declare these in the own record."""
         timeout = self.config.link_timeout(self.loss.value, self.lateness)
         unreachable = []
-        may_judge = now >= self.quiet_until
+        is_detecting = now >= self.detection_paused_until
         for member_id in self.own_neighbours:
             link = self.links.get(member_id) or self.link_to(now, member_id)
-            if may_judge:
+            if is_detecting:
                 limit = timeout - self.config.period if link.is_down else timeout
                 link.is_down = now - link.contact_since() > limit
             if link.is_down:
                 unreachable.append(member_id)
-        self._drop_quiet_links(now)
+        self._drop_idle_links(now)
         unreachable.sort()
         if unreachable != self.table.own_record.unreachable:
             self.table.update_own_record(unreachable=unreachable)
 
-    def _drop_quiet_links(self, now: int) -> None:
-        span = QUIET_LINK_PERIODS * self.config.period
+    def _drop_idle_links(self, now: int) -> None:
+        span = IDLE_LINK_PERIODS * self.config.period
         neighbours = self.own_neighbours
-        for member_id in [one for one in self.links if one not in neighbours]:
+        for member_id in [member_id for member_id in self.links if member_id not in neighbours]:
             known = self.table.members.get(member_id)
             is_failed = known is not None and known.state == MemberState.FAILED
             if not is_failed and not self.links[member_id].was_heard_within(now, span):
@@ -143,35 +153,38 @@
         unreachable = {member_id: table.members[member_id].record.unreachable for member_id in self.graph}
         self.connected = connected_members(table.own_id, unreachable, self.graph, self.excluded)
         table.is_changed = False
-        # Who is excluded itself accuses nobody: while a cut is being noticed link by link, a member of the
-        # smaller part would exclude its like, who are still its fleet when all links across are down.
-        may_accuse = table.own_id in self.connected and now >= self.quiet_until
+        # A member that is excluded itself suspects nobody. A network partition is detected link by link, and
+        # meanwhile a member of the smaller side would exclude other members of its side, to which it remains
+        # connected once all links to the larger side are down.
+        may_suspect = table.own_id in self.connected and now >= self.detection_paused_until
         excluded = set()
         for member_id in self.graph:
-            if member_id != table.own_id and self._review_member(now, member_id, may_accuse):
+            if member_id != table.own_id and self._review_member(now, member_id, may_suspect):
                 excluded.add(member_id)
         if excluded != self.excluded:
             self.excluded = frozenset(excluded)
             table.is_changed = True
 
-    def _review_member(self, now: int, member_id: int, may_accuse: bool) -> bool:
-        """Set the state of a member; return whether it is excluded from now on."""
+    def _review_member(self, now: int, member_id: int, may_suspect: bool) -> bool:
+        """Set the state of a member; return whether the view excludes it."""
         known = self.table.members[member_id]
         is_failed = known.state == MemberState.FAILED
-        if member_id in self.connected and (not is_failed or self._has_shown_life(member_id, known)):
-            return self._recover(now, known)
+        if member_id in self.connected and (
+            not is_failed or self._has_evidence_since_failure(member_id, known)
+        ):
+            return self._on_connected(now, known)
         if is_failed:
             known.pending_change_since = None
             return True
-        if may_accuse:
-            return self._accuse(now, known)
+        if may_suspect:
+            return self._on_disconnected(now, known)
         known.pending_change_since = None
-        if now < self.quiet_until:
-            self.table.is_changed = True  # was suspended lately: looks again
+        if now < self.detection_paused_until:
+            self.table.is_changed = True  # review again with the next tick: detection is still paused
         return False
 
-    def _recover(self, now: int, known: KnownMember) -> bool:
-        """Take a member for connected; return whether it is still excluded."""
+    def _on_connected(self, now: int, known: KnownMember) -> bool:
+        """Set the state of a connected member; return whether it is still excluded."""
         if known.state == MemberState.FAILED:
             if known.pending_change_since is None:
                 known.pending_change_since = now
@@ -184,8 +197,8 @@
             known.pending_change_since = None
         return False
 
-    def _accuse(self, now: int, known: KnownMember) -> bool:
-        """Take a member for not connected; return whether it has been so for long enough to have failed."""
+    def _on_disconnected(self, now: int, known: KnownMember) -> bool:
+        """Suspect a member that is not connected; return whether it failed by the suspicion timeout."""
         if known.state != MemberState.SUSPECT:
             self.table.set_state(now, known, MemberState.SUSPECT)
             known.pending_change_since = now
@@ -196,26 +209,28 @@
             return True
         return False
 
-    def _has_shown_life(self, member_id: int, known: KnownMember) -> bool:
-        """Whether a failed member has shown life since: by a newer record, or by contact.
+    def _has_evidence_since_failure(self, member_id: int, known: KnownMember) -> bool:
+        """Whether a failed member has since sent a newer record or been in two-way contact.
 
-        Guards against links that look up because the members that declared them down have forgotten it.
+        Its links being up is not enough: they also count as up once the members that declared them down have
+        forgotten the member.
         """
         if known.failed_precedence is None or known.record.precedence > known.failed_precedence:
             return True
         link = self.links.get(member_id)
         return link is not None and link.confirmed_at is not None and link.confirmed_at > known.state_since
 
-    # ---- bounds, as measured
+    # ---- bounds at the measured loss and lateness
 
     def staleness_bound(self) -> int:
-        """Return the greatest age, in microseconds, of what the view says, at the measured loss."""
+        """Return the maximum age of the view in microseconds, at the measured loss and lateness."""
         return self.config.staleness_bound(len(self.graph), self.loss.value, self.lateness)
 
     def view_age(self, now: int, member_id: int) -> int:
-        """Return the microseconds that what is known of a member can be old.
+        """Return the maximum age in microseconds of the information on a member.
 
-        Of a watched member: since the last proven contact. Of others: as long as gossip can take.
+        For a watched member, it is the time since the last proven contact; for any other member, the time
+        that detection and gossip take at most.
         """
         if member_id == self.table.own_id:
             return 0
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -1,8 +1,9 @@
-"""Gossip entries: what other parts of the program publish to all members, piggybacked on heartbeats.
+"""Gossip entries: publish values of other parts of the program to all members, piggybacked on heartbeats.
 
-Owns the newest entry of each member and topic, with a bound on its age. It must never look into an entry's
-payload, nor take an entry for younger than it can be: each is dated by the echo of the own heartbeat that
-came back with it.
+The store keeps the newest entry of each member and topic with an upper bound on its age. The bound must never
+be too low. It is computed without synchronized clocks: the heartbeat that carries an entry also echoes a
+heartbeat of this process, and cannot have been in transit for longer than since that one was sent. The
+payload of an entry is opaque here.
 """
 
 from collections import OrderedDict
@@ -13,15 +14,15 @@
 from finchcart.membership.messages import GossipEntry
 from finchcart.membership.records import MemberTable
 
-MAX_RELAYED_IN_HEARTBEAT = 12  # entries of others
-RELAYS_IN_FULL_MESH = 2  # times that an entry is relayed where all exchange heartbeats
+MAX_RELAYED_PER_HEARTBEAT = 12  # entries of other members
+RELAYS_IN_FULL_MESH = 2  # per entry, if every member exchanges heartbeats with every other one
 
 EntryKey = tuple[int, int]  # (member id, topic)
 Counters = list[tuple[int, int, int]]
 
 
 class DatedEntry:
-    """An entry, and when it was written at the earliest (None: not known)."""
+    """An entry with the earliest time at which it can have been written (None if unknown)."""
 
     __slots__ = ("entry", "written_at")
 
@@ -30,18 +31,18 @@
         self.written_at = written_at
 
     def raise_written_at(self, written_at: int | None) -> None:
-        """Take another bound on its age where it is the tighter one, the later time."""
+        """Apply another lower bound on the time of writing; the later one is the tighter one."""
         if written_at is not None and (self.written_at is None or written_at > self.written_at):
             self.written_at = written_at
 
-    def as_sent(self, now: int) -> GossipEntry:
-        """Return the entry with its age at `now`; its age has to be known."""
-        assert self.written_at is not None, "an entry of unknown age is not sent"
+    def with_age(self, now: int) -> GossipEntry:
+        """Return the entry with its age at `now`, which has to be known."""
+        assert self.written_at is not None, "cannot send a gossip entry of unknown age"
         return msgspec.structs.replace(self.entry, age_us=max(0, now - self.written_at))
 
 
 class GossipEntryStore:
-    """Bounded by one entry a member and topic; entries go with their member."""
+    """Stores at most one entry per member and topic; forgetting a member removes its entries."""
 
     def __init__(self, table: MemberTable) -> None:
         self.table = table
@@ -51,12 +52,12 @@
         table.on_forget.append(self._forget)
 
     def publish(self, now: int, topic: int, counters: Counters, payload: bytes = b"") -> bool:
-        """Set the own entry of a topic; return whether it is a new one."""
-        held = self.own.get(topic)
+        """Set the own entry of a topic; return False if it equals the previous one and has no payload."""
+        stored = self.own.get(topic)
         incarnation = self.table.own_record.incarnation
         sequence = 0
-        if held is not None:
-            previous = held.entry
+        if stored is not None:
+            previous = stored.entry
             is_same = previous.counters == counters and previous.incarnation == incarnation
             if is_same and not payload and not previous.payload:
                 return False
@@ -66,41 +67,42 @@
         return True
 
     def receive(self, now: int, entry: GossipEntry, transit_us: int | None) -> None:
-        """Take an entry that is newer than the one held, or a better bound on the age of the same.
+        """Store an entry if it is newer than the stored one, or tighten the age bound of the same entry.
 
         Arguments:
             now: boot clock, microseconds.
             entry: of any member.
-            transit_us: how long it can have been in transit at most; None: not known, nor is its age.
+            transit_us: maximum time that the heartbeat with the entry was in transit; None if unknown, in
+                which case the age of the entry is unknown too.
         """
         if entry.member_id == self.table.own_id or entry.member_id not in self.table.members:
             return
         key = entry.member_id, entry.topic
-        held = self.received.get(key)
+        stored = self.received.get(key)
         written_at = None if transit_us is None else now - transit_us - entry.age_us
-        if held is None or entry.precedence > held.entry.precedence:
+        if stored is None or entry.precedence > stored.entry.precedence:
             self.received[key] = DatedEntry(entry, written_at)
             self.relays_left[key] = self._relays()
             self.relays_left.move_to_end(key)
-        elif entry.precedence == held.entry.precedence:
-            held.raise_written_at(written_at)
+        elif entry.precedence == stored.entry.precedence:
+            stored.raise_written_at(written_at)
 
     def _relays(self) -> int:
-        """Return how often an entry is relayed: few are left out by chance."""
+        """Return how many times an entry is relayed: often enough that few members miss it by chance."""
         count = len(self.table.members)
         if count <= self.table.config.watch_degree + 1:
             return RELAYS_IN_FULL_MESH
         return count.bit_length() + 1
 
     def take(self, now: int, receiver_id: int, max_bytes: int) -> list[GossipEntry]:
-        """Return the own entries, and as many of those to be relayed as fit."""
-        entries = [held.as_sent(now) for _, held in sorted(self.own.items())]
+        """Return the own entries, followed by as many of the entries to relay as fit into `max_bytes`."""
+        entries = [stored.with_age(now) for _, stored in sorted(self.own.items())]
         max_bytes -= len(encode_value(entries))
-        for key in list(self.relays_left)[:MAX_RELAYED_IN_HEARTBEAT]:
-            held = self.received[key]
-            if key[0] == receiver_id or held.written_at is None:
+        for key in list(self.relays_left)[:MAX_RELAYED_PER_HEARTBEAT]:
+            stored = self.received[key]
+            if key[0] == receiver_id or stored.written_at is None:
                 continue
-            entry = held.as_sent(now)
+            entry = stored.with_age(now)
             max_bytes -= len(encode_value(entry))
             if max_bytes < 0:
                 break
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -1,7 +1,7 @@
-"""Isolation: whether this process takes part in the fleet.
+"""Isolation: decide whether this process is in contact with the rest of the fleet.
 
-Owns that state and the times for which contact must be there, or missing, before it changes. It must never
-say anything of other members.
+The monitor owns this state, and for how long contact must exist or be missing before the state changes. It
+does not change the state of other members.
 """
 
 from finchcart.membership.config import MembershipConfig
@@ -11,16 +11,17 @@
 
 
 class IsolationMonitor:
-    """Tells whether this process is isolated.
+    """Monitors whether this process is isolated.
 
-    It is while no member is known to be in two-way contact, or while those in contact exclude this one; after
-    a suspension too, until half of the watched ones are in two-way contact.
+    The process is isolated while it has two-way contact with no member, or while the members in contact with
+    it exclude it. After a suspension it is also isolated until it has two-way contact with half of the
+    members that it watches, or until the time allowed for that is over.
 
     Arguments:
         table: the records and states of all members.
-        detector: the links and the view drawn from them.
-        config: the times that contact has to stand.
-        has_seeds: the settings name others: being alone is isolation.
+        detector: the links, and the view that is computed from them.
+        config: the times for which contact must exist or be missing.
+        has_seeds: whether the settings name other nodes, so that being alone counts as isolated.
         now: boot clock, microseconds.
     """
 
@@ -37,31 +38,35 @@
         self.config = config
         self.has_seeds = has_seeds
         self.is_isolated = has_seeds
-        self.is_resuming = False  # after a suspension, until contact is proven anew
+        self.is_resuming = False  # set by a suspension until contact is proven again
         self._alone_since: int | None = now
         self._contact_since: int | None = None
 
     def set_isolated(self, is_isolated: bool, reason: str) -> None:
-        """Change the state, where it differs, and tell the driver."""
+        """Set the state, and notify the driver if it changed."""
         if is_isolated != self.is_isolated:
             self.is_isolated = is_isolated
             self.table.outbox.emit(IsolationChanged(is_isolated, reason))
 
     def on_clock_gap(self, now: int) -> None:
-        """Stay isolated after a suspension until contact is proven anew."""
+        """Stay isolated after a suspension until contact is proven again."""
         self.is_resuming = True
         self._alone_since = now
         self._contact_since = None
 
     def review(self, now: int) -> None:
-        """Derive the state from the links, once a tick."""
+        """Update the state from the links; called once per tick."""
         detector = self.detector
-        others = [one for one in detector.own_neighbours if self.table.members[one].state in IN_FLEET]
+        others = [
+            member_id
+            for member_id in detector.own_neighbours
+            if self.table.members[member_id].state in IN_FLEET
+        ]
         contacts = sum(map(self._is_in_contact, others))
         self._review_resuming(now, contacts, len(others))
         is_connected = self.table.own_id in detector.connected
         if not self.has_seeds and len(detector.graph) <= 1:
-            self.set_isolated(False, "alone by its settings")
+            self.set_isolated(False, "no other member is configured or known")
         elif is_connected and contacts and not self.is_resuming:
             self._on_contact(now)
         else:
@@ -72,14 +77,14 @@
         return member_id in self.detector.connected and not link.is_down and link.confirmed_at is not None
 
     def _review_resuming(self, now: int, contacts: int, others: int) -> None:
-        if now >= self.detector.quiet_until or (contacts and 2 * contacts >= others):
+        if now >= self.detector.detection_paused_until or (contacts and 2 * contacts >= others):
             self.is_resuming = False
 
     def _on_contact(self, now: int) -> None:
         self._alone_since = None
         if self._contact_since is None:
             self._contact_since = now
-        # Others take as long until this one is alive in their view again.
+        # The other members take the same time to set this process to alive in their views.
         if now - self._contact_since >= self.config.recovery_time:
             self.set_isolated(False, "contact")
 
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -202,7 +202,7 @@
         self.isolation.on_clock_gap(now)
         self.table.update_own_record(incarnation=self.record.incarnation + 1, unreachable=[])
         self.isolation.set_isolated(True, "suspended")
-        quiet_ms = (self.detector.quiet_until - now) // 1000
+        quiet_ms = (self.detector.detection_paused_until - now) // 1000
         self.outbox.log("resumed after a suspension", gap_ms=gap // 1000, quiet_ms=quiet_ms)
 
     def _on_tick(self, now: int) -> None:
@@ -221,7 +221,7 @@
 
     def _on_shutdown(self, now: int) -> None:
         self._declare(now, DeclaredStatus.LEFT, MemberState.LEFT)
-        self.heartbeats.send_farewell(now)
+        self.heartbeats.send_final_heartbeats(now)
         self.ended = True
 
     def _declare(self, now: int, status: DeclaredStatus, state: MemberState) -> None:
--- a/tests/test_membership_defects.py
+++ b/tests/test_membership_defects.py
@@ -294,7 +294,7 @@
     "trusts what it believed before a suspension": (STOP, [(Member, "_on_clock_gap", do_nothing)]),
     "a clock that does not count suspension": (STOP, [(Member, "reduce", reduce_without_suspended_time)]),
     "isolation is not reported": (DEAF, [(IsolationMonitor, "set_isolated", do_nothing)]),
-    "failed ones are not looked for": (HALVES, [(HeartbeatSender, "probe_lost", do_nothing)]),
+    "failed ones are not looked for": (HALVES, [(HeartbeatSender, "probe_failed_and_seeds", do_nothing)]),
     "updates never age": (
         bytes_when_calm,
         [(UpdateQueue, "take", updates_never_age), (UpdateQueue, "push", push_and_remember_id)],
