--- a/finchcart/membership/links.py
+++ b/finchcart/membership/links.py
@@ -1,21 +1,25 @@
-"""Links to other processes: two-way contact, proven by echoed heartbeats, and the loss of heartbeats.
+"""Links to other processes: measure two-way contact by echoed heartbeats, and the loss of heartbeats.
 
-Owns what is measured of each link. It must never judge a member: failure_detection.py does.
+A link only holds measurements. What they mean for the state of a member is decided in failure_detection.py.
 """
 
 from collections import deque
 
 from finchcart.membership.messages import Heartbeat
 
-REMEMBERED_HEARTBEATS = 32  # send times kept for each link
-MIN_LOSS_SAMPLES = 20  # with fewer the loss counts as 0
-MAX_LOSS_SAMPLES = 64  # where more are counted all are halved, so that old ones fade
-SILENT_PERIODS = 2  # without a heartbeat, after which the next one is answered at once
-LOSS_SAMPLE_PERIODS = 8  # a longer gap between heartbeats is a suspension, not loss
+MAX_SEND_TIMES = 32  # kept per link
+MIN_LOSS_SAMPLES = 20  # with no more received heartbeats than this, the loss counts as 0
+MAX_LOSS_SAMPLES = 64  # above this number both counters are halved, so that older samples weigh less
+SILENT_PERIODS = 2  # after a silence of this length, the next heartbeat is answered with the next tick
+MAX_LOSS_GAP_PERIODS = 8  # a longer gap between heartbeats counts as a suspension of the sender, not as loss
 
 
 class PeerLink:
-    """The link to one process, identified by its session: a successor starts anew."""
+    """The link to one process of a member.
+
+    The process is identified by its session: if another process takes over the member's name, the link is
+    reset.
+    """
 
     __slots__ = (
         "confirmed_at",
@@ -33,25 +37,25 @@
         self.session = 0
         self.opened_at = now
         self.sent_sequence = 0
-        self.sent_at: deque[tuple[int, int]] = deque(maxlen=REMEMBERED_HEARTBEATS)  # (sequence, when)
+        self.sent_at: deque[tuple[int, int]] = deque(maxlen=MAX_SEND_TIMES)  # (sequence, time)
         self.received_sequence = 0
         self.last_received_at: int | None = None
-        self.confirmed_at: int | None = None  # two-way contact is proven for what was sent then
+        self.confirmed_at: int | None = None  # send time of the latest heartbeat that was echoed
         self.is_down = False
         self.heartbeat_due = now
 
     def contact_since(self) -> int:
-        """Return when contact was last proven, or the link was opened."""
+        """Return when two-way contact was last proven or the link was opened, whichever is later."""
         return self.opened_at if self.confirmed_at is None else max(self.opened_at, self.confirmed_at)
 
     def reset(self, now: int) -> None:
-        """Require new proof of contact: after a suspension, or with a successor."""
+        """Discard the proof of contact, after a suspension or when another process took over the name."""
         self.opened_at = now
         self.confirmed_at = None
         self.sent_at.clear()
 
     def follow_session(self, now: int, session: int) -> None:
-        """Start anew where another process than before sent a heartbeat."""
+        """Reset the link if the heartbeat came from another process than the previous ones."""
         if self.session != session:
             self.session = session
             self.received_sequence = 0
@@ -59,13 +63,17 @@
             self.reset(now)
 
     def record_sent(self, now: int) -> int:
-        """Count a heartbeat that is sent now; return its sequence."""
+        """Record that a heartbeat is sent now; return its sequence number."""
         self.sent_sequence += 1
         self.sent_at.append((self.sent_sequence, now))
         return self.sent_sequence
 
     def record_echo(self, echo_sequence: int) -> tuple[int | None, bool]:
-        """Return (when the echoed heartbeat was sent, whether contact is proven later than before)."""
+        """Record the echo of a heartbeat that this process sent.
+
+        Returns:
+            (send time of the echoed heartbeat or None if unknown, whether `confirmed_at` moved forward).
+        """
         for sequence, sent_at in reversed(self.sent_at):
             if sequence <= echo_sequence:
                 is_later = self.confirmed_at is None or sent_at > self.confirmed_at
@@ -75,25 +83,25 @@
         return None, False
 
     def was_heard_within(self, now: int, span: int) -> bool:
-        """Whether a heartbeat came in the last `span` microseconds."""
+        """Whether a heartbeat was received in the last `span` microseconds."""
         return self.last_received_at is not None and now - self.last_received_at <= span
 
 
 class LossEstimate:
-    """The part of heartbeats lost on the way here, from gaps in their sequences."""
+    """The fraction of heartbeats to this process that are lost, from gaps in their sequence numbers."""
 
     def __init__(self) -> None:
         self.missed = 0.0
         self.received = 0.0
-        self.value = 0.0  # 0 to 1, as of the last tick
+        self.value = 0.0  # loss from 0 to 1, updated with each tick
 
     def add(self, missed: int) -> None:
-        """Count a heartbeat that came, and so many before it that did not."""
+        """Count a received heartbeat and the number of heartbeats missed before it."""
         self.missed += missed
         self.received += 1
 
     def update(self) -> None:
-        """Compute `value`, once a tick."""
+        """Recompute `value`; called once per tick."""
         if self.missed + self.received > MAX_LOSS_SAMPLES:
             self.missed /= 2
             self.received /= 2
@@ -102,21 +110,21 @@
 
 
 def record_heartbeat(link: PeerLink, loss: LossEstimate, now: int, heartbeat: Heartbeat, period: int) -> None:
-    """Take the sequence of a heartbeat into its link and into the loss.
+    """Record the sequence number of a received heartbeat in its link and in the loss estimate.
 
     Arguments:
-        link: to its sender.
-        loss: of all links.
+        link: to the sender.
+        loss: the estimate over all links.
         now: boot clock, microseconds.
-        heartbeat: as it came.
+        heartbeat: as it was received.
         period: microseconds between heartbeats.
     """
     if heartbeat.sequence <= link.received_sequence:
         return
     received_at = link.last_received_at
-    if received_at is not None and now - received_at < LOSS_SAMPLE_PERIODS * period:
+    if received_at is not None and now - received_at < MAX_LOSS_GAP_PERIODS * period:
         loss.add(heartbeat.sequence - link.received_sequence - 1)
     link.received_sequence = heartbeat.sequence
     if not link.was_heard_within(now, SILENT_PERIODS * period):
-        link.heartbeat_due = min(link.heartbeat_due, now)  # after a silence: answered with the next tick
+        link.heartbeat_due = min(link.heartbeat_due, now)  # answer with the next tick
     link.last_received_at = now
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -1,17 +1,17 @@
-"""One member: the state machine that joins records, links, gossip and anti-entropy.
+"""The state machine of one member: dispatch inputs to records, links, gossip and anti-entropy.
 
-Owns the dispatch of inputs; each concern has an owner of its own (records.py, links.py, failure_detection.py,
-isolation.py, name_contest.py, gossip.py, anti_entropy.py, heartbeats.py; messages that come in: receiver.py).
-`reduce(now, event)` takes one input and returns effects (effects.py); it must never do I/O, read a clock or
-take a lock.
+`Member.reduce(now, event)` takes one input (inputs.py, finchcart/fleet/inputs.py) and returns effects
+(effects.py, finchcart/fleet/effects.py). It never does I/O, reads a clock or takes a lock. Each concern has a
+module of its own: records.py, links.py, failure_detection.py, isolation.py, name_contest.py, gossip.py,
+anti_entropy.py, heartbeats.py, and receiver.py for received messages.
 
-Inputs: those of finchcart/fleet/inputs.py and inputs.py. A driver logs changes too. `now` is the boot clock
-in whole microseconds, which counts suspension: a gap between two inputs is a suspension of this process, and
-is an input by itself.
+`now` is the boot clock in whole microseconds. This clock continues while the process is suspended, so a long
+gap between two inputs means that the process was suspended; the member handles such a gap before the input.
 
-Bounds: records `config.max_members`, tombstones and contests as many, links as many as records, updates
-`config.max_pending_updates`, sent datagrams `config.max_datagrams` a period, 32 send times a link, one gossip
-entry a topic and record. All age out with `config.forget_after`.
+Memory and traffic are bounded: `config.max_members` records, as many tombstones and as many links; 32 send
+times per link; one gossip entry per topic and record; `config.max_pending_updates` updates; and
+`config.max_datagrams` sent datagrams per period. Failed and left members are removed after
+`config.forget_after`.
 """
 
 from collections.abc import Sequence
@@ -35,7 +35,7 @@
 from finchcart.membership.name_contest import NameContest
 from finchcart.membership.outbox import Outbox
 from finchcart.membership.receiver import MessageReceiver
-from finchcart.membership.records import ExtrapolatedWallClock, MemberState, MemberTable, Reception
+from finchcart.membership.records import ExtrapolatedWallClock, MemberState, MemberTable, MergeResult
 from finchcart.membership.view import Graph
 from finchcart.membership.view_report import ViewReport
 
@@ -46,28 +46,28 @@
     """A state machine whose gossip entries are piggybacked on a member's heartbeats."""
 
     def reduce(self, now: int, event: Any) -> Sequence[FleetEffect]:
-        """Take one input; return its effects."""
+        """Process one input; return its effects."""
 
     def turn(self, now: int, member: "Member") -> Sequence[FleetEffect]:
-        """Act with each tick of the member; return its effects."""
+        """Act on a tick of the member; return the effects."""
 
 
 class Member:
-    """This process in the fleet.
+    """This process as a member of the fleet.
 
     Arguments:
         name: of the member.
         fleet: the name of the fleet.
-        advertise: the address by which others reach this process.
-        seeds: addresses to join by.
-        config: times and sizes.
-        random: of this member alone.
+        advertise: the address at which other members reach this process.
+        seeds: addresses of nodes through which to join the fleet.
+        config: timeouts and limits.
+        random: used by this member alone.
         wall_ms: the wall clock at start, milliseconds.
         now: the boot clock at start, microseconds.
 
     Attributes:
         own_id: the id of this member.
-        known_members: id -> what is known of each member, this one included.
+        known_members: id -> record and state of each known member, including this one.
         links: id -> the link to that member.
     """
 
@@ -107,7 +107,7 @@
             fleet, self.table, self.detector, self.contest, self.gossip, self.anti_entropy, view_report
         )
 
-    # ---- what others read
+    # ---- state for other modules
 
     @property
     def tick(self) -> int:
@@ -116,60 +116,60 @@
 
     @property
     def record(self) -> MemberRecord:
-        """What this member declares of itself."""
+        """The record that this member declares of itself."""
         return self.table.own_record
 
     @property
     def graph(self) -> Graph:
-        """The ids that each id exchanges heartbeats with."""
+        """The graph of who exchanges heartbeats with whom."""
         return self.detector.graph
 
     @property
     def loss(self) -> float:
-        """The part of messages lost on the way here, 0 to 1."""
+        """The fraction of heartbeats to this process that are lost, 0 to 1."""
         return self.detector.loss.value
 
     @property
     def lateness(self) -> int:
-        """The microseconds by which the own ticks run late."""
+        """The microseconds by which the ticks of this process run late."""
         return self.detector.lateness
 
     @property
     def isolated(self) -> bool:
-        """Whether this process is out of contact with the fleet."""
+        """Whether this process is isolated from the fleet."""
         return self.isolation.is_isolated
 
     @property
     def is_resuming(self) -> bool:
-        """Whether this process was suspended and has not proven contact since."""
+        """Whether this process was suspended and has not re-established contact since."""
         return self.isolation.is_resuming
 
     @property
     def has_stepped_down(self) -> bool:
-        """Whether another process has this name, so that this one takes no part in the fleet."""
+        """Whether this process left its name to another process and takes no part in the fleet."""
         return self.contest.has_stepped_down
 
     @property
     def counts(self) -> dict[str, int]:
-        """The counters by reason."""
+        """The counters: reason -> number of events."""
         return self.outbox.counts
 
     def count(self, reason: str) -> None:
-        """Add one to the counter of a reason."""
+        """Increment the counter of a reason."""
         self.outbox.count(reason)
 
     def view_age(self, now: int, member_id: int) -> int:
-        """Return the microseconds that what is known of a member can be old."""
+        """Return the maximum age in microseconds of the information on a member."""
         return self.detector.view_age(now, member_id)
 
     def staleness_bound(self) -> int:
-        """Return the microseconds that what the view says of any member can be old."""
+        """Return the maximum age in microseconds of the information on any member."""
         return self.detector.staleness_bound()
 
     # ---- inputs
 
     def reduce(self, now: int, event: MemberInput) -> list[FleetEffect]:
-        """Take one input; return the effects that the driver carries out."""
+        """Process one input; return the effects for the driver to carry out."""
         effects = self.outbox.begin_input()
         gap = now - self.last_input_at
         if gap > self.config.clock_gap:
@@ -192,10 +192,11 @@
         return effects
 
     def _on_clock_gap(self, now: int, gap: int) -> None:
-        """Start anew after a suspension of this process.
+        """Reset the state that became outdated while this process was suspended.
 
-        It may rightly have failed in the view of others, and what it knows of them is outdated: it declares a
-        new incarnation, requires new proof of contact and accuses nobody until there was time for that.
+        Other members may rightly have declared it failed, and its information on them is outdated. It
+        therefore declares a new incarnation, discards all proof of contact, and suspects nobody until there
+        was time to re-establish contact.
         """
         self.outbox.count("gaps")
         self.detector.on_clock_gap(now)
@@ -203,7 +204,11 @@
         self.table.update_own_record(incarnation=self.record.incarnation + 1, unreachable=[])
         self.isolation.set_isolated(True, "suspended")
         quiet_ms = (self.detector.detection_paused_until - now) // 1000
-        self.outbox.log("resumed after a suspension", gap_ms=gap // 1000, quiet_ms=quiet_ms)
+        self.outbox.log(
+            "process resumed after a suspension; failure detection is paused",
+            gap_ms=gap // 1000,
+            quiet_ms=quiet_ms,
+        )
 
     def _on_tick(self, now: int) -> None:
         self.detector.on_tick(now)
@@ -231,7 +236,7 @@
 
     def _on_config(self, config: MembershipConfig) -> None:
         self.config = config
-        for owner in (
+        for component in (
             self.outbox,
             self.table,
             self.table.updates,
@@ -240,26 +245,26 @@
             self.anti_entropy,
             self.heartbeats,
         ):
-            owner.config = config
+            component.config = config
         self.table.is_graph_outdated = True
 
     def _on_piggyback(self, now: int, event: tuple[Any, ...]) -> None:
         for client in self.piggyback_clients:
             self.outbox.effects.extend(client.reduce(now, event))
 
-    # ---- what is piggybacked
+    # ---- gossip entries
 
     def publish(
         self, now: int, topic: int, counters: Counters, payload: bytes = b"", *, is_urgent: bool = False
     ) -> None:
-        """Set the own gossip entry of a topic, which goes with each heartbeat from now on.
+        """Set the own gossip entry of a topic, which every heartbeat carries from now on.
 
         Arguments:
             now: boot clock, microseconds.
-            topic: see `GossipTopic`.
+            topic: value of a `GossipTopic`.
             counters: up to 16 triples of numbers.
             payload: up to 600 bytes.
-            is_urgent: send it to all watched members with this tick.
+            is_urgent: whether to send it to all watched members with this tick.
         """
         if not self.gossip.publish(now, topic, counters, payload) or not is_urgent:
             return
@@ -269,8 +274,8 @@
 
     # ---- messages
 
-    def learn(self, now: int, record: MemberRecord, is_direct: bool = False) -> Reception:
-        """Take a record that came from others; `is_direct`: from the member that it is of."""
+    def learn(self, now: int, record: MemberRecord, is_direct: bool = False) -> MergeResult:
+        """Merge a received record; `is_direct` tells that the member itself sent it."""
         return self.receiver.learn(now, record, is_direct)
 
     def _on_datagram(self, now: int, address: HostPort, data: bytes) -> None:
--- a/finchcart/membership/outbox.py
+++ b/finchcart/membership/outbox.py
@@ -1,7 +1,4 @@
-"""The outbox of a member: the effects of one input, the counters, and the bound on datagrams.
-
-Owns the list of effects of the current input and the counters by reason. It must never decide what is sent.
-"""
+"""The outbox of a member: collect the effects of one input, count events, and limit sent datagrams."""
 
 from finchcart.fleet.codec import DatagramError, HostPort
 from finchcart.fleet.effects import FleetEffect, LogLine, SendDatagram
@@ -10,11 +7,13 @@
 
 
 class Outbox:
-    """Bounded by the reasons there are, and by `config.max_datagrams` a period.
+    """Collects effects and sends at most `config.max_datagrams` per period.
+
+    Reasons of counters must be a fixed set of texts, because they are never removed.
 
     Arguments:
         fleet: the name of the fleet, which each datagram carries.
-        config: its bound on datagrams.
+        config: provides the limit on datagrams.
     """
 
     def __init__(self, fleet: str, config: MembershipConfig) -> None:
@@ -25,17 +24,17 @@
         self.sent_in_period = 0
 
     def begin_input(self) -> list[FleetEffect]:
-        """Begin an input; return the list that its effects are added to."""
+        """Start processing an input; return the list to which its effects will be added."""
         self.effects = []
         return self.effects
 
     def on_tick(self) -> None:
-        """Free a tick's part of the datagrams that may be sent in a period."""
+        """Restore one tick's share of the datagrams that may be sent per period."""
         freed = self.config.max_datagrams // self.config.ticks_per_period
         self.sent_in_period = max(0, self.sent_in_period - freed)
 
     def count(self, reason: str, by: int = 1) -> None:
-        """Add to the counter of a reason."""
+        """Increase the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + by
 
     def emit(self, effect: FleetEffect) -> None:
@@ -43,11 +42,11 @@
         self.effects.append(effect)
 
     def log(self, text: str, **fields: object) -> None:
-        """Add a log line for the operators."""
+        """Add a log line for operators."""
         self.emit(LogLine(text, fields))
 
     def send(self, address: HostPort, message: MembershipMessage) -> bool:
-        """Send a message; return False at the bound of the period, or where the message is too long."""
+        """Send a message; return False if the limit per period is reached or the message is too long."""
         if self.sent_in_period >= self.config.max_datagrams:
             self.count("over the bound of datagrams")
             return False
--- a/finchcart/membership/receiver.py
+++ b/finchcart/membership/receiver.py
@@ -1,6 +1,6 @@
-"""The receiver of a member: decodes datagrams, checks senders, and hands contents to their owners.
+"""The receiver of a member: decode datagrams, check their senders, and dispatch their contents.
 
-Owns no state. It must never act on messages of a process whose name another process has.
+A message whose sender uses a name that belongs to another process must not be acted on.
 """
 
 from finchcart.fleet.codec import DatagramError, HostPort, name_hash, parse_address
@@ -19,17 +19,17 @@
     ViewRequest,
 )
 from finchcart.membership.name_contest import NameContest
-from finchcart.membership.records import MemberTable, Reception
+from finchcart.membership.records import MemberTable, MergeResult
 from finchcart.membership.view_report import ViewReport
 
 
 class MessageReceiver:
-    """Takes the messages of other members and of the command line.
+    """Processes the messages of other members and of the command line; it has no state of its own.
 
     Arguments:
-        fleet: the name of the fleet; messages of others are counted and dropped.
+        fleet: the name of the fleet; messages of other fleets are counted and dropped.
         table, detector, contest, gossip, anti_entropy: of the same member.
-        view_report: answers the command line.
+        view_report: answers requests of the command line.
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         self.outbox = table.outbox
 
     def receive(self, now: int, address: HostPort, data: bytes) -> None:
-        """Take a datagram.
+        """Process a datagram; count it by reason and drop it if it cannot be used.
 
         Arguments:
             now: microseconds on the boot clock.
             address: of the sender.
-            data: the datagram; counted by reason where it cannot be used.
+            data: the datagram.
         """
         self.outbox.count("received")
         try:
@@ -79,24 +79,24 @@
         elif self._accepts_sender(now, message.record):
             self._on_peer_message(now, message)
 
-    def learn(self, now: int, record: MemberRecord, is_direct: bool = False) -> Reception:
-        """Take a record; `is_direct`: it came from the member that it is of."""
+    def learn(self, now: int, record: MemberRecord, is_direct: bool = False) -> MergeResult:
+        """Merge a received record; `is_direct` tells that the member itself sent it."""
         if name_hash(record.name) == self.table.own_id:
             return self.contest.receive(now, record)
         return self.table.receive(now, record, is_direct)
 
     def _accepts_sender(self, now: int, sender: MemberRecord) -> bool:
-        """Whether the sender is the process that has its name, as far as known here."""
-        if self.learn(now, sender, is_direct=True) is Reception.UNUSABLE:
-            return False  # counted; the rest of its message is not used either
+        """Whether the sender is the process that this member knows under the sender's name."""
+        if self.learn(now, sender, is_direct=True) is MergeResult.UNUSABLE:
+            return False  # the record is counted; the rest of its message is ignored too
         member_id = name_hash(sender.name)
         if member_id == self.table.own_id or member_id not in self.table.members:
             return False
         known_record = self.table.members[member_id].record
         if known_record.session == sender.session:
             return True
-        # Guards against one that was suspended while its name was started elsewhere, and against one that was
-        # started with its clock set back: neither would receive the other record from anybody.
+        # The sender was suspended while another process was started with its name, or it was started with its
+        # clock set back. Without this reply, it would never receive the record of the other process.
         reply: NameTaken | MemberRecords
         if self._is_in_contact(now, member_id):
             reply = NameTaken(known_record)
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -1,7 +1,7 @@
-"""The member table: the records of all members, with the state that each has in this process's view.
+"""The member table: the records of all members, and the state of each member in this process's view.
 
-Owns the table of known members, the tombstones of forgotten ones and the digest of all records. It must never
-decide who is connected: failure_detection.py sets the states.
+The table also holds tombstones of forgotten members and the digest of all records. Whether a member is
+suspected or failed is decided in failure_detection.py, which sets the states here.
 """
 
 from collections import OrderedDict
@@ -19,7 +19,7 @@
 
 
 class MemberState(StrEnum):
-    """The state of a member in the view of one process."""
+    """The state of a member in this process's view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -32,16 +32,16 @@
 GONE = frozenset({MemberState.FAILED, MemberState.LEFT})
 
 
-class Reception(Enum):
-    """What became of a record that was received."""
+class MergeResult(Enum):
+    """The result of merging a received record into the table."""
 
-    NEWER = auto()  # taken
-    KNOWN = auto()  # no newer than what is held, or not worth remembering
-    UNUSABLE = auto()  # counted by reason; nothing else in its message is used
+    NEWER = auto()  # the record was stored
+    KNOWN = auto()  # the record is not newer than the stored one, or need not be stored
+    UNUSABLE = auto()  # the record is counted by reason; the rest of the sender's message is ignored
 
 
 class KnownMember:
-    """One member: its newest record and its state in this view."""
+    """One member: its newest record and its state in this process's view."""
 
     __slots__ = ("digest", "failed_precedence", "record", "state", "state_since", "pending_change_since")
 
@@ -50,17 +50,17 @@
         self.digest = record.digest()
         self.state = MemberState.ALIVE
         self.state_since = now
-        self.pending_change_since: int | None = None  # since when its links contradict the state
-        self.failed_precedence: Version | None = None  # of the record by which it failed
+        self.pending_change_since: int | None = None  # since when its connection contradicts the state
+        self.failed_precedence: Version | None = None  # of its record when it was set to failed
 
     @property
     def is_in_digest(self) -> bool:
-        """Whether the digest of all records covers it."""
+        """Whether the digest of all records includes this member."""
         return self.state not in GONE
 
 
 class ExtrapolatedWallClock:
-    """The wall clock as it was at start, extrapolated by the boot clock.
+    """The wall clock at start, extrapolated with the boot clock.
 
     Arguments:
         start_ms: wall clock at start, milliseconds.
@@ -72,15 +72,16 @@
         self._started_at = now
 
     def now_ms(self, now: int) -> int:
-        """Return the milliseconds at the boot clock's `now`."""
+        """Return the wall clock in milliseconds at boot clock `now`."""
         return self.start_ms + (now - self._started_at) // 1000
 
 
 class MemberTable:
-    """Bounded by `config.max_members`, with as many tombstones; failed and left members go first when full.
+    """Stores at most `config.max_members` members and as many tombstones.
 
-    Failed and left members are not gossiped to new members, who would relay them for ever: the digest leaves
-    them out, and their records go only to members that have an older one.
+    When the table is full, a failed or left member is evicted for a new one. The digest excludes failed and
+    left members, and their records are only sent to members that hold an older one. Otherwise new members
+    would learn of them and relay their records forever.
     """
 
     def __init__(
@@ -96,50 +97,52 @@
         self.config = config
         self.outbox = outbox
         self.members = {self.own_id: KnownMember(own_record, now)}
-        self.tombstones: OrderedDict[int, Version] = OrderedDict()  # id -> precedence of its last record
+        self.tombstones: OrderedDict[int, Version] = (
+            OrderedDict()
+        )  # member id -> precedence of its last record
         self.updates = UpdateQueue(config)
-        self.digest = self.members[self.own_id].digest  # exclusive or of all records in the fleet
-        self.is_changed = True  # the view has to be derived anew
-        self.is_graph_outdated = True  # who watches whom has to be computed anew
+        self.digest = self.members[self.own_id].digest  # XOR over members that have not failed or left
+        self.is_changed = True  # the view has to be recomputed
+        self.is_graph_outdated = True  # the graph of who watches whom has to be recomputed
         self.on_forget: list[Callable[[int], object]] = []  # called with the id of each forgotten member
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this process declares of itself."""
+        """The record that this process declares of itself."""
         return self.members[self.own_id].record
 
     # ---- the own record
 
     def update_own_record(self, **changes: object) -> None:
-        """Declare something new of this process."""
+        """Change fields of the own record and publish it as a new version."""
         old = self.own_record
         record = msgspec.structs.replace(old, version=old.version + 1, **changes)
         self._replace(self.own_id, record)
 
     def raise_incarnation_over(self, incarnation: int) -> None:
-        """Declare an incarnation above the own one and the given one."""
+        """Raise the own incarnation above its current value and the given one."""
         self.update_own_record(incarnation=max(self.own_record.incarnation, incarnation) + 1)
 
-    # ---- records of others
+    # ---- records of other members
 
-    def receive(self, now: int, record: MemberRecord, is_direct: bool = False) -> Reception:
-        """Take a record of another member, where it is newer than the one known.
+    def receive(self, now: int, record: MemberRecord, is_direct: bool = False) -> MergeResult:
+        """Store a record of another member if it is newer than the stored one.
 
         Arguments:
             now: boot clock, microseconds.
             record: of another member.
-            is_direct: it came from the member itself, so it is no outdated gossip.
+            is_direct: whether the member itself sent the record, so that it cannot be outdated gossip.
         """
         member_id = name_hash(record.name)
-        reason = self._reason_against(now, member_id, record, is_direct)
+        reason = self._rejection_reason(now, member_id, record, is_direct)
         if reason is not None:
             self.outbox.count(reason)
-            return Reception.UNUSABLE
+            return MergeResult.UNUSABLE
         known = self.members.get(member_id)
         if known is None and record.status == DeclaredStatus.LEFT:
-            return Reception.KNOWN  # it left before it was known: nothing to remember
+            return MergeResult.KNOWN  # no need to store a member that already left
         if known is not None and record.precedence <= known.record.precedence:
-            return Reception.KNOWN
+            return MergeResult.KNOWN
         previous_session = known.record.session if known else record.session
         self.put(member_id, record, now)
         known = self.members[member_id]
@@ -147,10 +150,12 @@
             self.outbox.count("successors")
             self.outbox.emit(MemberChanged(record.name, known.state, record.incarnation))
         self._follow_declared_status(now, known)
-        return Reception.NEWER
+        return MergeResult.NEWER
 
-    def _reason_against(self, now: int, member_id: int, record: MemberRecord, is_direct: bool) -> str | None:
-        """Return why a record cannot be used; make room where the member is new and the table is full."""
+    def _rejection_reason(
+        self, now: int, member_id: int, record: MemberRecord, is_direct: bool
+    ) -> str | None:
+        """Return why a record cannot be used, or None; evict a member if the table is full and it is new."""
         try:
             parse_address(record.address)
         except DatagramError as error:
@@ -162,12 +167,15 @@
         tombstone = self.tombstones.get(member_id)
         if tombstone is not None and record.precedence <= tombstone and not is_direct:
             return "of a forgotten member"
-        if len(self.members) >= self.config.max_members and not self._make_room():
+        if len(self.members) >= self.config.max_members and not self._evict_oldest_gone():
             return "no room"
         return None
 
     def is_impossible(self, now: int, incarnation: int) -> bool:
-        """Whether an incarnation is so far ahead that no process could ever raise its own over it."""
+        """Whether an incarnation is too far ahead of the wall clock to be accepted.
+
+        A forged or corrupted incarnation near the maximum could never be exceeded by the member itself.
+        """
         return incarnation > self.clock.now_ms(now) + self.config.max_clock_ahead_ms
 
     def _follow_declared_status(self, now: int, known: KnownMember) -> None:
@@ -179,10 +187,10 @@
         elif known.state in (MemberState.ALIVE, MemberState.LEAVING):
             self.set_state(now, known, state_in_contact(known.record))
 
-    # ---- the table
+    # ---- table updates
 
     def put(self, member_id: int, record: MemberRecord, now: int) -> None:
-        """Take a record as the newest of its member, and gossip it."""
+        """Store a record as the newest of its member, and gossip it."""
         if member_id in self.members:
             self._replace(member_id, record)
         else:
@@ -212,7 +220,7 @@
         self.is_changed = True
 
     def set_state(self, now: int, known: KnownMember, state: MemberState) -> None:
-        """Give a member another state from `now` on."""
+        """Set the state of a member as of `now`."""
         if known.state == state:
             return
         was_in_digest = known.is_in_digest
@@ -227,22 +235,22 @@
         self.outbox.emit(MemberChanged(known.record.name, state, known.record.incarnation))
 
     def forget(self, member_id: int) -> None:
-        """Take a member out of the table and leave its tombstone."""
+        """Remove a member from the table and keep a tombstone of it."""
         known = self.members.pop(member_id)
         if known.is_in_digest:
             self.digest ^= known.digest
         self.updates.discard(member_id)
         for listener in self.on_forget:
             listener(member_id)
-        # Others may still relay its records: without a tombstone it would be alive once more.
+        # Without a tombstone, a record that other members still relay would make the member alive again.
         self.tombstones[member_id] = known.record.precedence
         while len(self.tombstones) > self.config.max_members:
             self.tombstones.popitem(last=False)
         self.is_graph_outdated = True
         self.is_changed = True
 
-    def _make_room(self) -> bool:
-        """Forget the member that has been failed or left the longest; return whether there was one."""
+    def _evict_oldest_gone(self) -> bool:
+        """Forget the member that failed or left the longest time ago; return whether there was one."""
         gone = [
             (known.state_since, member_id) for member_id, known in self.members.items() if known.state in GONE
         ]
@@ -251,7 +259,7 @@
         return bool(gone)
 
     def forget_expired(self, now: int) -> None:
-        """Forget the members that have been failed or left for longer than `config.forget_after`."""
+        """Forget the members that failed or left longer than `config.forget_after` ago."""
         expired = [
             member_id
             for member_id, known in self.members.items()
@@ -262,5 +270,5 @@
 
 
 def state_in_contact(record: MemberRecord) -> MemberState:
-    """Return the state of a member that is connected."""
+    """Return the state of a connected member: alive, or leaving if it declared so."""
     return MemberState.LEAVING if record.status == DeclaredStatus.LEAVING else MemberState.ALIVE
--- a/finchcart/membership/update_queue.py
+++ b/finchcart/membership/update_queue.py
@@ -1,7 +1,7 @@
-"""Member records that changed and are still to be gossiped.
+"""The queue of changed member records that are still to be gossiped.
 
-Owns the order in which they go and how often each still does. As in SWIM, updates are piggybacked on
-heartbeats, the newest first, a bounded number of times by each member.
+As in SWIM, updates are piggybacked on heartbeats, the newest first, and each member sends each update a
+limited number of times. The queue holds the order of the updates and the remaining transmissions of each.
 """
 
 from collections import OrderedDict
@@ -11,15 +11,18 @@
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.messages import MemberRecord
 
-MAX_UPDATES_IN_HEARTBEAT = 20
+MAX_UPDATES_PER_HEARTBEAT = 20
 
 
 class UpdateQueue:
-    """Bounded by `config.max_pending_updates`: when full the one gossiped last goes, left to anti-entropy."""
+    """Holds at most `config.max_pending_updates` updates.
+
+    When the queue is full, the update at its end is dropped; anti-entropy then spreads that record.
+    """
 
     def __init__(self, config: MembershipConfig) -> None:
         self.config = config
-        self._remaining: OrderedDict[int, int] = OrderedDict()  # id -> times that it is still gossiped
+        self._remaining: OrderedDict[int, int] = OrderedDict()  # member id -> remaining transmissions
 
     def __len__(self) -> int:
         return len(self._remaining)
@@ -29,7 +32,7 @@
         self._remaining.clear()
 
     def push(self, member_id: int, member_count: int) -> None:
-        """Queue a changed record first, in a fleet of `member_count`."""
+        """Put a changed record at the front of the queue, in a fleet of `member_count` members."""
         self._remaining[member_id] = self.config.retransmissions(member_count)
         self._remaining.move_to_end(member_id, last=False)
         while len(self._remaining) > self.config.max_pending_updates:
@@ -42,14 +45,18 @@
     def take(
         self, excluded: tuple[int, ...], record_of: Callable[[int], MemberRecord], max_bytes: int
     ) -> list[MemberRecord]:
-        """Return the records that go with one heartbeat.
+        """Return the records for one heartbeat, and count them as sent once more.
 
         Arguments:
-            excluded: ids of members whose records are of no use to the receiver.
-            record_of: gives the newest record of an id.
-            max_bytes: that they may take together.
+            excluded: ids of members whose records the receiver does not need.
+            record_of: returns the newest record for a member id.
+            max_bytes: maximum encoded size of all returned records.
         """
-        ids = [one for one in list(self._remaining)[:MAX_UPDATES_IN_HEARTBEAT] if one not in excluded]
+        ids = [
+            member_id
+            for member_id in list(self._remaining)[:MAX_UPDATES_PER_HEARTBEAT]
+            if member_id not in excluded
+        ]
         records = take_fitting(map(record_of, ids), max_bytes)
         for member_id in ids[: len(records)]:
             self._remaining[member_id] -= 1
--- a/finchcart/membership/view.py
+++ b/finchcart/membership/view.py
@@ -1,12 +1,15 @@
-"""The view: which members are connected, derived from what each declares of its links.
+"""The view: compute which members watch each other, and which members are connected.
 
-Owns who watches whom and who counts as connected. Pure: the same records give the same result at all members
-that are connected with the same part. It must never hold a time or remember a result.
+The functions are pure: their results depend on their arguments alone, not on the time. From the same records,
+all members that are connected with each other compute the same result.
 
-A link counts as down where either end says so. A member is connected where it can be reached from here over
-links that are up, and where at least half of its links into that set are up. So one link, or a few, exclude
-nobody; two parts that do not hear each other, be it in one direction alone, each keep themselves; and who is
-linked to a minority of a connected set is excluded for all of it, itself included.
+A link counts as down if either of its ends declares it down. A member is connected if it can be reached over
+links that are up, and if at least half of its links into the set of reachable members are up. It follows:
+
+- One link that is down, or a few, exclude no member.
+- If the network is partitioned, even in one direction only, the members of each side stay connected with each
+  other.
+- A member whose links to most of a connected set are down is excluded in the view of that set and in its own.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping, Set
@@ -15,24 +18,24 @@
 
 from xxhash import xxh3_64_intdigest
 
-STAY_FRACTION = 0.5  # of links that has to be up to stay connected
-RETURN_FRACTION = 0.6  # of links that has to be up to be connected again
+STAY_CONNECTED_FRACTION = 0.5  # of a member's links that must be up for it to stay connected
+RECONNECT_FRACTION = 0.6  # of an excluded member's links that must be up for it to be connected again
 
-Graph = Mapping[int, Set[int]]  # id -> ids it is linked to, symmetric
+Graph = Mapping[int, Set[int]]  # member id -> ids of the members that it is linked to; symmetric
 
 
 @lru_cache(maxsize=8192)
 def ring_positions(member_id: int, rings: int) -> tuple[int, ...]:
-    """Return the position of a member on each ring."""
+    """Return the position of a member on each hash ring."""
     data = member_id.to_bytes(8, "big")
     return tuple(xxh3_64_intdigest(data, ring) for ring in range(rings))
 
 
 def watch_graph(ids: Iterable[int], degree: int) -> Graph:
-    """Return id -> ids that it exchanges heartbeats with, symmetric.
+    """Return the symmetric graph of which members exchange heartbeats with each other.
 
-    All watch all where they are few; else each watches its neighbours on `degree` / 2 rings, each ring in an
-    order of its own.
+    A fleet of up to `degree` + 1 members is a full mesh. In a larger fleet, each member watches its two
+    neighbours on each of `degree` / 2 hash rings, which order the members differently.
     """
     ids = sorted(ids)
     if len(ids) <= degree + 1:
@@ -55,58 +58,65 @@
     graph: Graph,
     excluded_before: Collection[int] = frozenset(),
 ) -> set[int]:
-    """Return the ids that are connected.
+    """Return the ids of the connected members.
 
     Arguments:
-        own_id: of this member; it may be missing from the result: then it is excluded itself.
-        unreachable: id -> ids that it declares to have no two-way contact with.
+        own_id: of this member; if the result does not contain it, this member itself is excluded.
+        unreachable: member id -> ids to which this member declares its links to be down.
         graph: who watches whom, see `watch_graph`.
-        excluded_before: those excluded until now, who need more links to come back.
+        excluded_before: ids excluded until now, which need `RECONNECT_FRACTION` of their links up.
     """
     cut_links = _cut_links(unreachable, graph)
-    up_links = {**graph, **{one: graph[one] - cut for one, cut in cut_links.items()}}
+    up_links = {**graph, **{member_id: graph[member_id] - cut for member_id, cut in cut_links.items()}}
     reachable = _reachable(own_id, up_links)
 
-    def required(one: int) -> float:
-        return RETURN_FRACTION if one in excluded_before else STAY_FRACTION
+    def required_fraction(member_id: int) -> float:
+        return RECONNECT_FRACTION if member_id in excluded_before else STAY_CONNECTED_FRACTION
 
     if len(reachable) == len(graph) and all(
-        len(up_links[one]) >= required(one) * len(graph[one]) for one in cut_links
+        len(up_links[member_id]) >= required_fraction(member_id) * len(graph[member_id])
+        for member_id in cut_links
     ):
-        return reachable  # the usual case, without the rest of the work
-    return _drop_minorities(reachable, up_links, graph, required)
+        return reachable  # fast path: nobody is excluded
+    return _drop_weakly_connected(reachable, up_links, graph, required_fraction)
 
 
-def _drop_minorities(
-    connected: set[int], up_links: Graph, graph: Graph, required: Callable[[int], float]
+def _drop_weakly_connected(
+    connected: set[int], up_links: Graph, graph: Graph, required_fraction: Callable[[int], float]
 ) -> set[int]:
-    """Take out members with too few links up into the set, again for those that lose links by that."""
-    total = {one: len(graph[one] & connected) for one in connected}
-    up_count = {one: len(up_links[one] & connected) for one in connected}
-    heap = [(up_count[one] / total[one], one) for one in connected if total[one]]
+    """Remove members with too few links up into the set, until the links of all that remain suffice."""
+    total = {member_id: len(graph[member_id] & connected) for member_id in connected}
+    up_count = {member_id: len(up_links[member_id] & connected) for member_id in connected}
+    heap = [
+        (up_count[member_id] / total[member_id], member_id) for member_id in connected if total[member_id]
+    ]
     heapify(heap)
     while heap:
-        fraction, one = heappop(heap)
-        is_outdated = one not in connected or not total[one] or fraction != up_count[one] / total[one]
-        if is_outdated or fraction >= required(one):
+        fraction, member_id = heappop(heap)
+        is_outdated = (
+            member_id not in connected
+            or not total[member_id]
+            or fraction != up_count[member_id] / total[member_id]
+        )
+        if is_outdated or fraction >= required_fraction(member_id):
             continue
-        connected.discard(one)
-        for other in graph[one] & connected:
+        connected.discard(member_id)
+        for other in graph[member_id] & connected:
             total[other] -= 1
-            up_count[other] -= other in up_links[one]
+            up_count[other] -= other in up_links[member_id]
             if total[other]:
                 heappush(heap, (up_count[other] / total[other], other))
     return connected
 
 
 def _cut_links(unreachable: Mapping[int, Collection[int]], graph: Graph) -> dict[int, set[int]]:
-    """Return id -> ids to which its link is down, as either end declares."""
+    """Return member id -> ids to which its link is down according to either end."""
     cut_links: dict[int, set[int]] = {}
-    for one in graph:
-        for other in unreachable.get(one, ()):
+    for member_id in graph:
+        for other in unreachable.get(member_id, ()):
             if other in graph:
-                cut_links.setdefault(one, set()).add(other)
-                cut_links.setdefault(other, set()).add(one)
+                cut_links.setdefault(member_id, set()).add(other)
+                cut_links.setdefault(other, set()).add(member_id)
     return cut_links
 
 
--- a/finchcart/membership/view_report.py
+++ b/finchcart/membership/view_report.py
@@ -1,6 +1,6 @@
-"""The answer to the command line's question for the view, page by page.
+"""Report the view to the command line, page by page.
 
-Owns the fields that an operator sees; their names are those of docs/operate/members.md.
+The names of the reported fields are documented for operators in docs/operate/members.md.
 """
 
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class ViewReport:
-    """Reports the view as it is at the time of the request."""
+    """Builds the pages of the view as of the time of the request."""
 
     def __init__(self, table: MemberTable, detector: FailureDetector, isolation: IsolationMonitor) -> None:
         self.table = table
@@ -22,7 +22,7 @@
         self.isolation = isolation
 
     def members(self, now: int) -> list[dict[str, Any]]:
-        """Return all members, in the order of their names."""
+        """Return all members, sorted by name."""
         in_order = sorted(self.table.members.items(), key=lambda item: item[1].record.name)
         return [
             {
@@ -36,7 +36,7 @@
         ]
 
     def summary(self) -> dict[str, Any]:
-        """Return what concerns this process, and how old its view can be."""
+        """Return the own name, incarnation and isolation, and the maximum age of the view."""
         own = self.table.own_record
         return {
             "name": own.name,
@@ -46,7 +46,7 @@
         }
 
     def answer(self, now: int, request: ViewRequest) -> ViewPage | None:
-        """Return the page asked for, the first with the counters; None where there is no such page."""
+        """Return the requested page, or None if it does not exist; page 0 has the counters."""
         members = self.members(now)
         page_count = 1 + -(-len(members) // MEMBERS_PER_PAGE)
         if request.page >= page_count:
