--- a/finchcart/fleet/__init__.py
+++ b/finchcart/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""Fleet: what membership, quota, consensus and key leases share.
+"""Fleet: the code that membership, quota, consensus and key leases share.
 
-Owns the datagram codec, the inputs and effects that all state machines of a fleet take and emit, the base of
-those that only exchange messages, and lease arithmetic. It must never know any of the four packages, nor hold
-a socket, a clock or a lock.
+The package contains the datagram codec, the inputs and effects of all state machines of a fleet, the base
+class of state machines that only exchange messages, and lease arithmetic. It must not import any of the four
+packages, and holds no socket, clock or lock.
 """
--- a/finchcart/fleet/codec.py
+++ b/finchcart/fleet/codec.py
@@ -1,12 +1,12 @@
-"""The common codec of all datagrams between processes of a fleet, and the field types their messages share.
+"""The codec of all datagrams between the processes of a fleet, and the field types that their messages share.
 
-Owns the envelope, its checksum and size limit, and the error for what cannot be used. The messages themselves
-are declared by the packages that exchange them (membership, consensus, quota, key leases), each on a channel
-of its own. It must never act on a message.
+This module defines the envelope, its checksum and its size limit. The messages are declared by the packages
+that exchange them (membership, consensus, quota, key leases); each package uses a channel of its own.
 
-A datagram is one byte for the channel, the 8-byte xxh64 checksum of the rest, then MessagePack of `[protocol
-version, fleet, message]`, of 1,200 bytes at most. There is no authentication and no encryption: the checksum
-guards against accidental corruption alone, and the address must not be reachable by others.
+A datagram consists of one byte for the channel, the 8-byte xxh64 checksum of the rest, and the MessagePack
+encoding of `[protocol version, fleet, message]`. It has at most 1,200 bytes. There is no authentication and
+no encryption. The checksum only protects against accidental corruption, so the address on which a process
+receives datagrams must not be reachable from outside the fleet.
 """
 
 from collections.abc import Iterable
@@ -25,8 +25,8 @@
 CHECKSUM_BYTES = 8
 MAX_ADDRESS_PORT = 65535
 
-Unsigned64 = Annotated[int, Meta(ge=0)]  # 64 bits are the most that MessagePack carries
-Unsigned53 = Annotated[int, Meta(ge=0, lt=2**53)]  # exact in every language's double
+Unsigned64 = Annotated[int, Meta(ge=0)]  # MessagePack itself limits integers to 64 bits
+Unsigned53 = Annotated[int, Meta(ge=0, lt=2**53)]  # integers that a double represents exactly
 NodeName = Annotated[str, Meta(min_length=1, max_length=64)]
 Address = Annotated[str, Meta(min_length=3, max_length=64)]
 HostPort = tuple[str, int]
@@ -36,11 +36,14 @@
 
 
 class DatagramError(ProtocolError):
-    """A datagram, or a record in one, that cannot be used; its text is the reason used for the counters."""
+    """A datagram, or a record in one, that cannot be used.
+
+    Its text is the name of the counter for the reason.
+    """
 
 
 class Envelope(Struct, Generic[M], array_like=True, frozen=True):
-    """What surrounds each message. `fleet` is empty in a question of the command line."""
+    """The envelope of each message; `fleet` may be empty in a request of the command line."""
 
     version: int
     fleet: str
@@ -51,7 +54,7 @@
 
 
 def encode_value(value: object) -> bytes:
-    """Return the bytes of one message or field as they stand in a datagram."""
+    """Return the encoding of one message or field as it appears in a datagram."""
     return _encoder.encode(value)
 
 
@@ -61,23 +64,26 @@
     Arguments:
         channel: the first byte of each datagram.
         messages: the union of the message types; each is a struct with a tag.
-        questions: types that the command line sends, which need not name the fleet.
+        request_types: types of requests that the command line sends, which need not name the fleet.
     """
 
-    def __init__(self, channel: bytes, messages: UnionType, questions: tuple[type, ...] = ()) -> None:
+    def __init__(self, channel: bytes, messages: UnionType, request_types: tuple[type, ...] = ()) -> None:
         self.channel = channel
-        self._questions = questions
+        self._request_types = request_types
         self._decoder = msgspec.msgpack.Decoder(
-            Envelope[messages]  # type: ignore[valid-type]  # the union is known at run time alone
+            Envelope[messages]  # type: ignore[valid-type]  # the union is only known at run time
         )
 
     def encode(self, fleet: str, message: M) -> bytes:
-        """Return a datagram of any length: the caller limits it, see `encode_bounded` and `take_fitting`."""
+        """Return a datagram of any length.
+
+        The caller limits the length; see `encode_bounded` and `take_fitting`.
+        """
         data = _encoder.encode((PROTOCOL_VERSION, fleet, message))
         return self.channel + xxh64_digest(data) + data
 
     def encode_bounded(self, fleet: str, message: M) -> bytes:
-        """Return a datagram of `MAX_DATAGRAM_BYTES` at most; raise `DatagramError` for a longer one."""
+        """Return a datagram, or raise `DatagramError` if it is longer than `MAX_DATAGRAM_BYTES`."""
         data = self.encode(fleet, message)
         if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramError("too long to send")
@@ -87,17 +93,18 @@
         """Return the message in a datagram.
 
         Arguments:
-            fleet: the name of the fleet that the sender has to be of; None for any.
+            fleet: the name of the fleet to which the sender must belong; None for any fleet.
             data: the datagram.
 
         Raises:
-            DatagramError: too long, damaged, not valid, of another version or of another fleet.
+            DatagramError: the datagram is too long, corrupted or invalid, or it is from another protocol
+                version or fleet.
         """
         envelope = self._open(data)
         if envelope.version != PROTOCOL_VERSION:
             raise DatagramError("another version")
-        is_question = envelope.fleet == "" and isinstance(envelope.message, self._questions)
-        if fleet not in (None, envelope.fleet) and not is_question:
+        is_request = envelope.fleet == "" and isinstance(envelope.message, self._request_types)
+        if fleet not in (None, envelope.fleet) and not is_request:
             raise DatagramError("another fleet")
         return envelope.message
 
@@ -116,13 +123,13 @@
 
 
 def name_hash(name: str) -> int:
-    """Return the 64-bit identifier of a name: of a member, a limit or a zone."""
+    """Return the 64-bit identifier for the name of a member, a limit or a zone."""
     return xxh3_64_intdigest(name.encode())
 
 
 @lru_cache(8192)
 def parse_address(text: str) -> HostPort:
-    """Return (host, port) of an advertised IPv4 address `a.b.c.d:port`; raise `DatagramError`."""
+    """Return (host, port) of an IPv4 address `a.b.c.d:port`; raise `DatagramError` if it is invalid."""
     host, _, port = text.rpartition(":")
     octets = host.split(".")
     if len(octets) != 4 or not all(map(_is_octet, octets)) or not _is_port(port):
@@ -139,7 +146,7 @@
 
 
 def take_fitting(items: Iterable[T], max_bytes: int) -> list[T]:
-    """Return the first of the items that together take no more than `max_bytes` when encoded."""
+    """Return the longest prefix of `items` whose encoded size does not exceed `max_bytes`."""
     taken = []
     for item in items:
         max_bytes -= len(_encoder.encode(item))
--- a/finchcart/fleet/effects.py
+++ b/finchcart/fleet/effects.py
@@ -1,13 +1,13 @@
 """The effects that all state machines of a fleet emit.
 
-Owns their types alone. Each package adds effects of its own; a driver tells effects apart by type.
+Each package adds effects of its own. A driver distinguishes effects by type.
 """
 
 from typing import Any, NamedTuple
 
 from finchcart.fleet.codec import HostPort
 
-FleetEffect = tuple[Any, ...]  # of any package: a NamedTuple type each
+FleetEffect = tuple[Any, ...]  # an instance of the NamedTuple of any effect
 
 
 class SendDatagram(NamedTuple):
@@ -18,7 +18,7 @@
 
 
 class LogLine(NamedTuple):
-    """Write one line for the operators, with structured fields."""
+    """Write one log line for operators, with structured fields."""
 
     text: str
     fields: dict[str, Any]
--- a/finchcart/fleet/field_problem.py
+++ b/finchcart/fleet/field_problem.py
@@ -1,13 +1,13 @@
-"""The problem that a check of a configuration finds in one field.
+"""The type for a problem in one field of a configuration.
 
-Owns the type alone: the checks are those of the packages whose configuration it is.
+Each package checks its own configuration and reports problems with this type.
 """
 
 from typing import NamedTuple
 
 
 class FieldProblem(NamedTuple):
-    """What is wrong with a field of a configuration, or seldom meant."""
+    """An error in a field of a configuration, or a value that is probably not intended."""
 
-    field: str  # its key in the settings file
+    field: str  # its name in the settings file
     reason: str
--- a/finchcart/fleet/inputs.py
+++ b/finchcart/fleet/inputs.py
@@ -1,7 +1,7 @@
 """The inputs that all state machines of a fleet take.
 
-Owns their types alone. Each package adds inputs of its own; a state machine ignores those that it does not
-know. Inputs are told apart by type: two without fields are equal as tuples.
+Each package adds inputs of its own. A state machine ignores inputs that it does not know. Inputs must be
+distinguished by type and not compared, because two NamedTuples without fields are equal.
 """
 
 from typing import NamedTuple
@@ -10,22 +10,22 @@
 
 
 class Tick(NamedTuple):
-    """The regular input of time."""
+    """The periodic input that lets time-driven actions run."""
 
 
 class DatagramReceived(NamedTuple):
-    """A datagram on the state machine's channel."""
+    """A datagram was received on the state machine's channel."""
 
     address: HostPort  # of the sender
     data: bytes
 
 
 class Leave(NamedTuple):
-    """This process was told to drain: it leaves the fleet soon."""
+    """This process starts to drain and will leave the fleet soon."""
 
 
 class Shutdown(NamedTuple):
-    """This process ends now."""
+    """This process terminates now."""
 
 
 CommonInput = Tick | DatagramReceived | Leave | Shutdown
--- a/finchcart/fleet/message_endpoint.py
+++ b/finchcart/fleet/message_endpoint.py
@@ -1,7 +1,8 @@
-"""The base of the state machines that exchange messages of one codec: inputs, datagrams in and out, counters.
+"""The base class of state machines that exchange the messages of one codec.
 
-Owns the counters by reason and the effects of one turn. It must never act on a message: that is the
-subclass's. No I/O, no clock, no lock: `now` is the boot clock in whole microseconds, handed in.
+The base class dispatches inputs, decodes and encodes datagrams, counts events by reason, and collects the
+effects of one input. Subclasses act on the messages. There is no I/O, clock or lock: `now`, the boot clock in
+whole microseconds, is an argument.
 """
 
 from typing import Any, ClassVar, Generic, TypeVar
@@ -18,22 +19,22 @@
 
 
 class MessageRejectedError(FinchcartError):
-    """A message that was read and is not acted on; its text is the reason used for the counters."""
+    """A valid message that is not acted on; its text is the name of the counter for the reason."""
 
 
 class MessageEndpoint(Generic[MessageT, OwnInputT]):
-    """A state machine that exchanges the messages `MessageT` and takes inputs `OwnInputT` of its own.
+    """A state machine that exchanges messages `MessageT` and takes `OwnInputT` besides the common inputs.
 
-    Bounded by the number of reasons there are for the counters.
+    Counters are never removed, so the reasons must be a fixed set of texts.
 
     Attributes:
-        codec: reads and writes the messages of the endpoint's channel.
-        counts: reason -> how often; shown to operators.
-        effects: of the present turn.
-        ended: whether this process has sent its last message and needs no more inputs.
+        codec: decodes and encodes the messages of the endpoint's channel.
+        counts: reason -> number of events; shown to operators.
+        effects: of the current input.
+        ended: whether this endpoint has sent its last message and needs no further inputs.
 
     Arguments:
-        fleet: the name of the fleet; messages of others are counted and dropped.
+        fleet: the name of the fleet; messages of other fleets are counted and dropped.
         now: microseconds on the boot clock.
     """
 
@@ -47,14 +48,14 @@
         self.ended = False
 
     def reduce(self, now: int, event: CommonInput | OwnInputT) -> list[FleetEffect]:
-        """Take one input.
+        """Process one input.
 
         Arguments:
-            now: microseconds on the boot clock; an earlier time than the last counts as the last.
-            event: one of finchcart/fleet/inputs.py, or of the subclass's own; others are ignored.
+            now: microseconds on the boot clock; a time before that of the previous input is replaced by it.
+            event: an input of finchcart/fleet/inputs.py or of the subclass; other inputs are ignored.
 
         Returns:
-            The effects, in the order in which they are to be carried out.
+            The effects, in the order in which the driver has to carry them out.
         """
         effects = self.effects = []
         self.now = max(now, self.now)
@@ -72,31 +73,31 @@
         return effects
 
     def before_input(self) -> None:
-        """Do first in each turn what the time alone brings."""
+        """Act on the passed time before each input is processed."""
 
     def after_input(self) -> None:
-        """Do last in each turn what is left to do."""
+        """Complete pending work after each input was processed."""
 
     def on_tick(self) -> None:
-        """Take the regular input of time."""
+        """Process a `Tick`."""
 
     def on_shutdown(self) -> None:
-        """Take the input that this process ends."""
+        """Process a `Shutdown`: this process terminates now."""
         self.ended = True
 
     def on_input(self, event: CommonInput | OwnInputT) -> None:
-        """Take an input of the subclass's own, or `Leave`."""
+        """Process an input of the subclass, or a `Leave`."""
 
     def on_message(self, address: HostPort, message: MessageT) -> None:
-        """Act on a message that was read; may raise `MessageRejectedError`."""
+        """Act on a decoded message; may raise `MessageRejectedError`."""
         raise NotImplementedError
 
     def count(self, reason: str) -> None:
-        """Count one event."""
+        """Increment the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def send(self, address: HostPort, message: MessageT) -> None:
-        """Send a message, unless it would be too long for a datagram, which is counted."""
+        """Send a message; if it is too long for a datagram, count that and drop the message."""
         try:
             data = self.codec.encode_bounded(self.fleet, message)
         except DatagramError as error:
@@ -106,7 +107,7 @@
         self.effects.append(SendDatagram(address, data))
 
     def log(self, text: str, **fields: object) -> None:
-        """Write one line for the operators, with structured fields."""
+        """Write one log line for operators, with structured fields."""
         self.effects.append(LogLine(text, fields))
 
     def _on_datagram(self, address: HostPort, data: bytes) -> None:
--- a/finchcart/fleet/units.py
+++ b/finchcart/fleet/units.py
@@ -1,7 +1,4 @@
-"""Units of time: durations and clocks are whole microseconds.
-
-Owns the constants alone.
-"""
+"""Units of time; durations and clocks are whole microseconds."""
 
 MS = 1_000  # microseconds in a millisecond
 SECOND = 1_000_000  # microseconds in a second
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -20,7 +20,11 @@
     [
         ({"most": 41}, {}, "1 x 41 (most) = 41 is more than the limit of 40"),
         ({"life_ms": 1000}, {}, "1000 ms is less than 3 x round_ms = 1500 ms"),
-        ({"planners": ["127.0.0.2:1", "127.0.0.3:1"]}, {}, "a majority of 1, 3 or 5 is needed"),
+        (
+            {"planners": ["127.0.0.2:1", "127.0.0.3:1"]},
+            {},
+            "2 addresses are set, but a group has 1, 3 or 5 replicas",
+        ),
         ({"planners": ["127.0.0.2:1"] * 3}, {}, "its vote would count double"),
         ({"lease_ms": 300}, {}, "at least 500 ms"),
         ({"slack_ms": 2000}, {}, "more than a quarter of life_ms"),
