--- a/finchcart/fleet_settings/__init__.py
+++ b/finchcart/fleet_settings/__init__.py
@@ -1,5 +1,5 @@
-"""The settings file of a fleet: its fields, the rules between them, and the configurations that it gives.
+"""The settings file of a fleet: its fields, the rules between them, and the configurations built from it.
 
-It is read by the command line and by runs with faults; it must never import either, nor be imported by a node
-that no settings file is named for.
+The command line and the fault-injection runs read settings files. This package must not import either of
+them, and a node that is started without a settings file must not import this package.
 """
--- a/finchcart/fleet_settings/configs.py
+++ b/finchcart/fleet_settings/configs.py
@@ -1,7 +1,7 @@
-"""The configurations of a fleet's parts, from a settings file that was read.
+"""Build the configurations of membership, quota, consensus and key leases from a settings file.
 
-Owns the step from the file's names and units to those of each part. It must never hold a default: those are
-in each part's `config.py`.
+This module converts the names and units of the settings file to those of the configurations. It must not
+contain default values; these are defined with each configuration.
 """
 
 from collections.abc import Collection
@@ -19,12 +19,12 @@
 
 
 def membership_config(fleet: FleetSettings) -> MembershipConfig:
-    """Return the configuration of membership: what is set, over the defaults."""
+    """Return the configuration of membership, with defaults for all fields that are not set."""
     return MembershipConfig.from_settings(_in_microseconds(fleet, ("name", "listen", "advertise", "seeds")))
 
 
 def quota_config(settings: Settings) -> QuotaConfig | None:
-    """Return the limits and how they are shared out; None where no limits are set."""
+    """Return the limits and the configuration of quota, or None if no limits are set."""
     if settings.quota is UNSET or not settings.limits:
         return None
     return QuotaConfig.from_settings(
@@ -50,14 +50,14 @@
 
 
 def consensus_config(settings: Settings) -> ConsensusConfig | None:
-    """Return the configuration of the fleet's consensus; None where none is set."""
+    """Return the configuration of consensus, or None if the file does not configure it."""
     if settings.verdicts is UNSET:
         return None
     return ConsensusConfig.from_settings(_in_microseconds(settings.verdicts))
 
 
 def key_lease_config(settings: Settings) -> KeyLeaseConfig | None:
-    """Return the configuration of key leases; None where none is set."""
+    """Return the configuration of key leases, or None if the file does not configure them."""
     if settings.claims is UNSET:
         return None
     return KeyLeaseConfig.from_settings(
@@ -65,12 +65,12 @@
     )
 
 
-def _in_microseconds(struct: Struct, without: Collection[str] = ()) -> dict[str, Any]:
-    """Return what is set, by its name without the unit; times in whole microseconds."""
+def _in_microseconds(struct: Struct, excluded: Collection[str] = ()) -> dict[str, Any]:
+    """Return the fields that are set, by name without unit suffix, with times in whole microseconds."""
     values = {}
     for field in struct.__struct_fields__:
         value = getattr(struct, field)
-        if field in without or value is UNSET:
+        if field in excluded or value is UNSET:
             continue
         name = field
         for suffix, microseconds in MICROSECONDS_BY_SUFFIX.items():
--- a/finchcart/fleet_settings/file.py
+++ b/finchcart/fleet_settings/file.py
@@ -1,7 +1,7 @@
-"""The settings file: JSON5, read by a library, checked against typed structs.
+"""Read a settings file in JSON5 and check it against typed structs.
 
-Owns how mistakes are reported: all together, each as `FILE: path.to.field: reason`. Fields and their ranges:
-schema.py; what must hold between them: rules.py.
+All mistakes in a file are reported together, each as `FILE: path.to.field: reason`. The fields and their
+ranges are defined in schema.py, and the rules between fields in rules.py.
 """
 
 from collections.abc import Iterable, Iterator
@@ -17,11 +17,11 @@
 from finchcart.fleet_settings.rules import Mistake, find_mistakes
 from finchcart.fleet_settings.schema import Settings
 
-MIN_SIMILARITY = 0.5  # of the name that is meant to the one that is given
+MIN_NAME_SIMILARITY = 0.5  # of a suggested setting to the unknown name, from 0 to 1
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check a settings file. Raise SettingsError with all that is wrong."""
+    """Read and check a settings file; raise SettingsError with all mistakes in it."""
     try:
         tree = json5.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -32,7 +32,7 @@
 
 
 def check_settings(tree: object, path: str) -> Settings:
-    """Check what was read from a file, named by `path`. Raise SettingsError with all that is wrong."""
+    """Check the content of the file `path`; raise SettingsError with all mistakes in it."""
     mistakes = list(_field_mistakes(Settings, tree, ""))
     if not mistakes:
         settings = msgspec.convert(tree, Settings)
@@ -43,14 +43,14 @@
 
 
 def _field_mistakes(struct: type[Struct], tree: object, prefix: str) -> Iterator[Mistake]:
-    """Yield all in the tree that the struct does not allow; `prefix` is its path, with a point at the end."""
+    """Yield all mistakes in a tree that has to match a struct; `prefix` is its path with a dot at the end."""
     if not isinstance(tree, dict):
-        yield Mistake(prefix.rstrip(".") or "the whole", f"expected an object, got {tree!r:.40}")
+        yield Mistake(prefix.rstrip(".") or "top level", f"expected an object, got {tree!r:.40}")
         return
     fields = {field.name: field for field in msgspec.structs.fields(struct)}
     for name in tree:
         if name not in fields:
-            yield Mistake(f"{prefix}{name}", _unknown_name(str(name), fields))
+            yield Mistake(f"{prefix}{name}", _unknown_name_reason(str(name), fields))
     for name, field in fields.items():
         if name in tree:
             yield from _value_mistakes(field.type, tree[name], f"{prefix}{name}")
@@ -58,13 +58,13 @@
             yield Mistake(f"{prefix}{name}", "is missing")
 
 
-def _unknown_name(name: str, known: Iterable[str]) -> str:
-    nearest = get_close_matches(name, known, 1, MIN_SIMILARITY)
+def _unknown_name_reason(name: str, known: Iterable[str]) -> str:
+    nearest = get_close_matches(name, known, 1, MIN_NAME_SIMILARITY)
     return "no such setting" + (f"; the nearest is {nearest[0]}" if nearest else "")
 
 
 def _value_mistakes(kind: object, value: object, path: str) -> Iterator[Mistake]:
-    """Yield what is wrong with the value of one field."""
+    """Yield the mistakes in the value of one field."""
     struct = _struct_of(kind)
     is_list = get_origin(kind) is list
     if struct and not is_list:
@@ -81,7 +81,7 @@
 
 
 def _struct_of(kind: object) -> type[Struct] | None:
-    """Return the struct that a type is, or is a list or an option of."""
+    """Return the struct type of a field that is a struct, a list of structs or an optional struct."""
     for candidate in (kind, *get_args(kind)):
         if isinstance(candidate, type) and issubclass(candidate, Struct):
             return candidate
--- a/finchcart/fleet_settings/rules.py
+++ b/finchcart/fleet_settings/rules.py
@@ -1,7 +1,7 @@
-"""What must hold between the fields of a settings file that are each allowed by themselves.
+"""Check the rules between the fields of a settings file whose fields are valid on their own.
 
-Owns the table of rules. Each rule yields all that is wrong by it; the formulas of a part's configuration are
-that part's own (`config_errors`).
+Each rule yields all violations of it. Rules within the configuration of quota, consensus or key leases are
+checked by the `config_errors` function of that package.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -23,13 +23,13 @@
 from finchcart.quota import limits as quota
 
 MAX_LIMITS = 16
-ANY_HOST = "0.0.0.0:"  # as an address to listen on
-ASSUMED_LOSS = 0.5  # part of the messages, where a view must still be younger than what is forgotten
-SPARE_DATAGRAMS = 8  # a period, beyond heartbeats and retries
+ANY_HOST_PREFIX = "0.0.0.0:"  # of an address to listen on all interfaces
+ASSUMED_LOSS = 0.5  # fraction of messages lost when the maximum age of a view is compared with `forget_after`
+SPARE_DATAGRAMS = 8  # per period, in addition to heartbeats and probes
 
 
 class Mistake(NamedTuple):
-    """What is wrong with a setting."""
+    """A mistake in the settings file: the path of the field and what is wrong with it."""
 
     path: str
     reason: str
@@ -40,7 +40,7 @@
 
 
 def find_mistakes(settings: Settings) -> Iterator[Mistake]:
-    """Yield all that is wrong between the fields, in the order of the rules."""
+    """Yield all mistakes between fields, in the order of the rules."""
     for rule in RULES:
         yield from rule(settings)
     if settings.fleet is not UNSET:
@@ -48,79 +48,81 @@
             yield from fleet_rule(settings.fleet)
 
 
-# ---- Limits, quota, key leases and consensus
+# ---- limits, quota, key leases and consensus
 
 
-def _limits_and_quota_go_together(settings: Settings) -> Iterator[Mistake]:
+def _check_limits_with_quota(settings: Settings) -> Iterator[Mistake]:
     if bool(settings.limits) != (settings.quota is not UNSET):
-        yield Mistake("limits", "and quota go together: one is missing")
+        yield Mistake("limits", "limits and quota must be set together, but one of them is missing")
 
 
-def _each_limit_is_one_of_two_kinds(settings: Settings) -> Iterator[Mistake]:
+def _check_limit_kinds(settings: Settings) -> Iterator[Mistake]:
     for position, limit in enumerate(settings.limits):
         if (limit.in_hand is UNSET) == (limit.rate is UNSET):
-            yield Mistake(f"limits.{position}", "in_hand or rate has to be told, and not both")
+            yield Mistake(f"limits.{position}", "exactly one of in_hand and rate must be set")
         if (limit.burst is UNSET) != (limit.rate is UNSET):
-            yield Mistake(f"limits.{position}.burst", "goes with rate")
+            yield Mistake(f"limits.{position}.burst", "must be set if rate is set, and only then")
 
 
-def _limits_are_few(settings: Settings) -> Iterator[Mistake]:
+def _check_limit_count(settings: Settings) -> Iterator[Mistake]:
     if len(settings.limits) > MAX_LIMITS:
-        yield Mistake("limits", f"{len(settings.limits)} are told, {MAX_LIMITS} at most")
+        yield Mistake("limits", f"{len(settings.limits)} limits are set, at most {MAX_LIMITS} are allowed")
 
 
-def _quota_holds(settings: Settings) -> Iterator[Mistake]:
+def _check_quota(settings: Settings) -> Iterator[Mistake]:
     config = quota_config(settings)
     if not config:
         return
     if settings.fleet is UNSET:
-        yield Mistake("fleet", "is missing: limits are shared by its address")
+        yield Mistake("fleet", "is missing: nodes share limits through their fleet addresses")
     yield from _address_mistakes("quota.planners", config.planners)
     for path, reason in quota.config_errors(config):
         yield Mistake(path if path.startswith("limits") else f"quota.{path}", reason)
 
 
-def _key_leases_hold(settings: Settings) -> Iterator[Mistake]:
+def _check_key_leases(settings: Settings) -> Iterator[Mistake]:
     config = key_lease_config(settings)
     if not config:
         return
     if settings.fleet is UNSET:
-        yield Mistake("fleet", "is missing: claims are asked for by its address")
+        yield Mistake("fleet", "is missing: nodes request claims from their fleet addresses")
     yield from _address_mistakes("claims.keepers", config.replicas)
     for path, reason in key_leases.config_errors(config):
         yield Mistake(f"claims.{path}", reason)
 
 
-def _consensus_holds(settings: Settings) -> Iterator[Mistake]:
+def _check_consensus(settings: Settings) -> Iterator[Mistake]:
     config = consensus_config(settings)
     if not config:
         return
     if settings.fleet is UNSET:
-        yield Mistake("fleet", "is missing: opinions ride on its messages")
+        yield Mistake("fleet", "is missing: nodes exchange reports for verdicts in fleet messages")
     for path, reason in consensus.config_errors(config):
         yield Mistake(f"verdicts.{path}", reason)
 
 
-# ---- The fleet
+# ---- fleet
 
 
-def _own_addresses_are_possible(fleet: FleetSettings) -> Iterator[Mistake]:
+def _check_own_addresses(fleet: FleetSettings) -> Iterator[Mistake]:
     for name in ("listen", "advertise"):
         address = getattr(fleet, name)
-        if address is not UNSET and not _is_possible(address):
-            yield _impossible_address(f"fleet.{name}", address)
+        if address is not UNSET and not _is_valid_address(address):
+            yield _invalid_address(f"fleet.{name}", address)
 
 
-def _others_can_reach_it(fleet: FleetSettings) -> Iterator[Mistake]:
-    if fleet.advertise is UNSET and fleet.listen.startswith(ANY_HOST):
-        yield Mistake("fleet.advertise", "is missing: others can't reach 0.0.0.0, which fleet.listen names")
+def _check_advertised_address(fleet: FleetSettings) -> Iterator[Mistake]:
+    if fleet.advertise is UNSET and fleet.listen.startswith(ANY_HOST_PREFIX):
+        yield Mistake(
+            "fleet.advertise", "is missing: other nodes cannot send to 0.0.0.0, the address of fleet.listen"
+        )
 
 
-def _seeds_are_possible(fleet: FleetSettings) -> Iterator[Mistake]:
+def _check_seeds(fleet: FleetSettings) -> Iterator[Mistake]:
     yield from _address_mistakes("fleet.seeds", fleet.seeds)
 
 
-def _patience_is_ordered(fleet: FleetSettings) -> Iterator[Mistake]:
+def _check_patience(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
     if config.max_patience < config.patience:
         yield Mistake(
@@ -128,18 +130,18 @@
         )
 
 
-def _members_are_remembered_long_enough(fleet: FleetSettings) -> Iterator[Mistake]:
+def _check_forget_time(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
-    oldest = config.staleness_bound(config.max_members, ASSUMED_LOSS)
-    if config.forget_after <= oldest:
+    max_view_age = config.staleness_bound(config.max_members, ASSUMED_LOSS)
+    if config.forget_after <= max_view_age:
         yield Mistake(
             "fleet.remember_s",
-            f"{config.forget_after / SECOND:g} s is less than the oldest that a view may be "
-            f"at half of the messages lost, {oldest / SECOND:g} s",
+            f"{config.forget_after / SECOND:g} s is not more than the maximum age of a view "
+            f"with half of the messages lost, {max_view_age / SECOND:g} s",
         )
 
 
-def _datagrams_suffice(fleet: FleetSettings) -> Iterator[Mistake]:
+def _check_datagram_limit(fleet: FleetSettings) -> Iterator[Mistake]:
     config = membership_config(fleet)
     need = 2 * config.watch_degree + config.probes_per_period + SPARE_DATAGRAMS
     if config.max_datagrams < need:
@@ -149,33 +151,33 @@
 
 
 RULES: tuple[Rule, ...] = (
-    _limits_and_quota_go_together,
-    _each_limit_is_one_of_two_kinds,
-    _limits_are_few,
-    _quota_holds,
-    _key_leases_hold,
-    _consensus_holds,
+    _check_limits_with_quota,
+    _check_limit_kinds,
+    _check_limit_count,
+    _check_quota,
+    _check_key_leases,
+    _check_consensus,
 )
 FLEET_RULES: tuple[FleetRule, ...] = (
-    _own_addresses_are_possible,
-    _others_can_reach_it,
-    _seeds_are_possible,
-    _patience_is_ordered,
-    _members_are_remembered_long_enough,
-    _datagrams_suffice,
+    _check_own_addresses,
+    _check_advertised_address,
+    _check_seeds,
+    _check_patience,
+    _check_forget_time,
+    _check_datagram_limit,
 )
 
 
-# ---- Addresses
+# ---- addresses
 
 
 def _address_mistakes(path: str, addresses: Sequence[str]) -> Iterator[Mistake]:
     for position, address in enumerate(addresses):
-        if not _is_possible(address):
-            yield _impossible_address(f"{path}.{position}", address)
+        if not _is_valid_address(address):
+            yield _invalid_address(f"{path}.{position}", address)
 
 
-def _is_possible(address: str) -> bool:
+def _is_valid_address(address: str) -> bool:
     try:
         parse_address(address)
     except DatagramError:
@@ -183,5 +185,5 @@
     return True
 
 
-def _impossible_address(path: str, address: str) -> Mistake:
-    return Mistake(path, f"{address!r}: no such address or port")
+def _invalid_address(path: str, address: str) -> Mistake:
+    return Mistake(path, f"{address!r}: not a valid IPv4 address with a port")
--- a/finchcart/fleet_settings/schema.py
+++ b/finchcart/fleet_settings/schema.py
@@ -1,7 +1,7 @@
-"""The fields of the settings file.
+"""The fields of the settings file: their names, units and ranges.
 
-Owns the names, units and ranges of what users set. It must never hold a default that decides: those are in
-the `config.py` of each part.
+A field that is not set has the value UNSET. Its default value is defined with the configuration that it
+belongs to, not here.
 """
 
 from typing import Annotated, Literal
@@ -13,7 +13,7 @@
 
 
 class FleetSettings(Struct, forbid_unknown_fields=True):
-    """How the nodes talk. Times in milliseconds or seconds, as the name ends."""
+    """The address and the membership of a node; the suffix of a name is its unit, as in all sections."""
 
     name: Text
     listen: Address
@@ -33,25 +33,25 @@
 
 
 class LimitSettings(Struct, forbid_unknown_fields=True):
-    """One limit of the whole fleet."""
+    """One limit on the calls or RPCs of the whole fleet."""
 
     name: Text
-    in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # at any moment; this or `rate`
-    rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # a second
-    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # at once, beside the rate
+    in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # concurrent; exclusive with `rate`
+    rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # per second
+    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # allowed at once with `rate`
     mode: Literal["strict", "loose"] = "strict"
-    floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # each node's own, whatever fails
-    weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # of this node where a strict limit is divided
-    counts: Literal["calls", "rpcs"] = "calls"  # to the store, or RPCs that are taken
-    method: Text | UnsetType = UNSET  # of RPCs: those of one method, of one dispatcher
-    dispatcher: Text | UnsetType = UNSET
+    floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # guaranteed to each node during any failure
+    weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # of this node's share of a strict limit
+    counts: Literal["calls", "rpcs"] = "calls"  # calls to the store, or admitted RPCs
+    method: Text | UnsetType = UNSET  # with `rpcs`: limit RPCs of this method only
+    dispatcher: Text | UnsetType = UNSET  # with `rpcs`: limit RPCs of this dispatcher only
 
 
 class QuotaSettings(Struct, forbid_unknown_fields=True):
-    """Who shares the limits out, and by which times."""
+    """The planners that allocate the limits, and the timing of the allocation: see quota/limits.py."""
 
     planners: list[Address] = []
-    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # nodes at once, with stopped ones
+    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # nodes, including stopped ones
     life_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
     round_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
     lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
@@ -64,7 +64,7 @@
 
 
 class ConsensusSettings(Struct, forbid_unknown_fields=True):
-    """The fleet's consensus on its store, sources, nodes and level: see consensus/config.py."""
+    """Consensus on the states of store, sources and nodes and on the shed level: see consensus/config.py."""
 
     zone: Text | UnsetType = UNSET
     zones: Annotated[int, Meta(ge=1, le=64)] | UnsetType = UNSET
@@ -100,7 +100,7 @@
 
 
 class KeyLeaseSettings(Struct, forbid_unknown_fields=True):
-    """Key leases, one run of a key in the whole fleet: see key_leases/config.py."""
+    """Key leases, which allow one run per key in the whole fleet: see key_leases/config.py."""
 
     keepers: list[Address] = []
     life_ms: Annotated[int, Meta(ge=1_000, le=3_600_000)] | UnsetType = UNSET
@@ -116,7 +116,7 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The top level of the settings file."""
 
     fleet: FleetSettings | UnsetType = UNSET
     verdicts: ConsensusSettings | UnsetType = UNSET
--- a/tests/test_consensus_settings.py
+++ b/tests/test_consensus_settings.py
@@ -44,7 +44,7 @@
     assert "the nearest is count" in str(wrong.value)
     with pytest.raises(SettingsError) as wrong:
         check_settings({"verdicts": {"life_ms": 3000}}, "f")
-    assert "opinions ride" in str(wrong.value)
+    assert "nodes exchange reports for verdicts" in str(wrong.value)
     assert "3 x span_ms" in str(wrong.value)
 
 
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -29,7 +29,7 @@
         ({"lease_ms": 300}, {}, "at least 500 ms"),
         ({"slack_ms": 2000}, {}, "more than a quarter of life_ms"),
         ({}, {"counts": "rpcs"}, "an RPC in hand can't be ended with a grant"),
-        ({}, {"rate": 3, "burst": 30}, "in_hand or rate has to be told, and not both"),
+        ({}, {"rate": 3, "burst": 30}, "exactly one of in_hand and rate must be set"),
         ({}, {"in_hand": 0}, "limits.0.in_hand: 0:"),
         ({}, {"method": "x"}, "method and dispatcher are of RPCs"),
         ({}, {"in_hnd": 3}, "limits.0.in_hnd: no such setting; the nearest is in_hand"),
