--- a/tests/test_consensus_settings.py
+++ b/tests/test_consensus_settings.py
@@ -1,4 +1,4 @@
-"""Settings of consensus, its bounds, and the pages that the command line shows."""
+"""Tests of consensus settings, the bounds that follow from them, and the pages shown by the command line."""
 
 import re
 from dataclasses import replace
@@ -23,32 +23,32 @@
 from tests.consensus_examples import BLOCKED, CONFIG
 
 
-def test_a_bound_of_every_number_of_members_and_loss_grows_with_both():
+def test_the_time_bound_grows_with_the_number_of_members_and_the_loss():
     membership = MembershipConfig()
     sizes = 3, 16, 24, 200, 2000
     bounds = [CONFIG.acts_within(membership, count, loss) for count in sizes for loss in (0.0, 0.3)]
-    calm, lossy = bounds[::2], bounds[1::2]
-    assert all(less < more for less, more in zip(calm, lossy, strict=True))
+    lossless, lossy = bounds[::2], bounds[1::2]
+    assert all(less < more for less, more in zip(lossless, lossy, strict=True))
     assert bounds[8] > bounds[4]
 
 
-def test_settings_are_checked_and_the_check_warns_of_a_single_report():
+def test_settings_are_checked_and_a_warning_is_given_if_a_single_report_decides():
     tree = {"fleet": {"name": "x", "listen": "127.0.0.1:1"}, "verdicts": {"count": 1, "life_ms": 20_000}}
     config = consensus_config(check_settings(tree, "f"))
     assert config.report_lifetime == 20 * SECOND
     assert [problem.field for problem in config_warnings(config)] == ["count"]
     errors = config_errors(replace(config, report_lifetime=SECOND, max_hold_time=1))
     assert [error.field for error in errors] == ["life_ms", "hold_most_ms"]
-    with pytest.raises(SettingsError) as wrong:
+    with pytest.raises(SettingsError) as raised:
         check_settings({"verdicts": {"life_ms": 3000, "cuont": 2}}, "f")
-    assert "the nearest is count" in str(wrong.value)
-    with pytest.raises(SettingsError) as wrong:
+    assert "the nearest is count" in str(raised.value)
+    with pytest.raises(SettingsError) as raised:
         check_settings({"verdicts": {"life_ms": 3000}}, "f")
-    assert "nodes exchange reports for verdicts" in str(wrong.value)
-    assert "3 x span_ms" in str(wrong.value)
+    assert "nodes exchange reports for verdicts" in str(raised.value)
+    assert "3 x span_ms" in str(raised.value)
 
 
-def test_the_example_of_the_settings_shows_the_defaults():
+def test_the_commented_settings_in_the_deployed_file_are_the_defaults():
     text = Path("deploy/finchcart.json5").read_text(encoding="utf-8")
     head, _, tail = text.partition("  // verdicts: {\n")
     body, _, rest = tail.partition("  // },\n")
@@ -56,7 +56,7 @@
     assert consensus_config(check_settings(tree, "example")) == replace(CONFIG, zone="a")
 
 
-def test_decisions_on_many_sources_are_shown_page_by_page():
+def test_decisions_on_many_sources_are_split_into_pages_that_fit_a_datagram():
     fleet = ConsensusSimulation(3, 1)
     fleet.start_all()
     fleet.run(6 * SECOND)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members: messages and settings, the table, and seeded runs on the virtual clock."""
+"""Tests of membership: invalid messages, settings, the member table, and seeded runs on the virtual clock."""
 
 import random
 from pathlib import Path
@@ -22,22 +22,22 @@
 RECORD = MemberRecord("a", "127.0.0.2:7400", 5, 1000, 1000, 0, 0, [])
 
 
-def test_what_cannot_be_read_or_is_impossible_is_counted_by_reason_and_dropped():
+def test_invalid_datagrams_and_records_are_counted_by_reason_and_dropped():
     member = Member("me", "f", "127.0.0.1:7400", [], MembershipConfig(), random.Random(1), 1000, 0)
     good = CODEC.encode("f", Heartbeat(RECORD, 1, 0, 0, 0, []))
-    spoilt = good[:1] + bytes([good[1] ^ 1]) + good[2:]
-    far = msgspec.structs.replace(RECORD, incarnation=2**50)
-    placeless = msgspec.structs.replace(RECORD, address="127.0.0.2:99999")
+    corrupted = good[:1] + bytes([good[1] ^ 1]) + good[2:]
+    far_ahead = msgspec.structs.replace(RECORD, incarnation=2**50)
+    without_valid_port = msgspec.structs.replace(RECORD, address="127.0.0.2:99999")
     negative = encode_value([1, "f", [1, ["a", "1:1", 5, -1, 0, 0, 0, []], 1, 0, 0, 0, []]])
     for data, reason in [
-        (spoilt, "spoilt"),
+        (corrupted, "spoilt"),
         (b"", "spoilt"),
         (b"x" * 2000, "too long"),
         (CODEC.encode("g", MemberRecords([RECORD])), "another fleet"),
         (b"M" + xxh64_digest(negative) + negative, "not valid"),
         (b"M" + xxh64_digest(b"\xc1") + b"\xc1", "unreadable"),
-        (CODEC.encode("f", Heartbeat(far, 1, 0, 0, 0, [])), "impossible incarnation"),
-        (CODEC.encode("f", MemberRecords([placeless])), "impossible address"),
+        (CODEC.encode("f", Heartbeat(far_ahead, 1, 0, 0, 0, [])), "impossible incarnation"),
+        (CODEC.encode("f", MemberRecords([without_valid_port])), "impossible address"),
         (CODEC.encode("f", messages.ViewPage(1, 0, 1, {})), "not asked for"),
     ]:
         before = member.counts.get(reason, 0)
@@ -50,12 +50,12 @@
     assert MemberChanged("a", "alive", 1000) in changes
 
 
-def test_all_mistakes_of_a_settings_file_are_told_at_once_with_path_and_nearest_name():
-    with pytest.raises(SettingsError) as wrong:
+def test_all_mistakes_in_a_settings_file_are_reported_together_with_path_and_similar_name():
+    with pytest.raises(SettingsError) as raised:
         check_settings(
             {"fleet": {"nam": "x", "listen": "127.0.0.1:7400", "period_ms": 1, "seeds": "y"}, "flet": 1}, "F"
         )
-    lines = wrong.value.mistakes
+    lines = raised.value.mistakes
     assert len(lines) == 5
     assert all(line.startswith("F: ") for line in lines)
     assert "F: fleet.nam: no such setting; the nearest is name" in lines
@@ -73,7 +73,7 @@
     check_settings(json5.loads(deployed.read_text(encoding="utf-8")), str(deployed))
 
 
-def test_a_full_table_lets_failed_ones_go_first_and_then_refuses():
+def test_a_full_table_rejects_new_members_until_a_failed_one_can_be_evicted():
     fleet = MembershipSimulation([f"n{n}" for n in range(5)], 1, MembershipConfig(max_members=4))
     for name in list(fleet.processes)[:4]:
         fleet.start(name)
@@ -91,15 +91,19 @@
     assert len(member.known_members) == 4
 
 
-def test_seeded_runs_keep_all_properties_and_replay_identically():
+def test_seeded_fault_runs_hold_all_invariants_and_replay_identically():
     traces = [MembershipFaultRun(seed).play() for seed in (3, 3, 18)]
     assert traces[0] == traces[1] != traces[2]
 
 
-def test_patience_follows_a_loss_that_comes_at_once():
-    """Links wrongly down 4 to 8 s after 30 % of the messages begin to be lost: 2.6 %, and 6 % with a window
-    of 200 messages, as it was; four of seven of them put a member out (seed 310 of the seeded runs)."""
-    wrong = 0
+def test_link_timeout_adapts_to_a_sudden_increase_of_message_loss():
+    """Guards against links that are taken as down because the loss estimate lags behind the real loss.
+
+    4 to 8 s after 30 % of the messages begin to be lost, 2.6 % of the links are wrongly down. With a loss
+    window of 200 messages it was 6 %, and four of seven such links excluded a member (seed 310 of the seeded
+    runs).
+    """
+    wrongly_down = 0
     for seed in range(3):
         fleet = MembershipSimulation([f"n{n}" for n in range(12)], seed)
         for name in fleet.processes:
@@ -109,17 +113,17 @@
         fleet.run(12 * SECOND)
         for _ in range(40):
             fleet.run(fleet.now + SECOND // 10)
-            wrong += len(
+            wrongly_down += len(
                 {
-                    frozenset((process.machine.own_id, one))
+                    frozenset((process.machine.own_id, member_id))
                     for process in fleet.processes.values()
-                    for one in process.machine.record.unreachable
+                    for member_id in process.machine.record.unreachable
                 }
             )
-    assert wrong / (3 * 40 * 66) < 0.04
+    assert wrongly_down / (3 * 40 * 66) < 0.04
 
 
-def test_a_large_fleet_with_few_links_agrees_on_a_death_and_a_newcomer():
+def test_a_large_fleet_with_few_links_agrees_on_a_failed_and_a_restarted_member():
     fleet = MembershipSimulation([f"n{n}" for n in range(80)], 1, MembershipConfig(watch_degree=10))
     for name in fleet.processes:
         fleet.start(name)
