--- a/tests/test_membership_defects.py
+++ b/tests/test_membership_defects.py
@@ -1,6 +1,7 @@
-"""Planted defects of membership: each has a scenario that a sound member passes and a planted one does not.
+"""Tests that deliberately planted defects of membership are detected.
 
-A scenario returns what it found wrong.
+For each defect there is a scenario that finds no violation with the correct code and at least one with the
+defect. A scenario returns the violations that it found.
 """
 
 import random
@@ -34,7 +35,6 @@
 from tests.test_membership import RECORD
 
 
-# A scenario returns what it found wrong.
 def scenario(text, nodes=8, **fleet):
     script = msgspec.convert({"about": "", "nodes": nodes, "fleet": fleet, **json5.loads(text)}, Script)
 
@@ -46,19 +46,21 @@
     return play
 
 
-STOP = scenario("""{seconds: 30, rounds: [{at: 0, steps: [{at: 0, do: "stop", who: ["n03"], as: "x"},
+SUSPENDED_MEMBER = scenario("""{seconds: 30, rounds: [{at: 0, steps: [
+    {at: 0, do: "stop", who: ["n03"], as: "x"},
     {at: 12, do: "go_on", who: "x"}], expect: [
     {what: "never", by: "x", of: {rest: "x"}, states: ["failed", "suspect"], after: 12, until: 28},
     {what: "agree", by: {rest: "x"}, of: "x", states: ["alive"], after: 12, within: 3, until: 28},
     {what: "isolated", of: "x", after: 12.2, within: 0.1, until: 12.4}]}]}""")
-DEAF = scenario("""{seconds: 20, rounds: [{at: 0, steps: [{at: 0, do: "mark", who: ["n03"], as: "x"},
+MEMBER_RECEIVES_NOTHING = scenario("""{seconds: 20, rounds: [{at: 0, steps: [
+    {at: 0, do: "mark", who: ["n03"], as: "x"},
     {at: 0, do: "rule", from: {rest: "x"}, to: "x", set: {cut: true}}], expect: [
     {what: "agree", by: {rest: "x"}, of: "x", states: ["failed"], after: 0, within: 4, until: 20},
     {what: "isolated", of: "x", after: 0, within: 4, until: 20}]}]}""")
-PAIR = scenario("""{seconds: 20, rounds: [{at: 0, steps: [
+ONE_LINK_CUT = scenario("""{seconds: 20, rounds: [{at: 0, steps: [
     {at: 0, do: "rule", from: ["n03"], to: ["n04"], set: {cut: true}}], expect: [
     {what: "never", by: "all", of: "all", states: ["suspect", "failed"], after: 0, until: 20}]}]}""")
-ZONE = scenario(
+ZONE_CUT_OFF = scenario(
     """{seconds: 150, rounds: [{at: 0, count: 4, every: 36, steps: [{at: 0, do: "mark", who:
 {zone: 1}, as: "x"},
     {at: 0, do: "rule", from: "x", to: {rest: "x"}, both: true, set: {cut: true}}, {at: 21, do: "clear"}],
@@ -66,17 +68,19 @@
     "x"}, states: ["failed"], after: 0, within: 4, until: 20}]}]}""",
     18,
 )
-HALVES = scenario("""{seconds: 40, rounds: [{at: 0, steps: [{at: 0, do: "mark", who: {half: 1}, as: "x"},
+PARTITION_THEN_HEALED = scenario("""{seconds: 40, rounds: [{at: 0, steps: [
+    {at: 0, do: "mark", who: {half: 1}, as: "x"},
     {at: 0, do: "rule", from: "x", to: {rest: "x"}, both: true, set: {cut: true}}, {at: 20, do: "clear"}],
     expect: [ {what: "agree", by: "all", of: "all", states: ["alive"], after: 20, within: 5, until:
     40}]}]}""")
-JOIN = scenario("""{seconds: 30, rounds: [{at: 0, steps: [{at: 0, do: "kill", who: ["n05"], as: "dead"},
+RESTART_BESIDE_FAILED_MEMBER = scenario("""{seconds: 30, rounds: [{at: 0, steps: [
+    {at: 0, do: "kill", who: ["n05"], as: "dead"},
     {at: 6, do: "kill", who: ["n06"], as: "x"}, {at: 12, do: "start", who: "x"}], expect: [
     {what: "never", by: "x", of: "dead", states: ["alive"], after: 12.05, until: 30}]}]}""")
 
 
 def forgotten_member_returns():
-    """A forgotten one does not come back by old rows that are on their way for 10 s and more."""
+    """A forgotten member must not return because of an outdated record that is delayed by 10 s or more."""
     changes, names = [], [f"n{n}" for n in range(6)]
     fleet = MembershipSimulation(
         names,
@@ -100,7 +104,7 @@
 
 
 def clock_set_back():
-    """Started again with its clock an hour back, it is known again within 4 s."""
+    """A member restarted with its wall clock set back by an hour must be alive in all views within 4 s."""
     fleet = MembershipSimulation([f"n{n}" for n in range(6)], 1)
     for name in fleet.processes:
         fleet.start(name)
@@ -112,8 +116,8 @@
     return [name for name, seen in fleet.views().items() if seen["n2"] != "alive"]
 
 
-def two_of_one_name():
-    """Of two processes of one name the younger stands and the elder knows it is not in the fleet."""
+def two_processes_of_one_name():
+    """Of two processes with one name, the older one must step down and be isolated; the newer one stays."""
     fleet = MembershipSimulation([f"n{n}" for n in range(6)], 1)
     for name in fleet.processes:
         fleet.start(name)
@@ -122,11 +126,15 @@
     fleet.start("twin", member_name="n2")
     fleet.run(fleet.now + 5 * SECOND)
     old, new = fleet.processes["n2"].machine, fleet.processes["twin"].machine
-    return [] if old.has_stepped_down and old.isolated and not new.has_stepped_down else ["both stand"]
+    return (
+        []
+        if old.has_stepped_down and old.isolated and not new.has_stepped_down
+        else ["no process stepped down"]
+    )
 
 
 def suspended_while_replaced():
-    """One that slept while its name was started elsewhere yields within 2 s of waking."""
+    """A process suspended while another took its name must step down within 2 s after it resumes."""
     fleet = MembershipSimulation([f"n{n}" for n in range(6)], 1)
     for name in fleet.processes:
         fleet.start(name)
@@ -139,11 +147,11 @@
     fleet.resume("n2")
     fleet.run(fleet.now + 2 * SECOND)
     old, new = fleet.processes["n2"].machine, fleet.processes["twin"].machine
-    return [] if old.has_stepped_down and not new.has_stepped_down else ["it stands"]
+    return [] if old.has_stepped_down and not new.has_stepped_down else ["it did not step down"]
 
 
 def forged_incarnation():
-    """A forged record with an absurd incarnation does not put its name out of reach."""
+    """A forged record with an impossibly high incarnation must not prevent its member from being alive."""
     fleet = MembershipSimulation([f"n{n}" for n in range(6)], 1)
     for name in fleet.processes:
         fleet.start(name)
@@ -157,20 +165,23 @@
     return [name for name, seen in fleet.views().items() if seen["n2"] != "alive"]
 
 
-def bytes_when_calm():
-    """Long after the last change a member sends little: news age."""
+def traffic_without_changes():
+    """Long after the last change, members must send little, because updates are gossiped only a few times."""
     fleet = MembershipSimulation([f"n{n}" for n in range(8)], 1)
     for name in fleet.processes:
         fleet.start(name)
     fleet.run(20 * SECOND)
     before = sum(process.machine.counts["bytes sent"] for process in fleet.processes.values())
     fleet.run(fleet.now + 10 * SECOND)
-    each = (sum(process.machine.counts["bytes sent"] for process in fleet.processes.values()) - before) / 80
-    return [each] if each > 14 * 150 else []  # 14 beats a second
+    bytes_per_second = (
+        sum(process.machine.counts["bytes sent"] for process in fleet.processes.values()) - before
+    ) / 80
+    # Each of the 8 members sends 14 heartbeats per second.
+    return [bytes_per_second] if bytes_per_second > 14 * 150 else []
 
 
 def flood_of_requests():
-    """One that is asked without end sends no more than its bound."""
+    """A member that receives a flood of requests must send no more than `max_datagrams` replies."""
     fleet = MembershipSimulation(["n0"], 1, MembershipConfig(max_datagrams=100))
     fleet.start("n0")
     for n in range(2000):
@@ -180,8 +191,8 @@
     )
 
 
-def echo_to_a_predecessor():
-    """What a predecessor received proves no contact with its successor."""
+def echo_of_another_session():
+    """A heartbeat that echoes another session must not prove contact with the sender."""
     member = Member("me", "f", "127.0.0.1:7400", [], MembershipConfig(), random.Random(1), 1000, 0)
     successor_record = msgspec.structs.replace(RECORD, session=6, started_ms=2000, incarnation=2000)
 
@@ -195,7 +206,7 @@
     receive(successor_record, 1, 0, 0, 2_000_000)
     for n in range(21, 30):
         member.reduce(n * 100_000, Tick())
-    receive(successor_record, 2, 12345, 99, 3_000_000)  # echoes what another process sent
+    receive(successor_record, 2, 12345, 99, 3_000_000)  # echoes a heartbeat of another process
     return ["contact"] if member.links[name_hash("a")].confirmed_at is not None else []
 
 
@@ -211,7 +222,7 @@
     pass
 
 
-def updates_never_age(self, excluded, record_of, max_bytes):
+def gossip_updates_without_end(self, excluded, record_of, max_bytes):
     taken = update_queue_take(self, excluded, record_of, max_bytes)
     self._remaining.update(dict.fromkeys(self.all_ids, 9))
     return taken
@@ -222,7 +233,7 @@
     self.all_ids = getattr(self, "all_ids", set()) | {member_id}
 
 
-def receive_older_too(self, now, record, is_direct=False):
+def receive_older_records_too(self, now, record, is_direct=False):
     known = self.members.get(name_hash(record.name))
     if known is not None and record.precedence < known.record.precedence:
         self.put(name_hash(record.name), record, now)
@@ -234,7 +245,7 @@
     self.tombstones.clear()
 
 
-def digest_of_failed_too(self):
+def digest_with_failed_members(self):
     digest = 0
     for known in self.members.values():
         digest ^= known.digest
@@ -256,8 +267,8 @@
     return detector_on_heartbeat(self, now, member_id, echoed)
 
 
-def reduce_without_suspended_time(self, now, event):
-    """A clock that does not count suspension."""
+def reduce_with_clock_that_stops(self, now, event):
+    """Behave like a clock that stops while the process is suspended."""
     self.suspended = getattr(self, "suspended", 0)
     if now - self.suspended - self.last_input_at > self.config.clock_gap:
         self.suspended = now - self.last_input_at - self.config.tick
@@ -265,68 +276,80 @@
 
 
 def exclude_by_any_link(own_id, unreachable, graph, excluded=frozenset()):
-    """Any one link that is down excludes."""
+    """Exclude a member if any one of its links is declared down."""
     accused = {other for others in unreachable.values() for other in others}
     return {one for one in graph if one not in accused} | {own_id}
 
 
 def exclude_by_own_links(own_id, unreachable, graph, excluded=frozenset()):
-    """What others see of it is not asked."""
+    """Exclude members by the own links alone, without the links that others declare."""
     return set(graph) - set(unreachable[own_id])
 
 
 def never_exclude_oneself(own_id, unreachable, graph, excluded=frozenset()):
-    """Who is excluded itself accuses all the same."""
+    """Let a member that is excluded itself suspect others nevertheless."""
     return view.connected_members(own_id, unreachable, graph, excluded) | {own_id}
 
 
-# name -> (scenario, what is replaced: (owner, attribute, by what))
+# name -> (scenario, replacements: (owner, attribute, replacement))
 DEFECTS = {
     "incarnation not raised over what is remembered": (
         clock_set_back,
         [(MemberTable, "raise_incarnation_over", do_nothing)],
     ),
-    "two of one name: none yields": (two_of_one_name, [(NameContest, "step_down", do_nothing)]),
-    "one that was suspended is not told that its name is taken": (
+    "of two processes with one name none steps down": (
+        two_processes_of_one_name,
+        [(NameContest, "step_down", do_nothing)],
+    ),
+    "a resumed process does not step down though its name is taken": (
         suspended_while_replaced,
         [(NameContest, "step_down", do_nothing)],
     ),
-    "trusts what it believed before a suspension": (STOP, [(Member, "_on_clock_gap", do_nothing)]),
-    "a clock that does not count suspension": (STOP, [(Member, "reduce", reduce_without_suspended_time)]),
-    "isolation is not reported": (DEAF, [(IsolationMonitor, "set_isolated", do_nothing)]),
-    "failed ones are not looked for": (HALVES, [(HeartbeatSender, "probe_failed_and_seeds", do_nothing)]),
-    "updates never age": (
-        bytes_when_calm,
-        [(UpdateQueue, "take", updates_never_age), (UpdateQueue, "push", push_and_remember_id)],
+    "information from before a suspension is trusted": (
+        SUSPENDED_MEMBER,
+        [(Member, "_on_clock_gap", do_nothing)],
+    ),
+    "the clock stops during a suspension": (
+        SUSPENDED_MEMBER,
+        [(Member, "reduce", reduce_with_clock_that_stops)],
+    ),
+    "isolation is never set": (MEMBER_RECEIVES_NOTHING, [(IsolationMonitor, "set_isolated", do_nothing)]),
+    "failed members are not probed": (
+        PARTITION_THEN_HEALED,
+        [(HeartbeatSender, "probe_failed_and_seeds", do_nothing)],
+    ),
+    "updates are gossiped without end": (
+        traffic_without_changes,
+        [(UpdateQueue, "take", gossip_updates_without_end), (UpdateQueue, "push", push_and_remember_id)],
     ),
-    "a forgotten one comes back": (
+    "a forgotten member returns": (
         forgotten_member_returns,
         [(MemberTable, "forget", forget_without_tombstone)],
     ),
     "any incarnation is accepted": (forged_incarnation, [(MemberTable, "is_impossible", do_nothing)]),
-    "newcomers are told of the failed": (
-        JOIN,
+    "failed members are announced to new members": (
+        RESTART_BESIDE_FAILED_MEMBER,
         [
-            (MemberTable, "digest", property(digest_of_failed_too, do_nothing)),
+            (MemberTable, "digest", property(digest_with_failed_members, do_nothing)),
             (AntiEntropy, "on_digests", send_all_records),
         ],
     ),
     "no bound on datagrams": (flood_of_requests, [(Outbox, "send", send_without_bound)]),
     "an echo of another session counts": (
-        echo_to_a_predecessor,
+        echo_of_another_session,
         [(FailureDetector, "on_heartbeat", accept_any_echo)],
     ),
 }
-# name -> (scenario, what takes the place of `connected_members`)
+# name -> (scenario, replacement of `connected_members`)
 VIEW_DEFECTS = {
-    "only the own links count": (PAIR, exclude_by_own_links),
-    "one observer is enough": (PAIR, exclude_by_any_link),
-    "who is excluded accuses": (ZONE, never_exclude_oneself),
+    "only the own links count": (ONE_LINK_CUT, exclude_by_own_links),
+    "one declared link is enough to exclude": (ONE_LINK_CUT, exclude_by_any_link),
+    "an excluded member suspects others": (ZONE_CUT_OFF, never_exclude_oneself),
 }
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_is_found(name, monkeypatch):
+def test_a_planted_defect_is_detected(name, monkeypatch):
     play, replacements = DEFECTS[name]
     assert not play()
     for owner, attribute, replacement in replacements:
@@ -335,15 +358,15 @@
 
 
 @pytest.mark.parametrize("name", VIEW_DEFECTS)
-def test_a_planted_rule_of_the_view_is_found(name, monkeypatch):
+def test_a_planted_defect_of_the_view_is_detected(name, monkeypatch):
     play, rule = VIEW_DEFECTS[name]
     assert not play()
     monkeypatch.setattr(failure_detection, "connected_members", rule)
     assert play()
 
 
-def test_seeded_runs_find_an_older_record_accepted(monkeypatch):
-    monkeypatch.setattr(MemberTable, "receive", receive_older_too)
+def test_seeded_fault_runs_detect_that_older_records_are_accepted(monkeypatch):
+    monkeypatch.setattr(MemberTable, "receive", receive_older_records_too)
     with pytest.raises(InvariantError):
         for seed in range(4):
             MembershipFaultRun(seed).play()
