--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -13,10 +13,10 @@
 from finchcart.membership.config import MembershipConfig
 from finchcart.membership.links import LossEstimate, PeerLink, record_heartbeat
 from finchcart.membership.messages import DeclaredStatus, Heartbeat
-from finchcart.membership.records import GONE, KnownMember, MemberState, MemberTable, state_in_contact
+from finchcart.membership.records import GONE, KnownMember, MemberState, MemberTable, state_when_connected
 from finchcart.membership.view import Graph, connected_members, watch_graph
 
-IDLE_LINK_PERIODS = 10  # without a heartbeat, after which the link to a member that is not watched is closed
+IDLE_LINK_PERIODS = 10  # without a heartbeat, after which a link to an unwatched member is closed
 LATENESS_DECAY_DIVISOR = 16  # each tick reduces the measured lateness by 1/16
 
 
@@ -40,9 +40,7 @@
         self.excluded: frozenset[int] = frozenset()
         self.loss = LossEstimate()
         self.lateness = 0  # microseconds by which the ticks of this process run late
-        self.detection_paused_until = (
-            0  # no link is taken as down and no member is suspected before this time
-        )
+        self.detection_paused_until = 0  # before this time, no link is taken as down and no member suspected
         self._last_tick_at = now
         table.on_forget.append(lambda member_id: self.links.pop(member_id, None))
 
@@ -88,7 +86,7 @@
             return None
         echoed_at, is_later = link.record_echo(heartbeat.echo_sequence)
         if is_later and self.table.members[member_id].state == MemberState.FAILED:
-            self.table.is_changed = True
+            self.table.is_view_outdated = True
         return None if echoed_at is None else now - echoed_at
 
     def on_tick(self, now: int) -> None:
@@ -97,7 +95,7 @@
         self.lateness = max(late, self.lateness - self.lateness // LATENESS_DECAY_DIVISOR)
         self._last_tick_at = now
 
-    # ---- once a tick
+    # ---- review, once per tick
 
     def review(self, now: int) -> None:
         """Recompute the view from the links and records, and set the member states; called once per tick."""
@@ -106,7 +104,7 @@
         if table.is_graph_outdated:
             self._update_graph()
         self._review_links(now)
-        if table.is_changed or any(
+        if table.is_view_outdated or any(
             known.pending_change_since is not None for known in table.members.values()
         ):
             self._review_members(now)
@@ -120,7 +118,7 @@
         ]
         self.graph = watch_graph(ids, self.config.watch_degree)
         table.is_graph_outdated = False
-        table.is_changed = True
+        table.is_view_outdated = True
 
     def _review_links(self, now: int) -> None:
         """Update which watched links are down, and declare these in the own record."""
@@ -145,14 +143,14 @@
         for member_id in [member_id for member_id in self.links if member_id not in neighbours]:
             known = self.table.members.get(member_id)
             is_failed = known is not None and known.state == MemberState.FAILED
-            if not is_failed and not self.links[member_id].was_heard_within(now, span):
+            if not is_failed and not self.links[member_id].has_received_within(now, span):
                 del self.links[member_id]
 
     def _review_members(self, now: int) -> None:
         table = self.table
         unreachable = {member_id: table.members[member_id].record.unreachable for member_id in self.graph}
         self.connected = connected_members(table.own_id, unreachable, self.graph, self.excluded)
-        table.is_changed = False
+        table.is_view_outdated = False
         # A member that is excluded itself suspects nobody. A network partition is detected link by link, and
         # meanwhile a member of the smaller side would exclude other members of its side, to which it remains
         # connected once all links to the larger side are down.
@@ -163,7 +161,7 @@
                 excluded.add(member_id)
         if excluded != self.excluded:
             self.excluded = frozenset(excluded)
-            table.is_changed = True
+            table.is_view_outdated = True
 
     def _review_member(self, now: int, member_id: int, may_suspect: bool) -> bool:
         """Set the state of a member; return whether the view excludes it."""
@@ -180,7 +178,7 @@
             return self._on_disconnected(now, known)
         known.pending_change_since = None
         if now < self.detection_paused_until:
-            self.table.is_changed = True  # review again with the next tick: detection is still paused
+            self.table.is_view_outdated = True  # review again with the next tick: detection is still paused
         return False
 
     def _on_connected(self, now: int, known: KnownMember) -> bool:
@@ -190,9 +188,9 @@
                 known.pending_change_since = now
             if now - known.pending_change_since < self.config.recovery_time:
                 return True
-            self.table.set_state(now, known, state_in_contact(known.record))
+            self.table.set_state(now, known, state_when_connected(known.record))
         elif known.state == MemberState.SUSPECT:
-            self.table.set_state(now, known, state_in_contact(known.record))
+            self.table.set_state(now, known, state_when_connected(known.record))
         else:
             known.pending_change_since = None
         return False
--- a/finchcart/membership/heartbeats.py
+++ b/finchcart/membership/heartbeats.py
@@ -53,18 +53,18 @@
         links = self.detector.links
         for member_id in list(neighbours) + [other for other in links if other not in neighbours]:
             link = links[member_id]
-            if link.heartbeat_due <= now and self._is_sent_to(now, member_id, link):
+            if link.heartbeat_due <= now and self._should_send_to(now, member_id, link):
                 self._send_due(now, member_id, link)
         if self.random.randrange(self.config.ticks_per_period) == 0:
             self.probe_failed_and_seeds(now)
 
-    def _is_sent_to(self, now: int, member_id: int, link: PeerLink) -> bool:
+    def _should_send_to(self, now: int, member_id: int, link: PeerLink) -> bool:
         known = self.table.members.get(member_id)
         if known is None or known.record.status == DeclaredStatus.LEFT:
             return False
         # A failed member that sends nothing is only probed at random.
         span = IDLE_LINK_PERIODS * self.config.period
-        return known.state != MemberState.FAILED or link.was_heard_within(now, span)
+        return known.state != MemberState.FAILED or link.has_received_within(now, span)
 
     def _send_due(self, now: int, member_id: int, link: PeerLink) -> None:
         period = self.config.period
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -39,7 +39,7 @@
         self.has_seeds = has_seeds
         self.is_isolated = has_seeds
         self.is_resuming = False  # set by a suspension until contact is proven again
-        self._alone_since: int | None = now
+        self._no_contact_since: int | None = now
         self._contact_since: int | None = None
 
     def set_isolated(self, is_isolated: bool, reason: str) -> None:
@@ -51,7 +51,7 @@
     def on_clock_gap(self, now: int) -> None:
         """Stay isolated after a suspension until contact is proven again."""
         self.is_resuming = True
-        self._alone_since = now
+        self._no_contact_since = now
         self._contact_since = None
 
     def review(self, now: int) -> None:
@@ -81,7 +81,7 @@
             self.is_resuming = False
 
     def _on_contact(self, now: int) -> None:
-        self._alone_since = None
+        self._no_contact_since = None
         if self._contact_since is None:
             self._contact_since = now
         # The other members take the same time to set this process to alive in their views.
@@ -90,10 +90,10 @@
 
     def _on_no_contact(self, now: int, has_contacts: bool, is_connected: bool) -> None:
         self._contact_since = None
-        if self._alone_since is None:
-            self._alone_since = now
-        patience = self.config.suspicion_timeout
+        if self._no_contact_since is None:
+            self._no_contact_since = now
+        timeout = self.config.suspicion_timeout
         if has_contacts or not is_connected:
-            patience += self.config.period
-        if now - self._alone_since >= patience:
+            timeout += self.config.period
+        if now - self._no_contact_since >= timeout:
             self.set_isolated(True, "excluded by others" if has_contacts else "no contact")
--- a/finchcart/membership/links.py
+++ b/finchcart/membership/links.py
@@ -82,7 +82,7 @@
                 return sent_at, is_later
         return None, False
 
-    def was_heard_within(self, now: int, span: int) -> bool:
+    def has_received_within(self, now: int, span: int) -> bool:
         """Whether a heartbeat was received in the last `span` microseconds."""
         return self.last_received_at is not None and now - self.last_received_at <= span
 
@@ -125,6 +125,6 @@
     if received_at is not None and now - received_at < MAX_LOSS_GAP_PERIODS * period:
         loss.add(heartbeat.sequence - link.received_sequence - 1)
     link.received_sequence = heartbeat.sequence
-    if not link.was_heard_within(now, SILENT_PERIODS * period):
+    if not link.has_received_within(now, SILENT_PERIODS * period):
         link.heartbeat_due = min(link.heartbeat_due, now)  # answer with the next tick
     link.last_received_at = now
--- a/finchcart/membership/name_contest.py
+++ b/finchcart/membership/name_contest.py
@@ -1,9 +1,9 @@
 """Name contests: decide which of two processes with the same name takes part in the fleet.
 
 When this process receives a record of another process with its name, it raises its own incarnation above that
-of the record. If the other process has ended, this settles the contest. If it is still running, it raises its
-incarnation in turn. After `MAX_CONTESTS` rounds the process that started later keeps the name, and the other
-one steps down and takes no further part in the fleet.
+of the record. If the other process has ended, this settles the contest. A process that is still running
+raises its incarnation in turn. After `MAX_CONTESTS` rounds the process that started later keeps the name, and
+the other one steps down and takes no further part in the fleet.
 """
 
 from finchcart.membership.isolation import IsolationMonitor
--- a/finchcart/membership/receiver.py
+++ b/finchcart/membership/receiver.py
@@ -95,8 +95,8 @@
         known_record = self.table.members[member_id].record
         if known_record.session == sender.session:
             return True
-        # The sender was suspended while another process was started with its name, or it was started with its
-        # clock set back. Without this reply, it would never receive the record of the other process.
+        # The sender may have been suspended while another process was started with its name, or may have been
+        # started with its clock set back. Without this reply, it would never learn of the other process.
         reply: NameTaken | MemberRecords
         if self._is_in_contact(now, member_id):
             reply = NameTaken(known_record)
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -97,12 +97,10 @@
         self.config = config
         self.outbox = outbox
         self.members = {self.own_id: KnownMember(own_record, now)}
-        self.tombstones: OrderedDict[int, Version] = (
-            OrderedDict()
-        )  # member id -> precedence of its last record
+        self.tombstones: OrderedDict[int, Version] = OrderedDict()  # id -> precedence of the last record
         self.updates = UpdateQueue(config)
         self.digest = self.members[self.own_id].digest  # XOR over members that have not failed or left
-        self.is_changed = True  # the view has to be recomputed
+        self.is_view_outdated = True  # the connected members have to be recomputed
         self.is_graph_outdated = True  # the graph of who watches whom has to be recomputed
         self.on_forget: list[Callable[[int], object]] = []  # called with the id of each forgotten member
 
@@ -185,7 +183,7 @@
         elif known.state == MemberState.LEFT:
             self.set_state(now, known, MemberState.ALIVE)
         elif known.state in (MemberState.ALIVE, MemberState.LEAVING):
-            self.set_state(now, known, state_in_contact(known.record))
+            self.set_state(now, known, state_when_connected(known.record))
 
     # ---- table updates
 
@@ -217,7 +215,7 @@
 
     def _gossip(self, member_id: int) -> None:
         self.updates.push(member_id, len(self.members))
-        self.is_changed = True
+        self.is_view_outdated = True
 
     def set_state(self, now: int, known: KnownMember, state: MemberState) -> None:
         """Set the state of a member as of `now`."""
@@ -231,7 +229,7 @@
             self.digest ^= known.digest
         if state == MemberState.FAILED:
             known.failed_precedence = known.record.precedence
-        self.is_changed = True
+        self.is_view_outdated = True
         self.outbox.emit(MemberChanged(known.record.name, state, known.record.incarnation))
 
     def forget(self, member_id: int) -> None:
@@ -247,7 +245,7 @@
         while len(self.tombstones) > self.config.max_members:
             self.tombstones.popitem(last=False)
         self.is_graph_outdated = True
-        self.is_changed = True
+        self.is_view_outdated = True
 
     def _evict_oldest_gone(self) -> bool:
         """Forget the member that failed or left the longest time ago; return whether there was one."""
@@ -269,6 +267,6 @@
             self.forget(member_id)
 
 
-def state_in_contact(record: MemberRecord) -> MemberState:
+def state_when_connected(record: MemberRecord) -> MemberState:
     """Return the state of a connected member: alive, or leaving if it declared so."""
     return MemberState.LEAVING if record.status == DeclaredStatus.LEAVING else MemberState.ALIVE
