--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -1,7 +1,8 @@
 """The consensus store of a node: its reports, those of the others, operators' overrides, and what follows.
 
-Owns the joining of them. `reduce(now, event)` takes one input and returns effects, and `turn(now, member)`
-comes with each tick of the member on whose heartbeats the reports are piggybacked; no I/O, clock or lock.
+Owns the joining of them. `reduce(now, event)` takes one input and returns effects, and
+`on_member_tick(now, member)` comes with each tick of the member on whose heartbeats the reports are
+piggybacked; no I/O, clock or lock.
 `now` is the boot clock in whole microseconds. It must never act on a decision.
 
 Inputs: those of finchcart/fleet/inputs.py and inputs.py. Effects: those of finchcart/fleet/effects.py and
@@ -110,7 +111,7 @@
         """Add one to the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def turn(self, now: int, member: Member) -> list[FleetEffect]:
+    def on_member_tick(self, now: int, member: Member) -> list[FleetEffect]:
         """Report, decide, and hand out what changed, once a tick of the member; return effects."""
         self.effects = []
         self.member = member
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -48,7 +48,7 @@
     def reduce(self, now: int, event: Any) -> Sequence[FleetEffect]:
         """Process one input; return its effects."""
 
-    def turn(self, now: int, member: "Member") -> Sequence[FleetEffect]:
+    def on_member_tick(self, now: int, member: "Member") -> Sequence[FleetEffect]:
         """Act on a tick of the member; return the effects."""
 
 
@@ -218,7 +218,7 @@
         self.detector.review(now)
         self.isolation.review(now)
         for client in self.piggyback_clients:
-            self.outbox.effects.extend(client.turn(now, self))
+            self.outbox.effects.extend(client.on_member_tick(now, self))
         self.heartbeats.on_tick(now)
 
     def _on_leave(self, now: int) -> None:
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -118,7 +118,7 @@
                 return self.on_config(quota)
         return []
 
-    def turn(self, now: int, member: Member) -> list[LimitAllowance]:
+    def on_member_tick(self, now: int, member: Member) -> list[LimitAllowance]:
         """Publish the demand and compute the allocations, with each tick of the member; return effects."""
         self.observe(now, member)
         counters = [(each.id, each.in_use, each.demand) for each in self.allocations.values()]
