--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -46,7 +46,7 @@
 
     @property
     def own_neighbours(self) -> Set[int]:
-        """The ids of the members that this one watches."""
+        """The ids of the members that this process watches."""
         return self.graph[self.table.own_id]
 
     def link_to(self, now: int, member_id: int) -> PeerLink:
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -2,8 +2,8 @@
 
 The store keeps the newest entry of each member and topic with an upper bound on its age. The bound must never
 be too low. It is computed without synchronized clocks: the heartbeat that carries an entry also echoes a
-heartbeat of this process, and cannot have been in transit for longer than since that one was sent. The
-payload of an entry is opaque here.
+heartbeat of this process, so its transit took no longer than the time since the echoed heartbeat was sent.
+The payload of an entry is opaque here.
 """
 
 from collections import OrderedDict
--- a/finchcart/membership/update_queue.py
+++ b/finchcart/membership/update_queue.py
@@ -17,7 +17,8 @@
 class UpdateQueue:
     """Holds at most `config.max_pending_updates` updates.
 
-    When the queue is full, the update at its end is dropped; anti-entropy then spreads that record.
+    When the queue is full, the most recently gossiped update, which is at its end, is dropped; anti-entropy
+    then spreads that record.
     """
 
     def __init__(self, config: MembershipConfig) -> None:
--- a/finchcart/membership/view.py
+++ b/finchcart/membership/view.py
@@ -39,8 +39,8 @@
     """
     ids = sorted(ids)
     if len(ids) <= degree + 1:
-        everybody = frozenset(ids)
-        return {member_id: everybody - {member_id} for member_id in ids}
+        all_ids = frozenset(ids)
+        return {member_id: all_ids - {member_id} for member_id in ids}
     graph: dict[int, set[int]] = {member_id: set() for member_id in ids}
     rings = max(1, degree // 2)
     positions = {member_id: ring_positions(member_id, rings) for member_id in ids}
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -22,10 +22,9 @@
     ids = range(9)
     graph = view.watch_graph(ids, 24)
     assert view.connected_members(0, {1: [2]}, graph) == set(ids)  # one link down
-    assert view.connected_members(0, {n: [8] for n in range(5)}, graph) == set(
-        range(8)
-    )  # most links of a member
-    assert view.connected_members(8, {n: [8] for n in range(5)}, graph) == set(range(8))  # in its own view
+    # Most links of member 8 are down: it is excluded by the others, and in its own view.
+    assert view.connected_members(0, {n: [8] for n in range(5)}, graph) == set(range(8))
+    assert view.connected_members(8, {n: [8] for n in range(5)}, graph) == set(range(8))
     halves = {a: [b for b in ids if a % 2 != b % 2] for a in (0, 2, 4, 6, 8)}  # declared by one side only
     assert view.connected_members(0, halves, graph) == {0, 2, 4, 6, 8}
     assert view.connected_members(1, halves, graph) == {1, 3, 5, 7}
