--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -103,7 +103,7 @@
     began = fleet.now
     while not all(is_down(view) for view in fleet.node_views.values()) and fleet.now < began + LONGEST_US:
         fleet.run(fleet.now + POLL_US)
-    bound = fleet.consensus_config.store_within(fleet.config, count)
+    bound = fleet.consensus_config.store_reaction_time_bound(fleet.config, count)
     took = (fleet.now - began) / SECOND
     messages_without, size_without = rates(joined_fleet(count, on=False), count)
     return (
--- a/finchcart/cli/check_report.py
+++ b/finchcart/cli/check_report.py
@@ -100,7 +100,7 @@
 
 def _consensus_lines(config: ConsensusConfig, membership: MembershipConfig) -> Iterator[str]:
     for size in FLEET_SIZES:
-        calm, lossy = (config.acts_within(membership, size, loss) / SECOND for loss in LOSSES)
+        calm, lossy = (config.reaction_time_bound(membership, size, loss) / SECOND for loss in LOSSES)
         thresholds = fault_thresholds(config, size)
         yield (
             f"  verdicts at {size} members: all act {calm:.1f} s after enough have the evidence, "
--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -62,23 +62,23 @@
         """Return how often what is in force came back lately, at most."""
         return max((active.recurrences for active in self.by_subject.values()), default=0)
 
-    def update(self, now: int, decisions: Mapping[int, Decision], acts_within: int) -> None:
+    def update(self, now: int, decisions: Mapping[int, Decision], reaction_time_bound: int) -> None:
         """Put decisions into force and end those that are over; a worse value is in force at once.
 
         Arguments:
             now: boot clock, microseconds.
             decisions: by subject, of all but the level.
-            acts_within: microseconds until all nodes have received the reports of all others.
+            reaction_time_bound: microseconds until all nodes have received the reports of all others.
         """
         if self.own_subject not in decisions:
             self._ejected_since = None
         for subject, decision in decisions.items():
-            if decision.value != GOOD and not self._waits_for_others(now, subject, acts_within):
+            if decision.value != GOOD and not self._waits_for_others(now, subject, reaction_time_bound):
                 self._hold(now, subject, decision)
         self._end_expired(now, decisions)
         self._forget_ended(now)
 
-    def _waits_for_others(self, now: int, subject: int, acts_within: int) -> bool:
+    def _waits_for_others(self, now: int, subject: int, reaction_time_bound: int) -> bool:
         """Whether this node is yet to wait before it takes itself for ejected.
 
         Guards against more nodes ejected at once than may be: the others' reports must have had time to come.
@@ -86,7 +86,7 @@
         if subject != self.own_subject or subject in self.by_subject:
             return False
         self._ejected_since = self._ejected_since or now
-        return now - self._ejected_since < acts_within
+        return now - self._ejected_since < reaction_time_bound
 
     def _hold(self, now: int, subject: int, decision: Decision) -> None:
         active = self.by_subject.get(subject)
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -88,7 +88,7 @@
         """Return the configuration of settings by key (without its unit); times are microseconds."""
         return cls(**{FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()})
 
-    def acts_within(
+    def reaction_time_bound(
         self, membership: MembershipConfig, count: int, loss: float = 0.0, lateness: int = 0
     ) -> int:
         """Return the microseconds from enough nodes having the evidence until all connected nodes act.
@@ -115,18 +115,20 @@
             + 3 * lateness
         )
 
-    def store_within(
+    def store_reaction_time_bound(
         self, membership: MembershipConfig, count: int, loss: float = 0.0, lateness: int = 0
     ) -> int:
         """Return the microseconds from a fault of the store until all connected nodes act.
 
-        The observation span has to fill first. The arguments are those of `acts_within`.
+        The observation span has to fill first. The arguments are those of `reaction_time_bound`.
         """
         return (
-            self.observation_span + self.probe_timeout + self.acts_within(membership, count, loss, lateness)
+            self.observation_span
+            + self.probe_timeout
+            + self.reaction_time_bound(membership, count, loss, lateness)
         )
 
-    def back_within(
+    def store_recovery_time_bound(
         self,
         membership: MembershipConfig,
         count: int,
@@ -136,12 +138,12 @@
     ) -> int:
         """Return the microseconds from the store's return until calls rise again everywhere.
 
-        `recurrences`: how often it fell lately; the other arguments are those of `acts_within`.
+        `recurrences`: how often it fell lately; the other arguments are those of `reaction_time_bound`.
         """
         return (
             2 * self.observation_span
             + self.hold_time(recurrences)
-            + self.acts_within(membership, count, loss, lateness)
+            + self.reaction_time_bound(membership, count, loss, lateness)
         )
 
     def hold_time(self, recurrences: int) -> int:
--- a/finchcart/consensus/fleet_decisions.py
+++ b/finchcart/consensus/fleet_decisions.py
@@ -82,7 +82,7 @@
             self._decisions = decide(reports, config, basis.member_count)
         decisions = dict(self._decisions)
         self.level = decisions.pop(LEVEL_SUBJECT, NO_LEVEL).value / LEVEL_SCALE
-        self.active.update(now, decisions, self.acts_within(member))
+        self.active.update(now, decisions, self.reaction_time_bound(member))
 
     def values_in_force(self) -> dict[int, int]:
         """Return subject -> value: of decisions, and over them the overrides of operators."""
@@ -99,8 +99,8 @@
             return overridden / LEVEL_SCALE
         return max(0.0, self.level - self.config.level_step)
 
-    def acts_within(self, member: Member) -> int:
+    def reaction_time_bound(self, member: Member) -> int:
         """Return the microseconds until all connected nodes act, at the measured loss and lateness."""
-        return self.config.acts_within(
+        return self.config.reaction_time_bound(
             member.config, self.collector.member_count, member.loss, member.lateness
         )
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -65,9 +65,9 @@
             "heard": collector.reporting_count,
             "oldest_ms": collector.oldest_age // 1000,
             "stale_at_most_ms": config.staleness_bound() // 1000,
-            "acts_within_ms": decisions.acts_within(member) // 1000,
-            "store_within_ms": config.store_within(*fleet, *measured) // 1000,
-            "back_within_ms": config.back_within(*fleet, recurrences, *measured) // 1000,
+            "acts_within_ms": decisions.reaction_time_bound(member) // 1000,
+            "store_within_ms": config.store_reaction_time_bound(*fleet, *measured) // 1000,
+            "back_within_ms": config.store_recovery_time_bound(*fleet, recurrences, *measured) // 1000,
             "level": decisions.level,
             "counts": self.counts,
         }
@@ -115,7 +115,7 @@
         rate = max(rates, default=0) or 1
         decisions = self.decisions
         return decisions.config.excess_messages(
-            rate, decisions.collector.member_count, decisions.acts_within(member)
+            rate, decisions.collector.member_count, decisions.reaction_time_bound(member)
         )
 
 
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -228,7 +228,7 @@
         )
         self._receive_override(now, message, now + remaining, self.name)
         self.publisher.publish_newest_overrides(now, member, self.overrides)
-        return {"taken": True, "acts_within_ms": self.decisions.acts_within(member) // 1000}
+        return {"taken": True, "acts_within_ms": self.decisions.reaction_time_bound(member) // 1000}
 
     def status(self, now: int, page: int = 0) -> dict[str, Any]:
         """Return one page of what is in force, as an operator sees it."""
--- a/finchcart/fault_injection/consensus/rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -77,13 +77,13 @@
     def _break_store(self, names: Collection[str]) -> None:
         """Break the store for all; these nodes must hold it to be down in time."""
         self._set_store(StoreState.DOWN)
-        bound = self.consensus_config.store_within(self.config, len(names), self.loss)
+        bound = self.consensus_config.store_reaction_time_bound(self.config, len(names), self.loss)
         self._timed("in", self.wait_until(is_down, names, bound, "the store is down"), bound)
 
     def _repair_store(self, names: Collection[str], restarts: int = 0) -> None:
         """Repair the store for all; these nodes must hold it to work in time."""
         self._set_store(StoreState.OK)
-        bound = self.consensus_config.back_within(self.config, len(names), restarts, self.loss)
+        bound = self.consensus_config.store_recovery_time_bound(self.config, len(names), restarts, self.loss)
         self._timed("out", self.wait_until(is_working, names, bound, "the store is back"), bound)
 
     def _innocent_is_restricted(self, names: Collection[str]) -> bool:
@@ -248,7 +248,7 @@
         for name in broken:
             self.store_states[name] = StoreState.DOWN
         apart = self.config.detection_bound(len(names), self.loss) + 4 * SECOND
-        bound = apart + self.consensus_config.store_within(self.config, len(names), self.loss)
+        bound = apart + self.consensus_config.store_reaction_time_bound(self.config, len(names), self.loss)
         self.wait_until(is_down, broken, bound, "the half for which it is down")
         self.never(is_down, working, 3 * SECOND, "the half for which it works")
         self.set_cut(broken, working, cut=False)
@@ -266,7 +266,7 @@
         self.set_cut(origins, targets, both=False)
         self.run(self.now + APART_US, self.after_step)
         self._set_store(StoreState.DOWN)
-        bound = self.consensus_config.store_within(self.config, len(names), self.loss) + SECOND
+        bound = self.consensus_config.store_reaction_time_bound(self.config, len(names), self.loss) + SECOND
         self.wait_until(is_down, rest, bound, "the connected ones")
         self.set_cut(origins, targets, both=False, cut=False)
         self.run(self.now + APART_US, self.after_step)
@@ -278,7 +278,9 @@
         for name in names:
             self.kill(name)
             self.start(name)
-        bound = RESTARTED_US + self.consensus_config.store_within(self.config, len(names), self.loss)
+        bound = RESTARTED_US + self.consensus_config.store_reaction_time_bound(
+            self.config, len(names), self.loss
+        )
         self.wait_until(is_down, names, bound, "all started anew while it is down")
         self._repair_store(names, 1)
 
@@ -289,7 +291,9 @@
             self.kill(name)
             self.run(self.now + 300_000, self.after_step)
             self.start(name)
-        bound = RESTARTED_US + self.consensus_config.store_within(self.config, len(names), self.loss)
+        bound = RESTARTED_US + self.consensus_config.store_reaction_time_bound(
+            self.config, len(names), self.loss
+        )
         self.wait_until(is_down, names, bound, "nine in ten replaced while it is down")
         self._repair_store(names, 2)
 
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -210,7 +210,7 @@
 
     def bound(self, loss: float = 0.0) -> int:
         """Return the time within which all act once enough have the evidence."""
-        return self.consensus_config.acts_within(self.config, len(self.running()), loss)
+        return self.consensus_config.reaction_time_bound(self.config, len(self.running()), loss)
 
     def wait_until(self, predicate: Predicate, names: Iterable[str], within: int, text: str) -> int:
         """Run until it is true of all these nodes; return how long that took, and fail if it is too long."""
--- a/tests/test_consensus_rounds.py
+++ b/tests/test_consensus_rounds.py
@@ -120,7 +120,7 @@
     "a node is ejected before others were heard": {
         "kinds": ("fail",),
         "seeds": range(8),
-        "changes": [(FleetDecisions, "acts_within", lambda self, member: 0)],
+        "changes": [(FleetDecisions, "reaction_time_bound", lambda self, member: 0)],
     },
     "the override received last stands": {
         "kinds": ("words",),
--- a/tests/test_consensus_settings.py
+++ b/tests/test_consensus_settings.py
@@ -26,7 +26,7 @@
 def test_a_bound_of_every_number_of_members_and_loss_grows_with_both():
     membership = MembershipConfig()
     sizes = 3, 16, 24, 200, 2000
-    bounds = [CONFIG.acts_within(membership, count, loss) for count in sizes for loss in (0.0, 0.3)]
+    bounds = [CONFIG.reaction_time_bound(membership, count, loss) for count in sizes for loss in (0.0, 0.3)]
     calm, lossy = bounds[::2], bounds[1::2]
     assert all(less < more for less, more in zip(calm, lossy, strict=True))
     assert bounds[8] > bounds[4]
