--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -16,7 +16,7 @@
 # Key of a setting (without its unit) -> the field, where they differ.
 FIELDS_BY_SETTING = {
     "zones": "min_zones",
-    "look": "look_interval",
+    "look": "evidence_interval",
     "span": "observation_span",
     "pace": "min_publish_interval",
     "life": "report_lifetime",
@@ -53,7 +53,7 @@
 
     zone: str = ""  # of this node; reports from `min_zones` of them are needed
     min_zones: int = 1
-    look_interval: int = 250 * MS  # the core hands on what it saw so often
+    evidence_interval: int = 250 * MS  # the core hands on what it saw so often
     observation_span: int = 2 * SECOND  # of calls and runs that a report rests on
     min_publish_interval: int = 300 * MS  # between two changes of the own reports
     report_lifetime: int = 15 * SECOND  # a report that is not confirmed for so long is void
@@ -108,7 +108,7 @@
             steps = (count // membership.watch_degree).bit_length() + 2
             dissemination += steps * membership.period
         return (
-            self.look_interval
+            self.evidence_interval
             + self.min_publish_interval
             + dissemination
             + 3 * membership.tick
--- a/finchcart/fault_injection/consensus/rounds.py
+++ b/finchcart/fault_injection/consensus/rounds.py
@@ -97,7 +97,7 @@
         probes_before = self.probe_calls
         began = self.now
         self.run(self.now + self.chance.randrange(3, 15) * SECOND, self.after_step)
-        looks = (self.now - began) / self.consensus_config.look_interval + 2
+        looks = (self.now - began) / self.consensus_config.evidence_interval + 2
         probes = self.probe_calls - probes_before
         if self.loss == 0 and probes > self.consensus_config.probe_calls * looks:
             self.fail(f"{probes} trial calls in {looks:.0f} looks")
--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -103,7 +103,7 @@
         for name in list(self.processes):
             self.start(name)
         for name in list(self.processes):
-            first = self.now + self.chance.randrange(self.consensus_config.look_interval)
+            first = self.now + self.chance.randrange(self.consensus_config.evidence_interval)
             self.schedule(first, self._look, name)
 
     # ---- what a core would see
@@ -124,7 +124,7 @@
     def _look(self, name: str) -> None:
         """Make a node's calls of one look, and hand what it saw to its consensus store."""
         process = self.processes[name]
-        self.schedule(self.now + self.consensus_config.look_interval, self._look, name)
+        self.schedule(self.now + self.consensus_config.evidence_interval, self._look, name)
         if process.machine is None or process.stopped:
             return
         calls = self._calls_of_look(self.node_views[name])
@@ -166,7 +166,7 @@
         for subject, (rate, nodes) in self.floods.items():
             if len(sources) >= self.consensus_config.max_sources:
                 break  # as the core's own table of a look
-            bad = rate * self.consensus_config.look_interval // SECOND if name in nodes else 0
+            bad = rate * self.consensus_config.evidence_interval // SECOND if name in nodes else 0
             if bad:
                 sources[subject] = SourceCounts(bad_messages=bad)
         return sources
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -48,7 +48,7 @@
 
     def collect_evidence(self, now: int, shed_level: float) -> Evidence | None:
         """Return the evidence since the last one, or None where it is too soon."""
-        if self._collected_at is not None and now - self._collected_at < self.config.look_interval:
+        if self._collected_at is not None and now - self._collected_at < self.config.evidence_interval:
             return None
         evidence = Evidence(
             CallCounts(*self._calls),
