--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -1,6 +1,7 @@
-"""How long decisions stay in force: each for a hold time, doubled each time that it comes back soon.
+"""The decisions in force: each stays for a hold time, which doubles each time that the decision recurs soon.
 
-Owns the decisions in force and those that ended lately. It must never make a decision: decision.py does.
+Owns the decisions in force and those that ended within the recurrence window. This module must never make a
+decision: decision.py does.
 """
 
 from collections.abc import Mapping
@@ -9,7 +10,7 @@
 from finchcart.consensus.decision import Decision
 from finchcart.consensus.subjects import GOOD
 
-MAX_RECURRENCES = 10  # that still lengthen the hold time
+MAX_RECURRENCES = 10  # further recurrences don't lengthen the hold time
 NO_DECISION = Decision(GOOD, 0, 0)
 
 
@@ -20,9 +21,9 @@
         self.value = decision.value
         self.votes = decision.votes
         self.voters = decision.voters
-        self.since = now
-        self.recurrences = recurrences  # how often it came back lately
-        self.until = now + config.hold_time(recurrences)  # at least
+        self.started_at = now
+        self.recurrences = recurrences  # how often it ended and came back within the recurrence window
+        self.hold_ends_at = now + config.hold_time(recurrences)  # the earliest time at which it can end
 
 
 class EndedDecision:
@@ -36,11 +37,11 @@
 
 
 class ActiveDecisions:
-    """Bounded by the subjects that there are reports of.
+    """The decisions in force by subject; their number is bounded by the subjects that reports name.
 
     Arguments:
-        own_subject: of this node.
-        config: the hold times.
+        own_subject: the subject of this node.
+        config: sets the hold times and the recurrence window.
     """
 
     def __init__(self, own_subject: int, config: ConsensusConfig) -> None:
@@ -48,51 +49,52 @@
         self.config = config
         self.by_subject: dict[int, ActiveDecision] = {}
         self._ended: dict[int, EndedDecision] = {}
-        self._ejected_since: int | None = None  # since when the reports say that this node is to be ejected
+        self._ejected_since: int | None = None  # when the reports began to call for this node's ejection
 
     def clear(self) -> None:
-        """Drop all decisions: they are of before a suspension."""
+        """Drop all decisions, as they date from before a suspension of this process."""
         self.by_subject.clear()
 
     def values(self) -> dict[int, int]:
-        """Return subject -> value of all decisions in force."""
+        """Return the value of each decision in force, by subject."""
         return {subject: active.value for subject, active in self.by_subject.items()}
 
     def max_recurrences(self) -> int:
-        """Return how often what is in force came back lately, at most."""
+        """Return the highest number of recurrences among the decisions in force."""
         return max((active.recurrences for active in self.by_subject.values()), default=0)
 
     def update(self, now: int, decisions: Mapping[int, Decision], reaction_time_bound: int) -> None:
-        """Put decisions into force and end those that are over; a worse value is in force at once.
+        """Put decisions into force and end those that are over; a worse value takes effect at once.
 
         Arguments:
             now: boot clock, microseconds.
-            decisions: by subject, of all but the level.
+            decisions: what the reports call for now, by subject, without the load-shedding level.
             reaction_time_bound: microseconds until all nodes have received the reports of all others.
         """
         if self.own_subject not in decisions:
             self._ejected_since = None
         for subject, decision in decisions.items():
             if decision.value != GOOD and not self._waits_for_others(now, subject, reaction_time_bound):
-                self._hold(now, subject, decision)
+                self._put_in_force(now, subject, decision)
         self._end_expired(now, decisions)
         self._forget_ended(now)
 
     def _waits_for_others(self, now: int, subject: int, reaction_time_bound: int) -> bool:
-        """Whether this node is yet to wait before it takes itself for ejected.
+        """Whether this node has to wait for other nodes' reports before it considers itself ejected.
 
-        Guards against more nodes ejected at once than may be: the others' reports must have had time to come.
+        Without this wait, nodes that have not yet received each other's reports could eject themselves at
+        the same time, and exceed the number that may be ejected at once.
         """
         if subject != self.own_subject or subject in self.by_subject:
             return False
         self._ejected_since = self._ejected_since or now
         return now - self._ejected_since < reaction_time_bound
 
-    def _hold(self, now: int, subject: int, decision: Decision) -> None:
+    def _put_in_force(self, now: int, subject: int, decision: Decision) -> None:
         active = self.by_subject.get(subject)
         if active is None:
             recurrences = self._recurrences(now, subject)
-        elif decision.value > active.value or (decision.value < active.value and now >= active.until):
+        elif decision.value > active.value or (decision.value < active.value and now >= active.hold_ends_at):
             recurrences = active.recurrences
         else:
             active.votes = decision.votes
@@ -108,12 +110,12 @@
 
     def _end_expired(self, now: int, decisions: Mapping[int, Decision]) -> None:
         for subject, active in list(self.by_subject.items()):
-            if now >= active.until and decisions.get(subject, NO_DECISION).value == GOOD:
+            if now >= active.hold_ends_at and decisions.get(subject, NO_DECISION).value == GOOD:
                 del self.by_subject[subject]
                 self._ended[subject] = EndedDecision(now, active.recurrences)
 
     def _forget_ended(self, now: int) -> None:
         for subject in [
-            one for one, ended in self._ended.items() if now - ended.ended_at > self.config.recurrence_window
+            key for key, ended in self._ended.items() if now - ended.ended_at > self.config.recurrence_window
         ]:
             del self._ended[subject]
--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -1,6 +1,7 @@
-"""The log lines by which operators see decisions change.
+"""Log lines for operators, one for each change of a decision or an override.
 
-Owns the values that were logged last. It must never log what concerns another node alone.
+Owns the values that were logged last. This module must never log a decision about another node: each node
+logs those about itself.
 """
 
 from collections.abc import Iterator, Mapping
@@ -11,10 +12,10 @@
 
 
 class DecisionChangeLog:
-    """Bounded by the decisions in force.
+    """Compares the values in force with those logged last; bounded by the decisions and overrides in force.
 
     Arguments:
-        own_subject: of this node.
+        own_subject: the subject of this node.
     """
 
     def __init__(self, own_subject: int) -> None:
@@ -27,29 +28,29 @@
         decisions: Mapping[int, ActiveDecision],
         node_names: Mapping[int, str],
     ) -> Iterator[LogLine]:
-        """Yield a line for each value that changed.
+        """Yield a log line for each value that changed since the last call.
 
         Arguments:
-            values: subject -> value, of all that is in force.
-            decisions: subject -> decision, where it is one and no override.
-            node_names: subject of a node -> its name.
+            values: the values in force, decisions and overrides, by subject.
+            decisions: the decisions in force, by subject.
+            node_names: the names of nodes, by subject.
         """
-        before = self._logged
+        previously_logged = self._logged
         self._logged = {
             subject: value
             for subject, value in values.items()
             if kind_of(subject) != SubjectKind.NODE or subject == self.own_subject
         }
-        for subject in {**before, **self._logged}:
+        for subject in {**previously_logged, **self._logged}:
             value = self._logged.get(subject, GOOD)
-            if before.get(subject) != self._logged.get(subject):
+            if previously_logged.get(subject) != self._logged.get(subject):
                 yield _line(subject, value, decisions.get(subject), node_names)
 
 
 def _line(
     subject: int, value: int, decision: ActiveDecision | None, node_names: Mapping[int, str]
 ) -> LogLine:
-    kind, name, word = describe(subject, value, node_names)
+    kind, name, value_name = describe(subject, value, node_names)
     votes = f"{decision.votes} of {decision.voters}" if decision else ""
-    text = f"decision {kind} {name} {word}".replace("  ", " ")
-    return LogLine(text, {"kind": kind, "subject": name, "value": word, "votes": votes})
+    text = f"fleet decision changed: {kind} {name} is now {value_name}".replace("  ", " ")
+    return LogLine(text, {"kind": kind, "subject": name, "value": value_name, "votes": votes})
--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -1,7 +1,8 @@
-"""Read what the other members publish, and leave out what must not count.
+"""Collection of the reports and overrides that the other members publish, without those that must not count.
 
-Owns the reports and overrides read from each member's gossip entry and how often each member changes them.
-It must never take a report for younger than it can be, nor one that a node makes of another node's runs.
+Owns the reports and overrides read from each member's gossip entry and how often each member changes its
+reports. This module must never treat a report as more recent than the time at which it was written, and must
+never accept a node's report about another node's runs.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,9 +16,11 @@
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import IN_FLEET
 
-RATE_WINDOW_US = 10_000_000  # a member that changes its reports too often in this is muted for as long
+RATE_WINDOW_US = (
+    10_000_000  # a member that changes its reports too often in this window is ignored for as long
+)
 
-# Looked up for every member in each tick: plain numbers cost a quarter of an enum's.
+# Each tick looks these up for every member: a plain integer costs a quarter of an enum member's lookup.
 OBSERVATIONS = GossipTopic.OBSERVATIONS.value
 OVERRIDES = GossipTopic.OVERRIDES.value
 
@@ -33,17 +36,17 @@
 
 
 class ChangeRate:
-    """How often a member changed its reports since `window_start`."""
+    """The number of times that a member changed its reports since `window_start`."""
 
     __slots__ = ("first", "muted_until", "window_start")
 
     def __init__(self, now: int, precedence: Precedence) -> None:
         self.window_start = now
-        self.first = precedence  # of the entry that the window began with
+        self.first = precedence  # of the first entry in the window
         self.muted_until = 0
 
     def changes(self, now: int, precedence: Precedence) -> int:
-        """Return the changes in this window, up to the entry of that precedence."""
+        """Return the number of changes from the window's first entry to the entry of `precedence`."""
         if precedence[0] != self.first[0] or now - self.window_start > RATE_WINDOW_US:
             self.window_start = now
             self.first = precedence
@@ -51,17 +54,17 @@
 
 
 class ReportCollector:
-    """Bounded by the members there are.
+    """Reads members' gossip entries; its state is bounded by the number of known members.
 
     Arguments:
-        config: the lifetime of a report and the pace of changes.
-        count: counts what was left out, by reason.
+        config: sets the lifetime of a report and the shortest interval between changes.
+        count: counts ignored entries, by reason.
     """
 
     def __init__(self, config: ConsensusConfig, count: Callable[[str], None]) -> None:
         self.config = config
-        self.oldest_age = 0  # microseconds, of the reports that counted last
-        self.reporting_count = 0  # members whose reports counted last
+        self.oldest_age = 0  # microseconds, among the reports that the last collection accepted
+        self.reporting_count = 0  # members whose reports the last collection accepted
         self.member_count = 1  # members in the fleet, this one included
         self._count = count
         self._read: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
@@ -69,32 +72,38 @@
         self._change_rates: dict[int, ChangeRate] = {}
 
     def on_clock_gap(self) -> None:
-        """Start anew after a suspension: many changes may come at once, and overrides are read again."""
+        """Reset change rates and read all overrides again after a suspension of this process.
+
+        Changes that the members made during the suspension may arrive all at once.
+        """
         self._change_rates.clear()
         self._overrides_read.clear()
 
     def new_overrides(self, member: Member) -> Iterator[ReceivedOverride]:
-        """Yield the overrides in entries that were not read yet."""
-        for (member_id, topic), held in member.gossip.received.items():
-            if topic != OVERRIDES or held.written_at is None:
+        """Yield the overrides in gossip entries that have not been read yet."""
+        for (member_id, topic), dated in member.gossip.received.items():
+            if topic != OVERRIDES or dated.written_at is None:
                 continue
             known = member.known_members.get(member_id)
             if known is None:
                 continue
-            precedence = held.entry.precedence
+            precedence = dated.entry.precedence
             if self._overrides_read.get(member_id) == precedence:
                 continue
             self._overrides_read[member_id] = precedence
-            for message in decode_overrides(held.entry.payload) or ():
-                ends_at = held.written_at + message.remaining_us
+            for message in decode_overrides(dated.entry.payload) or ():
+                ends_at = dated.written_at + message.remaining_us
                 yield ReceivedOverride(message, ends_at, known.record.name)
 
     def collect(self, now: int, member: Member, is_alone: bool) -> dict[int, list[ObservationReport]]:
-        """Return id -> reports that count, of all other members in the fleet; none where it is alone."""
+        """Return the accepted reports of all other members in the fleet, by member id.
+
+        The result is empty when `is_alone` is true: this node then has no contact with the fleet.
+        """
         self.oldest_age = 0
         self.reporting_count = 0
         self.member_count = 1
-        self._forget_missing(member)
+        self._drop_unknown_members(member)
         collected: dict[int, list[ObservationReport]] = {}
         if is_alone:
             return collected
@@ -105,33 +114,33 @@
             if member_id == own_id or known.state not in IN_FLEET:
                 continue
             self.member_count += 1
-            held = received.get((member_id, OBSERVATIONS))
-            if held is None or held.written_at is None or now - held.written_at > lifetime:
+            dated = received.get((member_id, OBSERVATIONS))
+            if dated is None or dated.written_at is None or now - dated.written_at > lifetime:
                 continue
-            reports = self._reports_that_count(now, member_id, held, known.record.name)
+            reports = self._accepted_reports(now, member_id, dated, known.record.name)
             if reports is not None:
                 collected[member_id] = reports
                 self.reporting_count += 1
-                self.oldest_age = max(self.oldest_age, now - held.written_at)
+                self.oldest_age = max(self.oldest_age, now - dated.written_at)
         return collected
 
-    def _reports_that_count(
-        self, now: int, member_id: int, held: DatedEntry, name: str
+    def _accepted_reports(
+        self, now: int, member_id: int, dated: DatedEntry, name: str
     ) -> list[ObservationReport] | None:
-        if self._changes_too_often(now, member_id, held.entry.precedence):
+        if self._changes_too_often(now, member_id, dated.entry.precedence):
             return None
-        return self._read_once(member_id, held, name)
+        return self._decode_once(member_id, dated, name)
 
-    def _read_once(self, member_id: int, held: DatedEntry, name: str) -> list[ObservationReport] | None:
-        """Return the reports in an entry, decoded when it is seen first.
+    def _decode_once(self, member_id: int, dated: DatedEntry, name: str) -> list[ObservationReport] | None:
+        """Return the reports in an entry, which is decoded only when it is first seen.
 
-        Of runs a node reports its own alone: others are left out.
+        A node may report only its own runs: reports about other nodes are dropped.
         """
-        precedence = held.entry.precedence
+        precedence = dated.entry.precedence
         read_precedence, reports = self._read.get(member_id, (None, None))
         if read_precedence == precedence:
             return reports
-        reports = decode_reports(held.entry.payload)
+        reports = decode_reports(dated.entry.payload)
         if reports is None:
             self._count("reports not valid")
         else:
@@ -153,10 +162,10 @@
             self._count("changes too often")
         return now < rate.muted_until
 
-    def _forget_missing(self, member: Member) -> None:
-        """Take out members that are not known any more."""
+    def _drop_unknown_members(self, member: Member) -> None:
+        """Drop the state of members that are no longer known."""
         known = member.known_members
         if len(self._read) > len(known):
-            self._read = {one: read for one, read in self._read.items() if one in known}
-            self._overrides_read = {one: read for one, read in self._overrides_read.items() if one in known}
-            self._change_rates = {one: rate for one, rate in self._change_rates.items() if one in known}
+            self._read = {key: read for key, read in self._read.items() if key in known}
+            self._overrides_read = {key: read for key, read in self._overrides_read.items() if key in known}
+            self._change_rates = {key: rate for key, rate in self._change_rates.items() if key in known}
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -101,7 +101,7 @@
         return {
             "votes": decision.votes,
             "of": decision.voters,
-            "stands_ms": (now - decision.since) // 1000,
+            "stands_ms": (now - decision.started_at) // 1000,
         }
 
     def _excess_messages(self, member: Member, reports: MemberReports, subject: int) -> int:
--- a/tests/test_consensus_rounds.py
+++ b/tests/test_consensus_rounds.py
@@ -69,7 +69,7 @@
 class DecisionWithoutHold(ActiveDecision):
     def __init__(self, now, *rest):
         super().__init__(now, *rest)
-        self.until = now
+        self.hold_ends_at = now
 
 
 def receive_the_latest(self, now, message, ends_at, origin):
