--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -1,7 +1,8 @@
 """The configuration of consensus, in one type, and the bounds that follow from it.
 
-Owns what operators set, by the names of the code; `FIELDS_BY_SETTING` has the words of the settings file. It
-must never hold what is learnt while running. Times are whole microseconds, fractions are from 0 to 1.
+Owns the values that operators set; `FIELDS_BY_SETTING` maps the keys of the settings file to its fields. This
+module must never hold state that is learnt at run time. Times are whole microseconds, fractions are from 0
+to 1.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,7 +14,7 @@
 from finchcart.fleet.units import MS, SECOND
 from finchcart.membership.config import MembershipConfig
 
-# Key of a setting (without its unit) -> the field, where they differ.
+# Maps the key of a setting, without its unit, to the name of its field where the two differ.
 FIELDS_BY_SETTING = {
     "zones": "min_zones",
     "look": "evidence_interval",
@@ -51,41 +52,45 @@
 class ConsensusConfig:
     """Spans, thresholds and bounds; see docs/operate/verdicts.md for how to choose them."""
 
-    zone: str = ""  # of this node; reports from `min_zones` of them are needed
-    min_zones: int = 1
-    evidence_interval: int = 250 * MS  # the core hands on what it saw so often
-    observation_span: int = 2 * SECOND  # of calls and runs that a report rests on
-    min_publish_interval: int = 300 * MS  # between two changes of the own reports
-    report_lifetime: int = 15 * SECOND  # a report that is not confirmed for so long is void
-    quiet_period: int = 3 * SECOND  # after a suspension this node reports nothing for so long
-    min_reports: int = 2  # reports that a decision needs at least
-    store_quorum: float = 0.5  # of those that could know, and more: store
-    min_hold_time: int = 2 * SECOND  # of a decision in force; doubled each time that it comes back soon
-    max_hold_time: int = 16 * SECOND
-    min_calls: int = 4  # in a span, for a report of the store
-    failed_fraction: float = 0.5  # of calls, or of runs, that failed: down, or failing
-    slow_factor: float = 4.0  # times the usual time of calls, or the median of other nodes' runs: slow
-    probe_calls: int = 4  # at once, of the whole fleet to a store that is down
-    probe_timeout: int = 1 * SECOND  # the longest of these
-    recovery_step: int = 500 * MS  # once it is back, calls double at each step of this length
-    max_bad_messages: int = 20  # messages that can't be read and connections without an RPC, in `source_span`
-    source_span: int = 10 * SECOND
-    source_quorum: float = 0.25  # of the members that have to report a source, and at least `min_reports`
-    restriction_time: int = 30 * SECOND  # a source is reported for so long after the last that was seen
-    throttled_rate: int = 5  # RPCs a second that each node admits of a source that is throttled
-    max_blocked_fraction: float = 0.2  # of all RPCs: what comes from sources blocked by reports together
-    min_runs: int = 20  # in a span, for a report of a node
-    max_ejected_fraction: float = 0.2  # of the members that may be ejected at once
-    runs_report_lifetime: int = 30 * SECOND  # an ejected node that runs nothing keeps its numbers for so long
-    level_step: float = 0.2  # a node may be laxer than the fleet's level by this
-    max_source_reports: int = 12  # reports of sources, by one node: the worst
-    max_sources: int = 512  # sources observed by a node; see `Observer` for what happens when full
-    max_overrides: int = 16  # overrides of operators; the one that ends first goes when full
-    recurrence_window: int = 30 * SECOND  # a decision that comes back within this stands for longer each time
+    zone: str = ""  # the zone of this node, empty where the fleet has no zones
+    min_zones: int = 1  # a decision needs reports from nodes in at least this many zones
+    evidence_interval: int = 250 * MS  # how often the core hands its evidence to the consensus store
+    observation_span: int = 2 * SECOND  # a report on the store or on runs covers a window of this length
+    min_publish_interval: int = 300 * MS  # shortest time between two changes of this node's reports
+    report_lifetime: int = 15 * SECOND  # a report that is not confirmed for this long is ignored
+    quiet_period: int = 3 * SECOND  # after a suspension, this node publishes no reports for this long
+    min_reports: int = 2  # the fewest reports that a decision can rest on
+    store_quorum: float = 0.5  # a decision on the store needs more than this fraction of the voters
+    min_hold_time: int = 2 * SECOND  # a decision stays in force this long; doubled with each recurrence
+    max_hold_time: int = 16 * SECOND  # upper bound of the hold time after recurrences
+    min_calls: int = 4  # the fewest calls in `observation_span` for a report on the store
+    failed_fraction: float = (
+        0.5  # the store is down, or a node is failing, if this fraction of calls or runs fails
+    )
+    slow_factor: float = 4.0  # slow: this many times the usual call time, or the median of other nodes' runs
+    probe_calls: int = 4  # concurrent calls of the whole fleet to a store that is down
+    probe_timeout: int = 1 * SECOND  # timeout of a probe call
+    recovery_step: int = 500 * MS  # when the store is back, the allowed calls double at each step
+    max_bad_messages: int = 20  # unreadable messages and connections without an RPC, in `source_span`
+    source_span: int = 10 * SECOND  # the window over which a node counts what a source sends
+    source_quorum: float = 0.25  # fraction of the members that must report a source; at least `min_reports`
+    restriction_time: int = 30 * SECOND  # a source is reported until this long after its last excess
+    throttled_rate: int = 5  # RPCs a second that each node admits from a throttled source
+    max_blocked_fraction: float = 0.2  # fraction of all RPCs that decisions may block, over all sources
+    min_runs: int = 20  # the fewest runs in `observation_span` for a report on the node
+    max_ejected_fraction: float = 0.2  # fraction of the members that may be ejected at once
+    runs_report_lifetime: int = (
+        30 * SECOND
+    )  # a node without runs (as when ejected) repeats its last report so long
+    level_step: float = 0.2  # a node's shed level may be below the fleet's by this much
+    max_source_reports: int = 12  # sources that one node reports; the worst ones are chosen
+    max_sources: int = 512  # sources that a node observes; `Observer` evicts one to make room
+    max_overrides: int = 16  # operators' overrides; when full, the one that ends first is dropped
+    recurrence_window: int = 30 * SECOND  # a decision that recurs within this time is held for longer
 
     @classmethod
     def from_settings(cls, settings: Mapping[str, Any]) -> "ConsensusConfig":
-        """Return the configuration of settings by key (without its unit); times are microseconds."""
+        """Return the configuration for settings given by key without unit; times are microseconds."""
         return cls(**{FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()})
 
     def reaction_time_bound(
@@ -93,18 +98,18 @@
     ) -> int:
         """Return the microseconds from enough nodes having the evidence until all connected nodes act.
 
-        The sum of the core's look, the fleet's thread, the pace of changes, dissemination, the thread at the
-        other end and the core's next timer.
+        This is the sum of the evidence interval, a tick of the fleet thread, the publish interval, the
+        dissemination, a tick of the receiver's fleet thread and the next timer of its core.
 
         Arguments:
             membership: the configuration of membership.
-            count: of members.
-            loss: part of messages lost, 0 to 1.
+            count: the number of members.
+            loss: the fraction of messages lost, 0 to 1.
             lateness: microseconds by which ticks run late.
         """
         dissemination = membership.dissemination_time(count, loss)
         if count > membership.watch_degree + 1:
-            # Passed on with the usual heartbeats, to two each: a period a step.
+            # Regular heartbeats relay an entry to two members each, so each step takes one period.
             steps = (count // membership.watch_degree).bit_length() + 2
             dissemination += steps * membership.period
         return (
@@ -118,9 +123,9 @@
     def store_reaction_time_bound(
         self, membership: MembershipConfig, count: int, loss: float = 0.0, lateness: int = 0
     ) -> int:
-        """Return the microseconds from a fault of the store until all connected nodes act.
+        """Return the microseconds from an outage of the store until all connected nodes act.
 
-        The observation span has to fill first. The arguments are those of `reaction_time_bound`.
+        The calls in the observation span have to fail first. For the arguments see `reaction_time_bound`.
         """
         return (
             self.observation_span
@@ -136,9 +141,10 @@
         loss: float = 0.0,
         lateness: int = 0,
     ) -> int:
-        """Return the microseconds from the store's return until calls rise again everywhere.
+        """Return the microseconds from the store's recovery until all nodes increase their calls again.
 
-        `recurrences`: how often it fell lately; the other arguments are those of `reaction_time_bound`.
+        `recurrences` is the number of recent recurrences of the outage; for the other arguments see
+        `reaction_time_bound`.
         """
         return (
             2 * self.observation_span
@@ -147,7 +153,7 @@
         )
 
     def hold_time(self, recurrences: int) -> int:
-        """Return the microseconds that a decision stays in force at least, after so many recurrences."""
+        """Return the shortest time in microseconds that a decision stays in force after `recurrences`."""
         return min(self.min_hold_time << recurrences, self.max_hold_time)
 
     def staleness_bound(self) -> int:
@@ -155,24 +161,24 @@
         return self.report_lifetime
 
     def required_reports(self, member_count: int) -> int:
-        """Return the number of reports that a decision on a source needs, of so many members."""
+        """Return the number of reports that a decision on a source needs in a fleet of `member_count`."""
         return max(self.min_reports, ceil(self.source_quorum * member_count))
 
     def excess_messages(self, per_second: int, member_count: int, within: int) -> int:
-        """Return how many messages a source can have sent to all nodes before the last one acts.
+        """Return how many messages a source can send to all nodes before the last node acts on a decision.
 
         Arguments:
-            per_second: that it sends to one node.
-            member_count: of the fleet.
-            within: microseconds between the evidence and the last node that acts.
+            per_second: the rate at which the source sends to one node.
+            member_count: the number of members of the fleet.
+            within: microseconds from the evidence until the last node acts.
         """
         return ceil(per_second * member_count * within / SECOND)
 
 
 def config_errors(config: ConsensusConfig) -> Iterator[FieldProblem]:
-    """Yield what cannot be used."""
+    """Yield each combination of values that cannot be used."""
     if config.store_quorum <= 0:
-        yield FieldProblem("part", "0 lets one node alone speak for all")
+        yield FieldProblem("part", "0 lets a single node decide for the whole fleet")
     if config.report_lifetime < 3 * config.observation_span:
         yield FieldProblem(
             "life_ms",
@@ -188,7 +194,7 @@
 
 
 def config_warnings(config: ConsensusConfig) -> Iterator[FieldProblem]:
-    """Yield what can be used, but is seldom meant."""
+    """Yield each value that can be used but is probably a mistake."""
     if config.min_reports < 2:
         yield FieldProblem("count", "1: one node that is wrong, or lies, shuts a source out for all")
     if config.max_blocked_fraction > 0.5:
--- a/finchcart/consensus/decision.py
+++ b/finchcart/consensus/decision.py
@@ -1,8 +1,8 @@
-"""The rule that makes decisions of reports.
+"""The rules that derive the fleet's decisions from the members' reports.
 
-Pure, without memory: the same reports give the same decisions at everybody, whatever was decided before. So
-after a cut heals there is nothing to settle but which reports are there. What must stay in force for
-a while is kept by active_decisions.py.
+Pure functions without state: the same reports give the same decisions on every node, whatever was decided
+before. So after a network partition heals, nodes agree again as soon as they have the same reports.
+active_decisions.py keeps decisions in force for their hold time.
 """
 
 from bisect import bisect_left
@@ -12,7 +12,7 @@
 
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.messages import ObservationReport
-from finchcart.consensus.observations import MILLION
+from finchcart.consensus.observations import PERCENT_FACTOR
 from finchcart.consensus.subjects import (
     EJECTED,
     LEVEL_SUBJECT,
@@ -25,21 +25,21 @@
     kind_of,
 )
 
-Reports = Mapping[int, Sequence[ObservationReport]]  # id of a member -> what it reports
-Zones = Mapping[int, int]  # id of a member -> hash of its zone
+Reports = Mapping[int, Sequence[ObservationReport]]  # a member's reports, by member id
+Zones = Mapping[int, int]  # the hash of a member's zone, by member id
 
 
 class Decision(NamedTuple):
-    """What the fleet decides of one subject."""
+    """The fleet's decision on one subject."""
 
     value: int
-    votes: int  # reports for it
-    voters: int  # of how many that could know
+    votes: int  # number of members whose reports support the value
+    voters: int  # number of members that could have supported it
 
 
 def decide(reports: Reports, config: ConsensusConfig, member_count: int) -> dict[int, Decision]:
-    """Return subject -> decision, from the reports of `member_count` members of the fleet."""
-    zones = {who: report.value for who, report in _reports_of(reports, ZONE_SUBJECT)}
+    """Return the decisions by subject, from the reports in a fleet of `member_count` members."""
+    zones = {member_id: report.value for member_id, report in _reports_on(reports, ZONE_SUBJECT)}
     decisions: dict[int, Decision] = {}
     store = decide_store(reports, zones, config)
     if store:
@@ -52,25 +52,35 @@
     return decisions
 
 
-def _reports_of(reports: Reports, subject: int) -> list[tuple[int, ObservationReport]]:
+def _reports_on(reports: Reports, subject: int) -> list[tuple[int, ObservationReport]]:
     return [
-        (who, report) for who, of_one in reports.items() for report in of_one if report.subject == subject
+        (member_id, report)
+        for member_id, member_reports in reports.items()
+        for report in member_reports
+        if report.subject == subject
     ]
 
 
 def _are_enough(voters: Collection[int], zones: Zones, config: ConsensusConfig) -> bool:
-    return len(voters) >= config.min_reports and len({zones.get(who) for who in voters}) >= config.min_zones
+    return (
+        len(voters) >= config.min_reports
+        and len({zones.get(member_id) for member_id in voters}) >= config.min_zones
+    )
 
 
 def decide_store(reports: Reports, zones: Zones, config: ConsensusConfig) -> Decision | None:
-    """Decide on the store: those who called it lately vote; where too few did, all who reported it."""
-    of_store = dict(_reports_of(reports, STORE_SUBJECT))
-    votes = {who: value for who, (_, value, is_fresh) in of_store.items() if is_fresh}
+    """Decide on the health of the store.
+
+    Members that called the store within their observation span vote; if they are too few, all members that
+    report on the store do.
+    """
+    store_reports = dict(_reports_on(reports, STORE_SUBJECT))
+    votes = {member_id: value for member_id, (_, value, is_fresh) in store_reports.items() if is_fresh}
     if len(votes) < config.min_reports:
-        votes = {who: value for who, (_, value, _) in of_store.items()}
+        votes = {member_id: value for member_id, (_, value, _) in store_reports.items()}
     for health in (StoreHealth.DOWN, StoreHealth.SLOW):
-        voters = [who for who, value in votes.items() if value >= health]
-        # More than that part: where two halves differ, neither speaks for all.
+        voters = [member_id for member_id, value in votes.items() if value >= health]
+        # More than the quorum, not equal to it: of two halves that differ, neither decides for the fleet.
         if _are_enough(voters, zones, config) and len(voters) > config.store_quorum * len(votes):
             return Decision(health, len(voters), len(votes))
     working = sum(value == StoreHealth.WORKING for value in votes.values())
@@ -82,21 +92,21 @@
 def decide_sources(
     reports: Reports, zones: Zones, config: ConsensusConfig, member_count: int
 ) -> dict[int, Decision]:
-    """Decide which sources are restricted, those reported by most nodes first."""
+    """Decide which sources are restricted; a source that more nodes report takes precedence."""
     by_source: dict[int, dict[int, ObservationReport]] = {}
-    for who, of_one in reports.items():
-        for report in of_one:
+    for member_id, member_reports in reports.items():
+        for report in member_reports:
             if is_source(report.subject):
-                by_source.setdefault(report.subject, {})[who] = report
+                by_source.setdefault(report.subject, {})[member_id] = report
     required = config.required_reports(member_count)
     percent_left = 100 * config.max_blocked_fraction
     decisions = {}
     for source, by_member in sorted(by_source.items(), key=lambda item: (-len(item[1]), item[0])):
         if len(by_member) < required or not _are_enough(by_member, zones, config):
             continue
-        # Guards against rejecting much of all RPCs: what this source carries counts as the median of those
-        # who report it have it.
-        percent = median(weight // MILLION for _, _, weight in by_member.values())
+        # Bounds the fraction of all RPCs that decisions reject: a source's share of the RPCs is the median
+        # of the percentages that its reporters give.
+        percent = median(weight // PERCENT_FACTOR for _, _, weight in by_member.values())
         blocking = sum(value == Restriction.BLOCKED for _, value, _ in by_member.values())
         if blocking >= required and percent <= percent_left:
             percent_left -= percent
@@ -107,7 +117,7 @@
 
 
 def median_without(values: Sequence[float], value: float) -> float:
-    """Return the median of the sorted `values` without one that is `value`, with no sort for each node."""
+    """Return the median of the sorted `values` less one occurrence of `value`, without sorting again."""
     removed = bisect_left(values, value)
     count = len(values) - 1
 
@@ -119,34 +129,36 @@
 
 
 def decide_nodes(reports: Reports, config: ConsensusConfig, member_count: int) -> dict[int, Decision]:
-    """Decide which nodes are ejected: outliers, by their own numbers against the median of the others."""
+    """Decide which nodes are ejected: outliers in failed runs or run time against the others' median."""
     by_member = {
-        who: report
-        for who, of_one in reports.items()
-        for report in of_one
+        member_id: report
+        for member_id, member_reports in reports.items()
+        for report in member_reports
         if kind_of(report.subject) == SubjectKind.NODE
     }
-    of_nodes = list(by_member.values())
-    if len(of_nodes) <= config.min_reports:
+    node_reports = list(by_member.values())
+    if len(node_reports) <= config.min_reports:
         return {}
-    all_failed = sorted(percent_failed for _, percent_failed, _ in of_nodes)
-    all_times = sorted(time for _, _, time in of_nodes)
-    outliers: list[tuple[float, int]] = []  # (negative distance, subject): the farthest first
-    for node, percent_failed, time in of_nodes:
-        usual_failed = median_without(all_failed, percent_failed)
-        usual_time = median_without(all_times, time)
-        if percent_failed >= 100 * config.failed_fraction and usual_failed < 50 * config.failed_fraction:
+    all_failed = sorted(percent_failed for _, percent_failed, _ in node_reports)
+    all_times = sorted(time for _, _, time in node_reports)
+    outliers: list[
+        tuple[float, int]
+    ] = []  # (negative distance from the median, subject): sorts farthest first
+    for node, percent_failed, time in node_reports:
+        median_failed = median_without(all_failed, percent_failed)
+        median_time = median_without(all_times, time)
+        if percent_failed >= 100 * config.failed_fraction and median_failed < 50 * config.failed_fraction:
             outliers.append((-percent_failed, node))
-        elif usual_time and time >= config.slow_factor * usual_time:
-            outliers.append((-time / usual_time, node))
-    others = len(of_nodes) - 1
-    most = int(config.max_ejected_fraction * member_count)
-    return {node: Decision(EJECTED, others, others) for _, node in sorted(outliers)[:most]}
+        elif median_time and time >= config.slow_factor * median_time:
+            outliers.append((-time / median_time, node))
+    others = len(node_reports) - 1
+    max_ejected = int(config.max_ejected_fraction * member_count)
+    return {node: Decision(EJECTED, others, others) for _, node in sorted(outliers)[:max_ejected]}
 
 
 def decide_level(reports: Reports, config: ConsensusConfig) -> Decision | None:
-    """Decide on the level of load shedding: the lower median, which fewer than half cannot move."""
-    levels = [report.value for _, report in _reports_of(reports, LEVEL_SUBJECT)]
+    """Decide on the load-shedding level: the lower median, which fewer than half of the nodes cannot move."""
+    levels = [report.value for _, report in _reports_on(reports, LEVEL_SUBJECT)]
     if len(levels) < config.min_reports:
         return None
     level = median_low(levels)
@@ -154,7 +166,7 @@
 
 
 class FaultThresholds(NamedTuple):
-    """How many wrong or lying nodes it takes to move a decision of each kind."""
+    """The number of faulty or lying nodes that can change a decision of each kind."""
 
     store: int
     source: int
@@ -163,7 +175,7 @@
 
 
 def fault_thresholds(config: ConsensusConfig, member_count: int) -> FaultThresholds:
-    """Return how many wrong or lying nodes of `member_count` it takes, by the rule alone."""
+    """Return the thresholds in a fleet of `member_count`, from the decision rules alone."""
     half = member_count // 2
     return FaultThresholds(
         store=max(config.min_reports, int(config.store_quorum * member_count) + 1),
--- a/finchcart/consensus/effects.py
+++ b/finchcart/consensus/effects.py
@@ -1,16 +1,13 @@
-"""The effect of a consensus store, besides those of finchcart/fleet/effects.py.
-
-Owns its type alone.
-"""
+"""The effect that a consensus store emits in addition to those of finchcart/fleet/effects.py."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 
 class DecisionsChanged(NamedTuple):
-    """All decisions in force for this node, where one of them changed."""
+    """The full set of decisions in force for this node, emitted when at least one has changed."""
 
     store: int  # a `StoreHealth`
-    sources: Mapping[int, int]  # subject of a restricted source -> a `Restriction`
-    is_ejected: bool  # this node is to report itself unhealthy
-    minimum_level: float  # of load shedding: the least that this node may announce, 0 to 1
+    sources: Mapping[int, int]  # the `Restriction` of each restricted source, by subject
+    is_ejected: bool  # true: this node must report itself as unhealthy
+    minimum_level: float  # the lowest load-shedding level that this node may announce, 0 to 1
--- a/finchcart/consensus/fleet_decisions.py
+++ b/finchcart/consensus/fleet_decisions.py
@@ -1,7 +1,8 @@
-"""What the fleet decides, as this node works it out of all reports, and the overrides over it.
+"""The fleet's decisions as this node derives them from all reports, and the operators' overrides.
 
-Owns the reports of the others, the decisions in force and operators' overrides. It must never publish
-anything, nor act on a decision. Times are microseconds on the boot clock.
+Owns the other members' reports, the decisions in force and the overrides, which take precedence over
+decisions. This module must never publish anything, nor act on a decision. Times are microseconds on the boot
+clock.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -19,11 +20,11 @@
 
 NO_LEVEL = Decision(0, 0, 0)
 
-MemberReports = Mapping[int, Sequence[ObservationReport]]  # id of a member -> its reports
+MemberReports = Mapping[int, Sequence[ObservationReport]]  # a member's reports, by member id
 
 
-class DecisionBasis(NamedTuple):
-    """What decisions were made of: the same gives the same."""
+class DecisionInputs(NamedTuple):
+    """All that the decision rules depend on; decisions are derived anew only when it changes."""
 
     reports: MemberReports
     member_count: int
@@ -32,15 +33,17 @@
 
 
 class FleetDecisions:
-    """Bounded by the members there are, by what they report, and by `config.max_overrides`.
+    """Derives decisions from reports and keeps those in force, with the overrides.
+
+    Its state is bounded by the number of members, by their reports and by `config.max_overrides`.
 
     Arguments:
-        own_subject: of this node.
+        own_subject: the subject of this node.
         config: thresholds and durations.
-        count: counts what was left out, by reason.
+        count: counts ignored entries, by reason.
 
     Attributes:
-        level: of load shedding, as the fleet decides it, 0 to 1.
+        level: the load-shedding level that the fleet decided on, 0 to 1.
     """
 
     def __init__(self, own_subject: int, config: ConsensusConfig, count: Callable[[str], None]) -> None:
@@ -49,43 +52,43 @@
         self.overrides = OverrideTable(config.max_overrides)
         self.active = ActiveDecisions(own_subject, config)
         self.level = 0.0
-        self._basis: DecisionBasis | None = None
+        self._last_inputs: DecisionInputs | None = None
         self._decisions: dict[int, Decision] = {}
 
     def set_config(self, config: ConsensusConfig) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration to all parts."""
         self.config = config
         self.collector.config = config
         self.active.config = config
         self.overrides.max_overrides = config.max_overrides
 
     def on_clock_gap(self) -> None:
-        """Drop what was decided before a suspension; others may have seen otherwise meanwhile."""
+        """Drop the decisions from before a suspension; the other nodes may have decided differently since."""
         self.active.clear()
         self.collector.on_clock_gap()
 
     def update(self, now: int, member: Member, reports: MemberReports, *, is_alone: bool) -> None:
-        """Decide anew.
+        """Derive the decisions from the present reports and update those in force.
 
         Arguments:
             now: microseconds on the boot clock.
-            member: on whose heartbeats the reports are piggybacked.
-            reports: that count, this node's among them.
-            is_alone: this node has no contact with the fleet: its own reports are enough, and the only ones.
+            member: the membership protocol of this node; reports are piggybacked on its heartbeats.
+            reports: the accepted reports by member id, those of this node included.
+            is_alone: this node has no contact with the fleet and decides by its own reports alone.
         """
-        basis = DecisionBasis(reports, self.collector.member_count, is_alone, self.config)
-        if basis != self._basis:
+        inputs = DecisionInputs(reports, self.collector.member_count, is_alone, self.config)
+        if inputs != self._last_inputs:
             config = self.config
             if is_alone:
                 config = replace(config, min_reports=1, min_zones=1, source_quorum=0.0)
-            self._basis = basis
-            self._decisions = decide(reports, config, basis.member_count)
+            self._last_inputs = inputs
+            self._decisions = decide(reports, config, inputs.member_count)
         decisions = dict(self._decisions)
         self.level = decisions.pop(LEVEL_SUBJECT, NO_LEVEL).value / LEVEL_SCALE
         self.active.update(now, decisions, self.reaction_time_bound(member))
 
     def values_in_force(self) -> dict[int, int]:
-        """Return subject -> value: of decisions, and over them the overrides of operators."""
+        """Return the values in force by subject; an operator's override replaces a decision."""
         values = self.active.values()
         for subject, override in self.overrides.by_subject.items():
             if override.message.value and kind_of(subject) != SubjectKind.LEVEL:
@@ -93,14 +96,17 @@
         return values
 
     def minimum_level(self) -> float:
-        """Return the least level that nodes may announce: the fleet's less a step, or an override."""
+        """Return the lowest shed level that nodes may announce.
+
+        This is an operator's override, or else the fleet's level less `level_step`.
+        """
         overridden = self.overrides.active_value(LEVEL_SUBJECT)
         if overridden:
             return overridden / LEVEL_SCALE
         return max(0.0, self.level - self.config.level_step)
 
     def reaction_time_bound(self, member: Member) -> int:
-        """Return the microseconds until all connected nodes act, at the measured loss and lateness."""
+        """Return the microseconds until all connected nodes act, at the measured loss and tick delay."""
         return self.config.reaction_time_bound(
             member.config, self.collector.member_count, member.loss, member.lateness
         )
--- a/finchcart/consensus/inputs.py
+++ b/finchcart/consensus/inputs.py
@@ -1,7 +1,4 @@
-"""The inputs of a consensus store, besides those of finchcart/fleet/inputs.py.
-
-Owns their types alone.
-"""
+"""The inputs that a consensus store takes in addition to those of finchcart/fleet/inputs.py."""
 
 from typing import NamedTuple
 
@@ -10,12 +7,12 @@
 
 
 class EvidenceCollected(NamedTuple):
-    """What the core of this node observed since the last evidence."""
+    """The core of this node hands over its latest observations."""
 
     evidence: Evidence
 
 
 class ConsensusConfigChanged(NamedTuple):
-    """The settings were read again."""
+    """The settings were reloaded; this is the new configuration."""
 
     config: ConsensusConfig
--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What a member publishes of its observations in a gossip entry, and the messages of the command line.
+"""The reports and overrides in gossip entries, and the messages exchanged with the command line.
 
-Owns their fields and limits; see store.py for what they mean. It must never act on one. The order of the
-fields and the tags are the wire format: they stay, whatever the fields are called here.
+Owns their fields and limits; store.py handles them. This module must never act on a message. The order of the
+fields and the tags are the wire format and must not change; the names of the fields are not sent.
 """
 
 from typing import Annotated, NamedTuple
@@ -22,7 +22,7 @@
 
 
 class ObservationReport(NamedTuple):
-    """What one node reports of one subject; see `Observer.reports` for value and weight."""
+    """One node's report on one subject; see `Observer.reports` for the meaning of value and weight."""
 
     subject: Unsigned64
     value: Unsigned53
@@ -30,31 +30,31 @@
 
 
 class OperatorOverride(Struct, array_like=True, frozen=True):
-    """An operator's override of a decision, as it is gossiped; `value` 0 revokes it."""
+    """An operator's override of a decision, as it is gossiped; a `value` of 0 revokes an earlier one."""
 
     subject: Unsigned64
     value: OverrideValue
     number: Unsigned53
     incarnation: Unsigned53
     issuer: Unsigned64
-    remaining_us: Unsigned53  # from when the gossip entry that carries it was written
+    remaining_us: Unsigned53  # counted from the time at which the gossip entry was written
     reason: Reason
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Orders the overrides of one subject: the higher is the newer."""
+        """The sort key of the overrides of one subject: the newer override has the higher key."""
         return self.number, self.incarnation, self.issuer
 
 
 class ConsensusStatusRequest(Struct, array_like=True, frozen=True, tag=40):
-    """A question of the command line for one page of the decisions."""
+    """The command line asks for one page of the decisions in force."""
 
     number: Unsigned53
     page: Annotated[int, Meta(ge=0, lt=256)] = 0
 
 
 class OverrideRequest(Struct, array_like=True, frozen=True, tag=41):
-    """An operator's override for a time; `value` 0 revokes it."""
+    """An operator issues an override for a limited time; a `value` of 0 revokes an earlier one."""
 
     number: Unsigned53
     subject: Unsigned64
@@ -64,7 +64,7 @@
 
 
 class ConsensusStatusResponse(Struct, array_like=True, frozen=True, tag=42):
-    """The answer to a request of that number."""
+    """The response to the request that has the same number."""
 
     number: Unsigned53
     view: dict
@@ -83,7 +83,7 @@
 
 
 def decode_reports(payload: bytes) -> list[ObservationReport] | None:
-    """Return the reports in a gossip entry, or None where they cannot be read."""
+    """Return the reports in a gossip entry, or None if they cannot be decoded."""
     try:
         return _reports_decoder.decode(payload)
     except msgspec.DecodeError:
@@ -91,7 +91,7 @@
 
 
 def decode_overrides(payload: bytes) -> list[OperatorOverride] | None:
-    """Return the overrides in a gossip entry, or None where they cannot be read."""
+    """Return the overrides in a gossip entry, or None if they cannot be decoded."""
     try:
         return _overrides_decoder.decode(payload)
     except msgspec.DecodeError:
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -1,7 +1,8 @@
-"""One node's observer: the reports that it makes of what its core saw.
+"""The observer of a node, which turns the evidence of the node's core into reports.
 
-Owns the evidence of the last spans and its bounds; it must never take other nodes' reports into account.
-Deterministic: the same evidence at the same times gives the same reports. Times are whole microseconds.
+Owns the evidence within the observation windows and its bounds. This module must never take other nodes'
+reports into account. It is deterministic: the same evidence at the same times gives the same reports. Times
+are whole microseconds.
 """
 
 from collections import deque
@@ -21,15 +22,15 @@
     kind_of,
 )
 
-MILLION = 10**6  # the weight of a source is its percentage of RPCs times this, plus its rate
-LEVEL_STEPS = 20  # of a level, as it is reported
+PERCENT_FACTOR = 10**6  # the weight of a source's report is its percentage of RPCs times this, plus its rate
+LEVEL_STEPS = 20  # a reported load-shedding level is rounded to one of so many steps
 LEVEL_STEP_THOUSANDTHS = 1000 // LEVEL_STEPS
-EVICTION_ATTEMPTS = 8  # sources looked at for one that can go
-CALL_TIME_SMOOTHING = 64  # a new mean counts for one part in so many
+EVICTION_ATTEMPTS = 8  # sources examined to find one that can be evicted
+CALL_TIME_SMOOTHING = 64  # a new mean has the weight 1/64 in the moving average
 
 
 class SlidingSums:
-    """Sums of tuples of `width` numbers over the last `span` microseconds; bounded by the looks in it."""
+    """Sums of tuples of `width` numbers over the last `span` microseconds; bounded by the samples in it."""
 
     def __init__(self, span: int, width: int) -> None:
         self.span = span
@@ -38,25 +39,25 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is left in the span."""
+        """Whether the span holds no sample other than zeros."""
         return not self._items
 
     def add(self, now: int, item: Sequence[int]) -> None:
-        """Add one look's numbers."""
+        """Add one sample."""
         if any(item):
             self._items.append((now, item))
             self.sums = [total + number for total, number in zip(self.sums, item, strict=True)]
         self.expire(now)
 
     def expire(self, now: int) -> None:
-        """Take out what is older than the span."""
+        """Remove the samples that are older than the span."""
         while self._items and self._items[0][0] <= now - self.span:
             _, item = self._items.popleft()
             self.sums = [total - number for total, number in zip(self.sums, item, strict=True)]
 
 
 class ObservedSource:
-    """What one source did, and what is reported of it."""
+    """The traffic of one source within the window, and the restriction that is reported for it."""
 
     def __init__(self, config: ConsensusConfig) -> None:
         self.sums = SlidingSums(config.source_span, len(SourceCounts()))
@@ -65,26 +66,26 @@
         self.worst_count = 0
 
     def restrict(self, restriction: Restriction, until: int, count: int) -> None:
-        """Report a restriction until then, for a count of messages."""
+        """Report a restriction until the time `until`, because of `count` messages."""
         self.restriction = restriction
         self.restricted_until = until
         self.worst_count = count
 
 
 class Observer:
-    """Bounded by `config.max_sources` sources.
+    """Derives a node's reports from its evidence; observes at most `config.max_sources` sources.
 
     Arguments:
-        own_subject: of this node.
+        own_subject: the subject of this node.
         config: spans and thresholds.
-        zone: the hash of the zone it stands in, 0 for none.
+        zone: the hash of this node's zone, 0 for none.
     """
 
     def __init__(self, own_subject: int, config: ConsensusConfig, zone: int = 0) -> None:
         self.own_subject = own_subject
         self.config = config
         self.zone = zone
-        self._usual_call_time: float | None = None  # as it was while the store worked
+        self._usual_call_time: float | None = None  # moving average, of calls while the store was working
         self._clear()
 
     def _clear(self) -> None:
@@ -95,18 +96,18 @@
         self.sources: dict[int, ObservedSource] = {}
         self._store: StoreHealth | None = None
         self._store_seen_at = 0
-        self._runs_summary: tuple[int, int] | None = None  # percent that failed, mean microseconds
+        self._runs_summary: tuple[int, int] | None = None  # percentage of failed runs, mean microseconds
         self._runs_seen_at = 0
         self._level = 0.0
 
-    def forget(self) -> None:
-        """Drop what was seen: it is of before a suspension."""
+    def reset(self) -> None:
+        """Drop all evidence, as it dates from before a suspension of this process."""
         self._clear()
 
-    # ---- what is seen
+    # ---- evidence
 
     def observe(self, now: int, evidence: Evidence) -> None:
-        """Take what the core saw since the last look."""
+        """Take the evidence that the core collected since its previous evidence."""
         calls = evidence.calls
         self.calls.add(now, calls)
         self.runs.add(now, evidence.runs)
@@ -120,7 +121,7 @@
 
     def _observe_store(self, now: int, was_called: bool) -> None:
         succeeded, failed, time = self.calls.sums
-        # One probe call is enough to see that a store which was down is back.
+        # While the store is down only probe calls reach it, and one of them is enough to show its recovery.
         required = 1 if self._store == StoreHealth.DOWN else self.config.min_calls
         if was_called and succeeded + failed >= required:
             self._store = self._judge_store(succeeded, failed, time)
@@ -149,17 +150,17 @@
     def _observe_source(self, now: int, subject: int, counts: SourceCounts) -> None:
         source = self.sources.get(subject)
         if source is None:
-            if len(self.sources) >= self.config.max_sources and not self._make_room():
+            if len(self.sources) >= self.config.max_sources and not self._evict_source():
                 return
             source = ObservedSource(self.config)
             self.sources[subject] = source
         source.sums.add(now, counts)
 
-    def _make_room(self) -> bool:
-        """Evict one source: of the oldest few, the first of which nothing is reported.
+    def _evict_source(self) -> bool:
+        """Evict the oldest source without a restriction, among the few oldest sources.
 
-        Bounds the memory and time that sources without end would take. Return False where something is
-        reported of each.
+        This bounds memory and time where new sources keep appearing. Return False if each source examined
+        has a restriction that is reported.
         """
         for _ in range(EVICTION_ATTEMPTS):
             subject = next(iter(self.sources))
@@ -188,14 +189,19 @@
             if not source.restriction and source.sums.is_empty:
                 del self.sources[subject]
 
-    # ---- what is reported
+    # ---- reports
 
     def reports(self, now: int) -> list[ObservationReport]:
-        """Return what this node reports now, in coarse steps, so that a healthy node seldom changes it.
+        """Return the reports of this node, in coarse steps so that a healthy node's seldom change.
 
-        Of the store the weight is 1 where there is evidence of the last span; of a source its percentage of
-        the well-formed RPCs times a million, and what it does a second; of the node itself the value is its
-        failed runs in percent, the weight the mean time of a run; of the level the value is in thousandths.
+        Value and weight depend on the kind of the subject:
+
+        - Store: the value is a `StoreHealth`, the weight 1 if there were calls within the last span, else 0.
+        - Source: the value is a `Restriction`, the weight the source's percentage of the well-formed RPCs
+          times `PERCENT_FACTOR`, plus its rate of excess messages a second.
+        - This node: the value is the percentage of its runs that failed, the weight the mean time of a run.
+        - Level: the value is the load-shedding level in thousandths.
+        - Zone: the value is the hash of this node's zone.
         """
         level = LEVEL_STEP_THOUSANDTHS * round(LEVEL_STEPS * self._level)
         reports = [ObservationReport(ZONE_SUBJECT, self.zone, 0), ObservationReport(LEVEL_SUBJECT, level, 0)]
@@ -216,9 +222,11 @@
 
     def _report_source(self, subject: int) -> ObservationReport:
         source = self.sources[subject]
-        restriction = source.restriction or Restriction.NONE  # a restriction, as `_worst_sources` chose it
+        restriction = (
+            source.restriction or Restriction.NONE
+        )  # never NONE: `_worst_sources` chose restricted ones
         all_rpcs = max(1, self.rpcs.sums[0])
         rpcs = SourceCounts(*source.sums.sums).rpcs
         percent = min(100, 100 * rpcs // all_rpcs)
-        rate = min(MILLION - 1, source.worst_count * MILLION // self.config.source_span)
-        return ObservationReport(subject, restriction, percent * MILLION + rate)
+        rate = min(PERCENT_FACTOR - 1, source.worst_count * PERCENT_FACTOR // self.config.source_span)
+        return ObservationReport(subject, restriction, percent * PERCENT_FACTOR + rate)
--- a/finchcart/consensus/overrides.py
+++ b/finchcart/consensus/overrides.py
@@ -1,17 +1,18 @@
-"""Operators' overrides: decisions of a person, which take precedence over those of the fleet for a time.
+"""Operators' overrides: values set by a person, which replace the fleet's decisions for a limited time.
 
-Owns the newest override of each subject, and when it ends. It must never gossip by itself: publisher.py does.
+Owns the newest override of each subject and the time at which it ends. This module must never send gossip:
+publisher.py does.
 """
 
 import msgspec
 
 from finchcart.consensus.messages import OperatorOverride
 
-OVERRIDES_AT_ONCE = 3  # in one gossip entry
+OVERRIDES_PER_ENTRY = 3  # the most that are published in one gossip entry
 
 
 class Override:
-    """An override, when it ends here, and the name of the node that it came from."""
+    """An override, the time at which it ends on this node's boot clock, and the node that published it."""
 
     __slots__ = ("ends_at", "message", "origin")
 
@@ -20,42 +21,44 @@
         self.ends_at = ends_at
         self.origin = origin
 
-    def as_sent(self, now: int) -> OperatorOverride:
-        """Return the message with the time that is left at `now`."""
+    def message_at(self, now: int) -> OperatorOverride:
+        """Return the message with the time that remains at `now`."""
         return msgspec.structs.replace(self.message, remaining_us=max(0, self.ends_at - now))
 
 
 class OverrideTable:
-    """Bounded by `max_overrides`; the one that ends first goes when full."""
+    """The overrides by subject, at most `max_overrides`; when full, the one that ends first is dropped."""
 
     def __init__(self, max_overrides: int) -> None:
         self.max_overrides = max_overrides
         self.by_subject: dict[int, Override] = {}
-        self._gossiped = 0  # turns so far, of those gossiped in turn
+        self._rotation = 0  # count of overrides returned by `next_in_rotation`
 
     def __len__(self) -> int:
         return len(self.by_subject)
 
     def get(self, subject: int) -> Override | None:
-        """Return the override of a subject, a revoked one too."""
+        """Return the override of a subject, also if it is revoked."""
         return self.by_subject.get(subject)
 
     def active_value(self, subject: int) -> int:
-        """Return the value of a subject's override; 0 where there is none or it is revoked."""
+        """Return the value of a subject's override, or 0 if there is none or it is revoked."""
         override = self.by_subject.get(subject)
         return override.message.value if override else 0
 
     def receive(self, now: int, message: OperatorOverride, ends_at: int, origin: str) -> bool:
-        """Take an override where it is newer than what is held, whichever side of a partition issued it.
+        """Store an override if it is newer than the stored one of its subject.
+
+        Precedence alone decides, so both sides of a network partition agree once it heals.
 
         Arguments:
             now: boot clock, microseconds.
-            message: as it was gossiped.
+            message: the override as it was gossiped.
             ends_at: boot clock, microseconds.
-            origin: the name of the node that it came from.
+            origin: the name of the node that published it.
 
         Returns:
-            Whether it was taken.
+            Whether it was stored.
         """
         held = self.by_subject.get(message.subject)
         if ends_at <= now or (held is not None and message.precedence < held.message.precedence):
@@ -70,18 +73,18 @@
         return True
 
     def expire(self, now: int) -> None:
-        """Take out what has ended."""
-        for subject in [one for one, override in self.by_subject.items() if override.ends_at <= now]:
+        """Drop the overrides that have ended."""
+        for subject in [key for key, override in self.by_subject.items() if override.ends_at <= now]:
             del self.by_subject[subject]
 
     def newest(self) -> list[Override]:
-        """Return the newest, as many as go with one gossip entry."""
-        return list(self.by_subject.values())[-OVERRIDES_AT_ONCE:]
+        """Return the newest overrides, as many as fit into one gossip entry."""
+        return list(self.by_subject.values())[-OVERRIDES_PER_ENTRY:]
 
-    def next_in_turn(self) -> list[Override]:
-        """Return those that are gossiped next, all in turn."""
+    def next_in_rotation(self) -> list[Override]:
+        """Return the overrides for the next gossip entry, chosen round-robin."""
         overrides = list(self.by_subject.values())
-        count = min(OVERRIDES_AT_ONCE, len(overrides))
-        chosen = [overrides[(self._gossiped + offset) % len(overrides)] for offset in range(count)]
-        self._gossiped += count
+        count = min(OVERRIDES_PER_ENTRY, len(overrides))
+        chosen = [overrides[(self._rotation + offset) % len(overrides)] for offset in range(count)]
+        self._rotation += count
         return chosen
--- a/finchcart/consensus/publisher.py
+++ b/finchcart/consensus/publisher.py
@@ -1,6 +1,7 @@
-"""Publishes this node's reports and the overrides that it knows, in gossip entries of its member.
+"""Publication of this node's reports, and of the overrides that it knows, in gossip entries.
 
-Owns what was published last, and when. It must never decide what is reported: observations.py does.
+Owns the reports published last and the times of publication. This module must never decide what is reported:
+observations.py does.
 """
 
 from finchcart.consensus.config import ConsensusConfig
@@ -11,11 +12,13 @@
 from finchcart.membership.member import Member
 from finchcart.membership.messages import GossipTopic
 
-CONFIRMATIONS_PER_LIFETIME = 3  # of a report that did not change, so that others do not take it for void
+CONFIRMATIONS_PER_LIFETIME = (
+    3  # an unchanged report is published again before its lifetime ends at the others
+)
 
 
 class ReportPublisher:
-    """Bounded by one gossip entry for reports and one for overrides."""
+    """Publishes at most one gossip entry for reports and one for overrides at a time."""
 
     def __init__(self, config: ConsensusConfig) -> None:
         self.config = config
@@ -24,20 +27,21 @@
         self._overrides_published_at = 0
 
     def on_clock_gap(self) -> None:
-        """Publish at once after a suspension."""
+        """Make the next tick publish the reports as changed, after a suspension of this process."""
         self._published = None
 
     def on_new_override(self) -> None:
-        """Gossip overrides with the next tick."""
+        """Make the next tick publish overrides."""
         self._overrides_published_at = 0
 
     def publish(
         self, now: int, member: Member, reports: list[ObservationReport], overrides: OverrideTable
     ) -> None:
-        """Publish what is due, once a tick.
+        """Publish the reports and overrides that are due; called once a tick.
 
-        Changes go at the pace that the configuration sets, urgent ones to all watched members at once, others
-        with the usual heartbeats. What did not change is confirmed before others take it for void.
+        Changes are published `min_publish_interval` apart: urgent ones are sent to all watched members at
+        once, others go with the regular heartbeats. Unchanged reports are published again before their
+        lifetime ends at the other members.
         """
         age = now - self._published_at
         is_changed = self._published is None or reports != self._published
@@ -48,7 +52,7 @@
             payload = encode_value(reports)
             member.publish(now, GossipTopic.OBSERVATIONS, [], payload, is_urgent=is_urgent)
         if len(overrides) and now - self._overrides_published_at >= self.config.min_publish_interval:
-            self._publish_overrides_in_turn(now, member, overrides)
+            self._publish_next_overrides(now, member, overrides)
 
     def publish_newest_overrides(self, now: int, member: Member, overrides: OverrideTable) -> None:
         """Publish the newest overrides at once."""
@@ -58,8 +62,8 @@
     def _confirmation_interval(self) -> int:
         return self.config.report_lifetime // CONFIRMATIONS_PER_LIFETIME
 
-    def _publish_overrides_in_turn(self, now: int, member: Member, overrides: OverrideTable) -> None:
-        chosen = overrides.next_in_turn()
+    def _publish_next_overrides(self, now: int, member: Member, overrides: OverrideTable) -> None:
+        chosen = overrides.next_in_rotation()
         is_recent = now - self._overrides_published_at < self._confirmation_interval
         if len(chosen) < len(overrides) or not is_recent:
             self._publish_overrides(now, member, chosen)
@@ -68,12 +72,15 @@
         self, now: int, member: Member, overrides: list[Override], *, is_urgent: bool = False
     ) -> None:
         self._overrides_published_at = now
-        payload = encode_value([override.as_sent(now) for override in overrides])
+        payload = encode_value([override.message_at(now) for override in overrides])
         member.publish(now, GossipTopic.OVERRIDES, [], payload, is_urgent=is_urgent)
 
 
 def _urgent_part(reports: list[ObservationReport]) -> list[tuple[int, ...]]:
-    """Return what a change of is urgent: not of the level or a node, nor of how much a source does."""
+    """Return the part of the reports whose change is urgent.
+
+    Changes of the level, of a node's runs and of the weight of a source are not.
+    """
     return [
         report[:2] if is_source(report.subject) else report
         for report in reports
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from finchcart.consensus.fleet_decisions import FleetDecisions, MemberReports
-from finchcart.consensus.observations import MILLION
+from finchcart.consensus.observations import PERCENT_FACTOR
 from finchcart.consensus.subjects import describe, node_subject
 from finchcart.membership.member import Member
 
@@ -107,7 +107,7 @@
     def _excess_messages(self, member: Member, reports: MemberReports, subject: int) -> int:
         """Return how much can have come of a source between the evidence and the last node that acts."""
         rates = [
-            report.weight % MILLION
+            report.weight % PERCENT_FACTOR
             for of_one in reports.values()
             for report in of_one
             if report.subject == subject
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -128,7 +128,7 @@
     def _on_clock_gap(self, now: int) -> None:
         """Drop what was seen and decided before a suspension; others may have seen otherwise meanwhile."""
         self.count("gaps")
-        self.observer.forget()
+        self.observer.reset()
         self._quiet_until = now + self.config.quiet_period
         self.decisions.on_clock_gap()
         self.publisher.on_clock_gap()
--- a/tests/test_consensus_decision.py
+++ b/tests/test_consensus_decision.py
@@ -9,7 +9,7 @@
 from finchcart.consensus.messages import (
     ObservationReport,
 )
-from finchcart.consensus.observations import MILLION
+from finchcart.consensus.observations import PERCENT_FACTOR
 from finchcart.consensus.subjects import (
     LEVEL_SUBJECT,
     STORE_SUBJECT,
@@ -28,7 +28,7 @@
 
 
 def source_report(subject, percent=1, value=BLOCKED):
-    return [ObservationReport(subject, value, percent * MILLION + 5)]
+    return [ObservationReport(subject, value, percent * PERCENT_FACTOR + 5)]
 
 
 def node_report(n, percent_failed=0, time=1000):
