--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -8,10 +8,10 @@
 
 from finchcart.consensus.config import ConsensusConfig
 from finchcart.consensus.decision import Decision
-from finchcart.consensus.subjects import GOOD
+from finchcart.consensus.subjects import HEALTHY
 
 MAX_RECURRENCES = 10  # further recurrences don't lengthen the hold time
-NO_DECISION = Decision(GOOD, 0, 0)
+NO_DECISION = Decision(HEALTHY, 0, 0)
 
 
 class ActiveDecision:
@@ -74,7 +74,7 @@
         if self.own_subject not in decisions:
             self._ejected_since = None
         for subject, decision in decisions.items():
-            if decision.value != GOOD and not self._waits_for_others(now, subject, reaction_time_bound):
+            if decision.value != HEALTHY and not self._waits_for_others(now, subject, reaction_time_bound):
                 self._put_in_force(now, subject, decision)
         self._end_expired(now, decisions)
         self._forget_ended(now)
@@ -110,7 +110,7 @@
 
     def _end_expired(self, now: int, decisions: Mapping[int, Decision]) -> None:
         for subject, active in list(self.by_subject.items()):
-            if now >= active.hold_ends_at and decisions.get(subject, NO_DECISION).value == GOOD:
+            if now >= active.hold_ends_at and decisions.get(subject, NO_DECISION).value == HEALTHY:
                 del self.by_subject[subject]
                 self._ended[subject] = EndedDecision(now, active.recurrences)
 
--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping
 
 from finchcart.consensus.active_decisions import ActiveDecision
-from finchcart.consensus.subjects import GOOD, SubjectKind, describe, kind_of
+from finchcart.consensus.subjects import HEALTHY, SubjectKind, describe, kind_of
 from finchcart.fleet.effects import LogLine
 
 
@@ -42,7 +42,7 @@
             if kind_of(subject) != SubjectKind.NODE or subject == self.own_subject
         }
         for subject in {**previously_logged, **self._logged}:
-            value = self._logged.get(subject, GOOD)
+            value = self._logged.get(subject, HEALTHY)
             if previously_logged.get(subject) != self._logged.get(subject):
                 yield _line(subject, value, decisions.get(subject), node_names)
 
--- a/finchcart/consensus/status.py
+++ b/finchcart/consensus/status.py
@@ -1,6 +1,6 @@
-"""The answer to the command line's question for the decisions in force, page by page.
+"""The status of consensus as the command line requests it, page by page.
 
-Owns the fields that an operator sees; their names are those of docs/operate/verdicts.md.
+Owns the fields that an operator sees; their names are documented in docs/operate/verdicts.md.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,12 +17,12 @@
 
 
 class ConsensusStatus:
-    """Reports what is in force at the time of the request.
+    """Builds the pages of the status from the decisions and overrides in force.
 
     Arguments:
-        name: of this node.
-        decisions: in force here.
-        counts: reason -> how often, of the consensus store.
+        name: the name of this node.
+        decisions: the decisions and overrides of this node.
+        counts: the counters of the consensus store, by reason.
     """
 
     def __init__(self, name: str, decisions: FleetDecisions, counts: Mapping[str, int]) -> None:
@@ -31,17 +31,17 @@
         self.counts = counts
 
     def empty_page(self) -> dict[str, Any]:
-        """Return the page of a store that did not take part in the fleet yet."""
+        """Return the page of a consensus store that has not had its first tick yet."""
         return {"name": self.name, "verdicts": [], "pages": 1}
 
     def page(self, now: int, member: Member, collect: CollectReports, page: int) -> dict[str, Any]:
-        """Return one page; the first has the bounds and counters besides.
+        """Return one page; the first also has the time bounds and the counters.
 
         Arguments:
             now: microseconds on the boot clock.
-            member: on whose heartbeats reports are piggybacked.
-            collect: gives the reports of all members.
-            page: its number, from 0.
+            member: the membership protocol of this node.
+            collect: returns the accepted reports of all members.
+            page: the number of the page, from 0.
         """
         rows = self._rows(now, member, collect)
         first = DECISIONS_PER_PAGE * page
@@ -58,16 +58,17 @@
         config = decisions.config
         collector = decisions.collector
         recurrences = decisions.active.max_recurrences()
-        fleet = member.config, collector.member_count
-        measured = member.loss, member.lateness
+        fleet_arguments = member.config, collector.member_count
+        measurements = member.loss, member.lateness
         return {
             "members": collector.member_count,
             "heard": collector.reporting_count,
             "oldest_ms": collector.oldest_age // 1000,
             "stale_at_most_ms": config.staleness_bound() // 1000,
             "acts_within_ms": decisions.reaction_time_bound(member) // 1000,
-            "store_within_ms": config.store_reaction_time_bound(*fleet, *measured) // 1000,
-            "back_within_ms": config.store_recovery_time_bound(*fleet, recurrences, *measured) // 1000,
+            "store_within_ms": config.store_reaction_time_bound(*fleet_arguments, *measurements) // 1000,
+            "back_within_ms": config.store_recovery_time_bound(*fleet_arguments, recurrences, *measurements)
+            // 1000,
             "level": decisions.level,
             "counts": self.counts,
         }
@@ -87,7 +88,7 @@
         return rows
 
     def _origin(self, now: int, subject: int) -> dict[str, Any]:
-        """Return who decided it, and since or until when."""
+        """Return the row's fields on the override or on the decision that set the value of `subject`."""
         override = self.decisions.overrides.get(subject)
         if override is not None and override.message.value:
             return {
@@ -105,11 +106,11 @@
         }
 
     def _excess_messages(self, member: Member, reports: MemberReports, subject: int) -> int:
-        """Return how much can have come of a source between the evidence and the last node that acts."""
+        """Return the most messages that a source can send after the evidence until the last node acts."""
         rates = [
             report.weight % PERCENT_FACTOR
-            for of_one in reports.values()
-            for report in of_one
+            for member_reports in reports.values()
+            for report in member_reports
             if report.subject == subject
         ]
         rate = max(rates, default=0) or 1
@@ -120,6 +121,6 @@
 
 
 def node_names(member: Member) -> dict[int, str]:
-    """Return subject of a node -> its name, of all members."""
+    """Return the names of all members, by the subjects of their nodes."""
     names = (known.record.name for known in member.known_members.values())
     return {node_subject(name): name for name in names}
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -1,14 +1,14 @@
-"""The consensus store of a node: its reports, those of the others, operators' overrides, and what follows.
+"""The consensus store: a state machine that combines the reports of all members with operators' overrides.
 
-Owns the joining of them. `reduce(now, event)` takes one input and returns effects, and `turn(now, member)`
-comes with each tick of the member on whose heartbeats the reports are piggybacked; no I/O, clock or lock.
-`now` is the boot clock in whole microseconds. It must never act on a decision.
+`reduce(now, event)` takes one input and returns effects. `turn(now, member)` is called with each tick of the
+member, the membership protocol on whose heartbeats the reports are piggybacked. `now` is the boot clock in
+whole microseconds. This module must never act on a decision, nor use I/O, a clock or a lock.
 
 Inputs: those of finchcart/fleet/inputs.py and inputs.py. Effects: those of finchcart/fleet/effects.py and
 `DecisionsChanged`.
 
-Bounds: reports one gossip entry a member, overrides `config.max_overrides`, decisions by what reports
-there are.
+Bounds: the reports of each member are limited to one gossip entry, overrides to `config.max_overrides`, and
+decisions to the subjects that reports name.
 """
 
 from typing import Any
@@ -33,7 +33,7 @@
 from finchcart.consensus.status import ConsensusStatus, node_names
 from finchcart.consensus.subjects import (
     EJECTED,
-    GOOD,
+    HEALTHY,
     STORE_SUBJECT,
     Restriction,
     is_source,
@@ -51,10 +51,10 @@
 
 
 class ConsensusStore:
-    """What one node holds the fleet to have decided.
+    """One node's state of the fleet's consensus.
 
     Arguments:
-        name: of this node.
+        name: the name of this node.
         fleet: the name of the fleet.
         config: spans, thresholds and bounds.
         now: boot clock at start, microseconds.
@@ -77,13 +77,13 @@
         self.effects: list[FleetEffect] = []
         self.ended = False
         self.last_turn_at = now
-        self._quiet_until = 0  # reports nothing before
-        self._handed_out: DecisionsChanged | None = None
+        self._quiet_until = 0  # this node reports nothing before this time
+        self._last_emitted: DecisionsChanged | None = None
 
     # ---- inputs
 
     def reduce(self, now: int, event: ConsensusInput) -> list[FleetEffect]:
-        """Take one input; return the effects that the driver carries out."""
+        """Process one input; return the effects that the driver carries out."""
         self.effects = []
         match event:
             case EvidenceCollected(evidence):
@@ -107,11 +107,11 @@
         self.decisions.set_config(config)
 
     def count(self, reason: str) -> None:
-        """Add one to the counter of a reason."""
+        """Increment the counter of a reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def turn(self, now: int, member: Member) -> list[FleetEffect]:
-        """Report, decide, and hand out what changed, once a tick of the member; return effects."""
+        """Publish reports, update the decisions and return the effects; called once a tick of the member."""
         self.effects = []
         self.member = member
         if now - self.last_turn_at > member.config.clock_gap:
@@ -122,11 +122,11 @@
         is_alone = member.isolated or member.has_stepped_down
         reports = self.collect_reports(now, member, is_alone=is_alone)
         self.decisions.update(now, member, reports, is_alone=is_alone)
-        self._hand_out(member)
+        self._emit_changes(member)
         return self.effects
 
     def _on_clock_gap(self, now: int) -> None:
-        """Drop what was seen and decided before a suspension; others may have seen otherwise meanwhile."""
+        """Drop the evidence and decisions from before a suspension; they may be out of date."""
         self.count("gaps")
         self.observer.reset()
         self._quiet_until = now + self.config.quiet_period
@@ -141,7 +141,7 @@
     def collect_reports(
         self, now: int, member: Member, *, is_alone: bool
     ) -> dict[int, list[ObservationReport]]:
-        """Return id of a member -> its reports that count, this node's first."""
+        """Return the accepted reports by member id, those of this node first."""
         reports: dict[int, list[ObservationReport]] = {}
         if now >= self._quiet_until:
             reports[member.own_id] = self.observer.reports(now)
@@ -157,16 +157,16 @@
         if self.overrides.receive(now, message, ends_at, origin):
             self.publisher.on_new_override()
 
-    # ---- what is handed out
+    # ---- effects on the core
 
-    def _hand_out(self, member: Member) -> None:
-        """Emit all that is in force, where it changed."""
+    def _emit_changes(self, member: Member) -> None:
+        """Emit the full set of decisions in force, if it changed, and a log line for each change."""
         values = self.decisions.values_in_force()
-        handed_out = self._decisions_for_core(values)
-        if handed_out == self._handed_out:
+        emitted = self._decisions_for_core(values)
+        if emitted == self._last_emitted:
             return
-        self._handed_out = handed_out
-        self.effects.append(handed_out)
+        self._last_emitted = emitted
+        self.effects.append(emitted)
         decisions = self.decisions.active.by_subject
         self.effects += self.change_log.changes(values, decisions, node_names(member))
 
@@ -177,7 +177,7 @@
             if is_source(subject) and value in RESTRICTIONS
         }
         return DecisionsChanged(
-            store=values.get(STORE_SUBJECT, GOOD),
+            store=values.get(STORE_SUBJECT, HEALTHY),
             sources=sources,
             is_ejected=values.get(self.own_subject) == EJECTED,
             minimum_level=round(self.decisions.minimum_level(), 3),
@@ -204,19 +204,20 @@
         raise DatagramError("not asked for")
 
     def issue_override(self, now: int, request: OverrideRequest) -> dict[str, Any]:
-        """Take an operator's override, or revoke one; a revocation lasts as long as what it revokes.
+        """Issue or revoke an operator's override; a revocation is kept until the revoked override would end.
 
         Returns:
-            The operator's answer: whether it is taken, and why not, or by when all nodes act.
+            The fields of the response: whether the request is accepted; the reason if not, or else the time
+            until all connected nodes act.
         """
         member = self.member
         if member is None:
             return {"taken": False, "why": "not started yet"}
-        held = self.overrides.get(request.subject)
-        if not request.value and held is None:
+        existing = self.overrides.get(request.subject)
+        if not request.value and existing is None:
             return {"taken": False, "why": "no override of it is in force"}
-        number = held.message.number + 1 if held else 1
-        remaining = held.ends_at - now if held and not request.value else request.duration_us
+        number = existing.message.number + 1 if existing else 1
+        remaining = existing.ends_at - now if existing and not request.value else request.duration_us
         message = OperatorOverride(
             request.subject,
             request.value,
@@ -231,7 +232,7 @@
         return {"taken": True, "acts_within_ms": self.decisions.reaction_time_bound(member) // 1000}
 
     def status(self, now: int, page: int = 0) -> dict[str, Any]:
-        """Return one page of what is in force, as an operator sees it."""
+        """Return one page of the status for operators."""
         member = self.member
         if member is None:
             return self.status_pages.empty_page()
