--- a/tests/consensus_examples.py
+++ b/tests/consensus_examples.py
@@ -1,4 +1,4 @@
-"""Subjects, values, configurations and members that several tests of consensus share."""
+"""Subjects, values, configurations and members shared by the consensus tests."""
 
 import random
 from dataclasses import replace
@@ -15,7 +15,7 @@
 from finchcart.membership.messages import DeclaredStatus, GossipEntry, MemberRecord
 
 CONFIG = ConsensusConfig()
-SHORT = replace(  # rounds end sooner
+SHORT = replace(  # shorter times than the defaults, so that a round of faults ends sooner
     CONFIG, restriction_time=6 * SECOND, source_span=4 * SECOND, recurrence_window=6 * SECOND
 )
 BAD = subjects.source_subject("10.0.0.7")
@@ -34,7 +34,7 @@
 
 
 def make_member():
-    """Member a, which knows b, c and d."""
+    """Return the member a, which knows the members b, c and d."""
     member = Member("a", "f", "10.0.0.1:1", [], MembershipConfig(), random.Random(1), CLOCK_MS, 0)
     for name in "bcd":
         member.learn(0, record(name, f"10.0.0.{ord(name)}:1"))
--- a/tests/test_consensus_decision.py
+++ b/tests/test_consensus_decision.py
@@ -1,4 +1,4 @@
-"""The rule that makes decisions of reports."""
+"""The rules that derive the fleet's decisions from the members' reports."""
 
 import random
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 def by_member(*reports):
-    """Each member's reports by its id; members stand in three zones in turn."""
+    """Return the members' reports by member id, with the members spread over three zones."""
     return {n: [ObservationReport(ZONE_SUBJECT, n % 3, 0), *each] for n, each in enumerate(reports)}
 
 
@@ -36,43 +36,43 @@
 
 
 def decided_values(*reports, config=CONFIG):
-    """subject -> value decided from the reports of as many members."""
+    """Return the decided values by subject; each argument holds the reports of one member."""
     decisions = decide(by_member(*reports), config, len(reports))
-    return {subject: made.value for subject, made in decisions.items()}
+    return {subject: decision.value for subject, decision in decisions.items()}
 
 
-def test_the_store_is_down_where_most_of_those_that_know_report_it_and_never_by_one():
+def test_the_store_is_down_when_most_recent_callers_report_it_and_never_by_one_report():
     def decided(*reports, config=CONFIG):
         return decided_values(*reports, config=config).get(STORE_SUBJECT)
 
     down, slow, working = store_report(DOWN), store_report(SLOW), store_report(WORKING)
-    remembered_down = store_report(DOWN, fresh=0)
+    stale_down = store_report(DOWN, fresh=0)
     assert decided(down, down, working) == DOWN
     assert decided(down, working, working) == WORKING
-    assert decided(down, [], []) is None, "one alone"
-    assert decided(*[down] * 4, *[working] * 4) == WORKING, "neither half speaks for all"
+    assert decided(down, [], []) is None, "a single report is not enough"
+    assert decided(*[down] * 4, *[working] * 4) == WORKING, "half of the votes is not a quorum"
     assert decided(down, slow, working) == SLOW
-    # Those who tried lately know better than those who remember.
-    assert decided(working, working, *[remembered_down] * 6) == WORKING
-    assert decided(down, *[remembered_down] * 6) == DOWN
-    assert decided(down, [], [], down, config=replace(CONFIG, min_zones=2)) is None, "of one zone"
+    # Fresh reports outvote stale ones while enough members have fresh ones.
+    assert decided(working, working, *[stale_down] * 6) == WORKING
+    assert decided(down, *[stale_down] * 6) == DOWN
+    assert decided(down, [], [], down, config=replace(CONFIG, min_zones=2)) is None, "both of the same zone"
 
 
-def test_a_source_needs_many_reports_and_what_carries_much_is_not_blocked_by_reports():
-    nobody = [[]] * 9
+def test_a_source_needs_a_quorum_of_reports_and_a_large_share_of_rpcs_is_not_blocked():
+    no_reports = [[]] * 9
     bad = source_report(BAD)
-    assert decided_values(*[bad] * 3, *nobody) == {BAD: BLOCKED}
-    assert decided_values(*[bad] * 2, *nobody) == {}
-    assert decided_values(*[source_report(BAD, 40)] * 5, *nobody) == {}, "two fifths of all RPCs come from it"
+    assert decided_values(*[bad] * 3, *no_reports) == {BAD: BLOCKED}
+    assert decided_values(*[bad] * 2, *no_reports) == {}
+    assert decided_values(*[source_report(BAD, 40)] * 5, *no_reports) == {}, "40 % of all RPCs come from it"
     both = [*source_report(BAD, 12), *source_report(GOOD, 11)]
-    assert decided_values(*[both] * 6, *nobody) == {BAD: BLOCKED, GOOD: THROTTLED}, (
-        "together more than may be"
+    assert decided_values(*[both] * 6, *no_reports) == {BAD: BLOCKED, GOOD: THROTTLED}, (
+        "together the two exceed max_blocked_fraction"
     )
     throttled = source_report(BAD, 1, THROTTLED)
-    assert decided_values(*[throttled] * 4, *nobody) == {BAD: THROTTLED}
+    assert decided_values(*[throttled] * 4, *no_reports) == {BAD: THROTTLED}
 
 
-def test_an_outlier_is_ejected_and_only_a_part_of_the_nodes_may_be():
+def test_outliers_are_ejected_up_to_the_maximum_fraction_of_nodes():
     def ejected(*reports):
         return {subject for subject, value in decided_values(*reports).items() if value == subjects.EJECTED}
 
@@ -80,11 +80,11 @@
     assert ejected(node_report(0, 100), *map(node_report, range(1, 8))) == first
     assert ejected(node_report(0, 0, 9000), *map(node_report, range(1, 8))) == first
     three_failing = [node_report(n, 100) for n in range(3)]
-    assert len(ejected(*three_failing, *map(node_report, range(3, 10)))) == 2, "a fifth at most"
-    assert ejected(*(node_report(n, 100) for n in range(8))) == set(), "all fail: it is not the node"
+    assert len(ejected(*three_failing, *map(node_report, range(3, 10)))) == 2, "at most a fifth of the nodes"
+    assert ejected(*(node_report(n, 100) for n in range(8))) == set(), "no outlier where all nodes fail"
 
 
-def test_the_level_is_the_lower_median_which_fewer_than_half_can_not_move():
+def test_the_level_is_the_lower_median_which_fewer_than_half_cannot_move():
     def level(*values):
         return decided_values(*([ObservationReport(LEVEL_SUBJECT, value, 0)] for value in values)).get(
             LEVEL_SUBJECT, 0
@@ -95,7 +95,7 @@
     assert level(200, 400, 600, 800) == 400
 
 
-def test_a_median_without_one_is_that_of_the_others():
+def test_median_without_a_value_equals_the_median_of_the_others():
     rng = random.Random(2)
     for _ in range(300):
         values = sorted(rng.randrange(9) for _ in range(rng.randrange(2, 12)))
--- a/tests/test_consensus_gossip.py
+++ b/tests/test_consensus_gossip.py
@@ -1,4 +1,4 @@
-"""Reports and overrides in gossip entries, and what is left out of them."""
+"""Merging of reports and overrides in gossip entries, and the entries that are ignored."""
 
 import random
 
@@ -16,26 +16,26 @@
 from tests.consensus_examples import BAD, BLOCKED, CONFIG, GOOD, THROTTLED, entry, make_member, record
 
 
-def test_gossip_entries_merge_alike_in_any_order_and_any_number_of_times():
+def test_gossip_entries_merge_to_the_same_state_when_reordered_and_duplicated():
     rng = random.Random(5)
     entries = []
     for n in range(30):
         name, topic, age_us = rng.choice("bcd"), rng.randrange(3), rng.randrange(1000)
         entries.append((entry(name, topic, n, b"%d" % n, age_us), rng.choice((None, 10, 500))))
-    held = []
+    states = []
     for _ in range(20):
-        some = entries + rng.choices(entries, k=20)
-        rng.shuffle(some)
+        arrivals = entries + rng.choices(entries, k=20)
+        rng.shuffle(arrivals)
         member = make_member()
-        for each, transit_us in some:
+        for each, transit_us in arrivals:
             member.gossip.receive(5000, each, transit_us)
         received = member.gossip.received.items()
-        held.append({key: (dated.entry.precedence, dated.written_at) for key, dated in received})
-    assert all(each == held[0] for each in held)
-    assert len(held[0]) == 9
+        states.append({key: (dated.entry.precedence, dated.written_at) for key, dated in received})
+    assert all(each == states[0] for each in states)
+    assert len(states[0]) == 9
 
 
-def test_an_entry_that_does_not_fit_is_relayed_later_and_more_often_in_a_large_fleet():
+def test_an_entry_that_does_not_fit_is_relayed_later_and_a_large_fleet_relays_more_often():
     member = make_member()
     for name in "bcd":
         member.gossip.receive(0, entry(name, 1, 1, b"x" * 300), 0)
@@ -49,26 +49,26 @@
     assert member.gossip.relays_left[name_hash("m5"), 1] > 2
 
 
-def test_overrides_merge_alike_in_any_order_and_the_newer_stands():
+def test_overrides_merge_to_the_newest_when_reordered_and_duplicated():
     rng = random.Random(6)
     overrides = []
     for n in range(20):
         subject, value = rng.choice((BAD, GOOD)), rng.choice((0, THROTTLED, BLOCKED))
         message = OperatorOverride(subject, value, n // 3, 7, n, 10**9, "w")
         overrides.append((message, rng.randrange(10**8, 10**9)))
-    held = []
+    states = []
     for _ in range(20):
         table = OverrideTable(CONFIG.max_overrides)
-        some = overrides + rng.choices(overrides, k=10)
-        rng.shuffle(some)
-        for message, ends_at in some:
+        arrivals = overrides + rng.choices(overrides, k=10)
+        rng.shuffle(arrivals)
+        for message, ends_at in arrivals:
             table.receive(0, message, ends_at, "x")
         by_subject = table.by_subject.items()
-        held.append({subject: (override.message, override.ends_at) for subject, override in by_subject})
-    assert all(each == held[0] for each in held)
+        states.append({subject: (override.message, override.ends_at) for subject, override in by_subject})
+    assert all(each == states[0] for each in states)
 
 
-def test_a_member_that_reports_for_others_or_too_often_is_ignored():
+def test_reports_on_other_nodes_or_changed_too_often_or_expired_are_ignored():
     member = make_member()
     consensus = ConsensusStore("a", "f", CONFIG, 0)
     consensus.member = member
@@ -86,11 +86,11 @@
     now = 0
     while receive(now // 1000 + 2, [], now) is not None:
         now += 100_000
-        assert now < 10 * SECOND, "a change every 100 ms is not noticed"
+        assert now < 10 * SECOND, "a change every 100 ms was not treated as too often"
     assert consensus.counts["changes too often"]
     assert receive(1, [ObservationReport(BAD, BLOCKED, 1)], now, "c") is not None
     known = member.known_members[name_hash("c")]
     known.state = MemberState.FAILED
-    assert collected(now, "c") is None, "of a failed member"
+    assert collected(now, "c") is None, "the member has failed"
     known.state = MemberState.ALIVE
-    assert collected(now + CONFIG.report_lifetime + 1, "c") is None, "void after its lifetime"
+    assert collected(now + CONFIG.report_lifetime + 1, "c") is None, "the report's lifetime is over"
--- a/tests/test_consensus_observations.py
+++ b/tests/test_consensus_observations.py
@@ -1,4 +1,4 @@
-"""What a node reports of what its core saw."""
+"""The reports that a node derives from the evidence of its core."""
 
 from finchcart.consensus import subjects
 from finchcart.consensus.config import SECOND
@@ -13,28 +13,28 @@
 from tests.harness import MS
 
 
-def test_reports_are_of_what_was_observed_and_bounded():
+def test_reports_follow_the_evidence_and_are_bounded():
     observer = Observer(subjects.node_subject("n0"), CONFIG)
 
-    def observe(now, **seen):
-        observer.observe(now, Evidence(**seen))
+    def observe(now, **evidence):
+        observer.observe(now, Evidence(**evidence))
 
     def reported(now):
-        """(value, weight) of the store."""
+        """Return value and weight of the report on the store, or None."""
         return next((each[1:] for each in observer.reports(now) if each.subject == STORE_SUBJECT), None)
 
     for n in range(8):
         observe(n * 250 * MS, calls=CallCounts(3, 0, 60_000))
     assert reported(1750 * MS) == (WORKING, 1)
     observe(2000 * MS, calls=CallCounts(0, 2, 0))
-    assert reported(2000 * MS) == (WORKING, 1), "a few failed"
+    assert reported(2000 * MS) == (WORKING, 1), "too few calls failed"
     for n in range(9, 18):
         observe(n * 250 * MS, calls=CallCounts(0, 3, 0))
     assert reported(4250 * MS) == (DOWN, 1)
     observe(9 * SECOND)
-    assert reported(9 * SECOND) == (DOWN, 0), "nothing was tried lately"
+    assert reported(9 * SECOND) == (DOWN, 0), "no call within the observation span"
     observe(9 * SECOND + 1, calls=CallCounts(1, 0, 20_000))
-    assert reported(9 * SECOND + 1) == (WORKING, 1), "one probe call tells"
+    assert reported(9 * SECOND + 1) == (WORKING, 1), "one successful probe call is enough"
     for n in range(18, 26):
         observe(10 * SECOND + n * 250 * MS, calls=CallCounts(3, 0, 3_000_000))
     assert reported(16 * SECOND + 250 * MS)[0] == SLOW
@@ -49,7 +49,7 @@
     assert not observer.sources
 
 
-def test_a_call_cut_short_by_a_grant_is_no_evidence_of_the_store():
+def test_a_timeout_of_a_call_that_this_node_cut_short_is_no_evidence_on_the_store():
     observer = NodeObserver(CONFIG)
     observer.call_ended(Outcome.TIMEOUT, 5, True)
     observer.call_ended(Outcome.REJECTED, 5, False)
--- a/tests/test_consensus_rounds.py
+++ b/tests/test_consensus_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of faults on the virtual clock, and planted defects that they find."""
+"""Rounds of faults in virtual time, and planted defects that these rounds must find."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("kind", ConsensusFaultRun.KINDS)
-def test_a_round_of_each_kind_holds_its_bounds(kind):
+def test_a_round_of_each_kind_keeps_its_time_bounds(kind):
     run = ConsensusFaultRun(1, 6, (kind,), 1, consensus_config=SHORT)
     run.play()
     assert all(took <= bound for _, _, took, bound in run.timings)
@@ -31,12 +31,12 @@
     assert len({ConsensusFaultRun(3, 5, ("flood",), 1, consensus_config=SHORT).play() for _ in range(2)}) == 1
 
 
-def planted(kinds, seeds=range(3), count=8, changes=(), config=SHORT, **more):
-    """Whether a seed of these rounds finds it."""
-    before = [(where, name, getattr(where, name)) for where, name, _ in changes]
+def is_found(kinds, seeds=range(3), count=8, changes=(), config=SHORT, **more):
+    """Whether one of the seeds breaks an invariant with the changes planted or with this configuration."""
+    originals = [(owner, name, getattr(owner, name)) for owner, name, _ in changes]
     try:
-        for where, name, new in changes:
-            setattr(where, name, new)
+        for owner, name, replacement in changes:
+            setattr(owner, name, replacement)
         for seed in seeds:
             try:
                 ConsensusFaultRun(seed, count, kinds, 2, consensus_config=config, **more).play()
@@ -44,8 +44,8 @@
                 return True
         return False
     finally:
-        for where, name, old in before:
-            setattr(where, name, old)
+        for owner, name, original in originals:
+            setattr(owner, name, original)
 
 
 entry_store_receive = GossipEntryStore.receive
@@ -57,27 +57,27 @@
     entry_store_receive(self, now, entry, 0)
 
 
-def take_as_new(self, now, receiver_id, max_bytes):
+def take_with_age_zero(self, now, receiver_id, max_bytes):
     taken = entry_store_take(self, now, receiver_id, max_bytes)
     return [msgspec.structs.replace(entry, age_us=0) for entry in taken]
 
 
-def keep_what_stood(self, now):
+def keep_state_at_clock_gap(self, now):
     self.count("gaps")
 
 
-class DecisionWithoutHold(ActiveDecision):
+class DecisionWithoutHoldTime(ActiveDecision):
     def __init__(self, now, *rest):
         super().__init__(now, *rest)
         self.hold_ends_at = now
 
 
-def receive_the_latest(self, now, message, ends_at, origin):
+def receive_without_precedence(self, now, message, ends_at, origin):
     self.by_subject[message.subject] = Override(message, ends_at, origin)
     return False
 
 
-def issue_without_number(self, now, request):
+def issue_with_constant_number(self, now, request):
     duration_us = request.duration_us or 60 * SECOND
     message = OperatorOverride(
         request.subject, request.value, 1, 1, self.member.own_id, duration_us, request.reason
@@ -91,48 +91,54 @@
 
 
 DEFECTS = {
-    "an entry is dated by its arrival": {
+    "a gossip entry is dated by its arrival": {
         "kinds": ("late",),
         "changes": [(GossipEntryStore, "receive", receive_without_transit_time)],
     },
-    "an entry is passed on as new": {
+    "a gossip entry is relayed with age zero": {
         "kinds": ("down", "late"),
-        "changes": [(GossipEntryStore, "take", take_as_new)],
+        "changes": [(GossipEntryStore, "take", take_with_age_zero)],
     },
-    "a node that was suspended keeps what stood": {
+    "a node keeps its decisions from before a suspension": {
         "kinds": ("woken",),
-        "changes": [(ConsensusStore, "_on_clock_gap", keep_what_stood)],
+        "changes": [(ConsensusStore, "_on_clock_gap", keep_state_at_clock_gap)],
     },
-    "a decision does not stand for a while": {
+    "a decision has no hold time": {
         "kinds": ("flaps",),
-        "changes": [(active_decisions, "ActiveDecision", DecisionWithoutHold)],
+        "changes": [(active_decisions, "ActiveDecision", DecisionWithoutHoldTime)],
+    },
+    "a twentieth of the votes decides on the store": {
+        "kinds": ("zone",),
+        "config": replace(SHORT, store_quorum=0.05),
     },
-    "a few are enough for the store": {"kinds": ("zone",), "config": replace(SHORT, store_quorum=0.05)},
     "one report is enough for a source": {
         "kinds": ("few_lie",),
         "config": replace(SHORT, min_reports=1, source_quorum=0.0),
     },
-    "the strictest level counts": {"kinds": ("few_lie",), "changes": [(decision, "median_low", max)]},
-    "more may be ejected at once": {
+    "the strictest reported level is decided": {
+        "kinds": ("few_lie",),
+        "changes": [(decision, "median_low", max)],
+    },
+    "all outliers are ejected at once": {
         "kinds": ("fail",),
         "changes": [(decision, "decide_nodes", eject_all_outliers)],
     },
-    "a node is ejected before others were heard": {
+    "a node considers itself ejected before other nodes' reports arrive": {
         "kinds": ("fail",),
         "seeds": range(8),
         "changes": [(FleetDecisions, "reaction_time_bound", lambda self, member: 0)],
     },
-    "the override received last stands": {
+    "the override received last replaces a newer one": {
         "kinds": ("words",),
-        "changes": [(OverrideTable, "receive", receive_the_latest)],
+        "changes": [(OverrideTable, "receive", receive_without_precedence)],
     },
-    "an override is no newer than another": {
+    "all overrides have the same number": {
         "kinds": ("words",),
-        "changes": [(ConsensusStore, "issue_override", issue_without_number)],
+        "changes": [(ConsensusStore, "issue_override", issue_with_constant_number)],
     },
 }
 
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_found(name):
-    assert planted(**DEFECTS[name])
+    assert is_found(**DEFECTS[name])
