--- a/tests/consensus_examples.py
+++ b/tests/consensus_examples.py
@@ -18,8 +18,8 @@
 SHORT = replace(  # shorter times than the defaults, so that a round of faults ends sooner
     CONFIG, restriction_time=6 * SECOND, source_span=4 * SECOND, recurrence_window=6 * SECOND
 )
-BAD = subjects.source_subject("10.0.0.7")
-GOOD = subjects.source_subject("10.0.0.8")
+BAD_SOURCE = subjects.source_subject("10.0.0.7")
+GOOD_SOURCE = subjects.source_subject("10.0.0.8")
 WORKING, SLOW, DOWN = StoreHealth.WORKING, StoreHealth.SLOW, StoreHealth.DOWN
 THROTTLED, BLOCKED = Restriction.THROTTLED, Restriction.BLOCKED
 CLOCK_MS = 10**12  # started_ms and incarnation of all members
--- a/tests/test_consensus_decision.py
+++ b/tests/test_consensus_decision.py
@@ -15,7 +15,7 @@
     STORE_SUBJECT,
     ZONE_SUBJECT,
 )
-from tests.consensus_examples import BAD, BLOCKED, CONFIG, DOWN, GOOD, SLOW, THROTTLED, WORKING
+from tests.consensus_examples import BAD_SOURCE, BLOCKED, CONFIG, DOWN, GOOD_SOURCE, SLOW, THROTTLED, WORKING
 
 
 def by_member(*reports):
@@ -60,16 +60,18 @@
 
 def test_a_source_needs_a_quorum_of_reports_and_a_large_share_of_rpcs_is_not_blocked():
     no_reports = [[]] * 9
-    bad = source_report(BAD)
-    assert decided_values(*[bad] * 3, *no_reports) == {BAD: BLOCKED}
+    bad = source_report(BAD_SOURCE)
+    assert decided_values(*[bad] * 3, *no_reports) == {BAD_SOURCE: BLOCKED}
     assert decided_values(*[bad] * 2, *no_reports) == {}
-    assert decided_values(*[source_report(BAD, 40)] * 5, *no_reports) == {}, "40 % of all RPCs come from it"
-    both = [*source_report(BAD, 12), *source_report(GOOD, 11)]
-    assert decided_values(*[both] * 6, *no_reports) == {BAD: BLOCKED, GOOD: THROTTLED}, (
+    assert decided_values(*[source_report(BAD_SOURCE, 40)] * 5, *no_reports) == {}, (
+        "40 % of all RPCs come from it"
+    )
+    both = [*source_report(BAD_SOURCE, 12), *source_report(GOOD_SOURCE, 11)]
+    assert decided_values(*[both] * 6, *no_reports) == {BAD_SOURCE: BLOCKED, GOOD_SOURCE: THROTTLED}, (
         "together the two exceed max_blocked_fraction"
     )
-    throttled = source_report(BAD, 1, THROTTLED)
-    assert decided_values(*[throttled] * 4, *no_reports) == {BAD: THROTTLED}
+    throttled = source_report(BAD_SOURCE, 1, THROTTLED)
+    assert decided_values(*[throttled] * 4, *no_reports) == {BAD_SOURCE: THROTTLED}
 
 
 def test_outliers_are_ejected_up_to_the_maximum_fraction_of_nodes():
--- a/tests/test_consensus_gossip.py
+++ b/tests/test_consensus_gossip.py
@@ -13,7 +13,16 @@
 from finchcart.fleet.codec import encode_value, name_hash
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import MemberState
-from tests.consensus_examples import BAD, BLOCKED, CONFIG, GOOD, THROTTLED, entry, make_member, record
+from tests.consensus_examples import (
+    BAD_SOURCE,
+    BLOCKED,
+    CONFIG,
+    GOOD_SOURCE,
+    THROTTLED,
+    entry,
+    make_member,
+    record,
+)
 
 
 def test_gossip_entries_merge_to_the_same_state_when_reordered_and_duplicated():
@@ -53,7 +62,7 @@
     rng = random.Random(6)
     overrides = []
     for n in range(20):
-        subject, value = rng.choice((BAD, GOOD)), rng.choice((0, THROTTLED, BLOCKED))
+        subject, value = rng.choice((BAD_SOURCE, GOOD_SOURCE)), rng.choice((0, THROTTLED, BLOCKED))
         message = OperatorOverride(subject, value, n // 3, 7, n, 10**9, "w")
         overrides.append((message, rng.randrange(10**8, 10**9)))
     states = []
@@ -88,7 +97,7 @@
         now += 100_000
         assert now < 10 * SECOND, "a change every 100 ms was not treated as too often"
     assert consensus.counts["changes too often"]
-    assert receive(1, [ObservationReport(BAD, BLOCKED, 1)], now, "c") is not None
+    assert receive(1, [ObservationReport(BAD_SOURCE, BLOCKED, 1)], now, "c") is not None
     known = member.known_members[name_hash("c")]
     known.state = MemberState.FAILED
     assert collected(now, "c") is None, "the member has failed"
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -18,7 +18,7 @@
 from finchcart.protocol.messages import HeartbeatCall
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
-from tests.consensus_examples import BAD, BLOCKED, CONFIG, DOWN, GOOD, SLOW, THROTTLED, WORKING
+from tests.consensus_examples import BAD_SOURCE, BLOCKED, CONFIG, DOWN, GOOD_SOURCE, SLOW, THROTTLED, WORKING
 from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, one_step
@@ -83,7 +83,7 @@
         for subject, (count, _, _) in seen.sources.items():
             bad[subject] = bad.get(subject, 0) + count
     assert silent, "no health check, nor a connection that we told to close"
-    assert bad == {BAD: 2}, "no health check, nor a connection that we told to close"
+    assert bad == {BAD_SOURCE: 2}, "no health check, nor a connection that we told to close"
 
 
 def test_a_blocked_source_is_rejected_at_once_and_a_throttled_one_beyond_its_rate():
@@ -91,9 +91,9 @@
     holds(
         harness,
         sources={
-            BAD: BLOCKED,
+            BAD_SOURCE: BLOCKED,
             subjects.make_subject(SubjectKind.DISPATCHER, 5): BLOCKED,
-            GOOD: THROTTLED,
+            GOOD_SOURCE: THROTTLED,
         },
     )
     tries = [
