--- a/finchcart/key_leases/attempts.py
+++ b/finchcart/key_leases/attempts.py
@@ -1,6 +1,6 @@
-"""What a key lease client keeps of a key: its attempt to acquire the lease, then the lease.
+"""The state that a key lease client keeps for a key: its attempt to acquire the lease, then the lease.
 
-Owns the types alone: client.py keeps them. Times are microseconds on the boot clock.
+Defines the types only; client.py owns the instances. Times are microseconds on the boot clock.
 """
 
 from typing import NamedTuple
@@ -16,22 +16,22 @@
         self.key = key
         self.payload_digest = payload_digest
         self.duration_us = duration_us
-        self.started_at = now  # of the first attempt in a row for this key
+        self.started_at = now  # when the first of consecutive attempts for this key began
         self.proposed_at = now
         self.transmit_at = now
         self.votes: dict[int, LeaseStatus] = {}  # by index of the replica
 
     def proposal(self) -> LeaseProposal:
-        """Return what is proposed to the replicas."""
+        """Return the proposal that is sent to the replicas."""
         return LeaseProposal(self.key, self.payload_digest, self.number, self.duration_us)
 
     def granted_votes(self) -> int:
-        """Return the number of replicas that voted for it."""
+        """Return the number of replicas that granted the lease to this attempt."""
         return list(self.votes.values()).count(LeaseStatus.GRANTED)
 
 
 class AcquiredLease(NamedTuple):
-    """A lease that this process holds, until its run has ended or the lease has expired everywhere."""
+    """A lease that this process holds until its run has ended or the lease has expired on all replicas."""
 
     attempt: int
     payload_digest: int
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -1,10 +1,10 @@
-"""A node's side of key leases: acquires a lease before a run is commanded, and reports how the run ended.
+"""The client of key leases: acquires a lease before a run is commanded and reports how the run ended.
 
-Owns the attempts and the leases of this process. It must never answer that a lease is granted without the
-votes of a quorum for one attempt, proposed less than `command_timeout` ago, nor begin another attempt for a
-key before it released the earlier one.
+Owns the attempts and the acquired leases of this process. The client must never answer that a lease is
+granted unless a quorum voted for one and the same attempt, proposed less than `command_timeout` ago. It must
+never begin another attempt for a key before it has released the earlier one.
 
-Bounds: attempts and acquired leases together `max_leases`; an attempt ends with its answer.
+Bounds: attempts and acquired leases together number at most `max_leases`; an attempt ends with its answer.
 """
 
 from collections.abc import Iterable
@@ -38,7 +38,7 @@
 )
 from finchcart.key_leases.outcome_deliveries import OutcomeDeliveries
 
-OUTCOMES_OVERHEAD_BYTES = 160  # of a datagram, for all but the outcomes in it
+OUTCOMES_OVERHEAD_BYTES = 160  # upper bound for the parts of a datagram other than its outcomes
 
 ANSWER_COUNTERS = {
     LeaseStatus.GRANTED: "granted",
@@ -51,13 +51,13 @@
 
 
 class KeyLeaseClient(MessageEndpoint[KeyLeaseMessage, ClientInput]):
-    """The state machine of a node; see `MessageEndpoint` and `ClientInput` for its inputs.
+    """The state machine of the client; see `MessageEndpoint` and `ClientInput` for its inputs.
 
     Arguments:
-        name: of this node.
+        name: the name of this node.
         fleet: the name of the fleet.
-        config: the same at all replicas and holders.
-        random: of this process alone.
+        config: the configuration, which must be the same on all replicas and clients.
+        random: a source of random numbers that no other process shares.
         now: microseconds on the boot clock.
     """
 
@@ -71,26 +71,26 @@
         self.session = random.getrandbits(64)
         self.replicas = [parse_address(address) for address in config.replicas]
         self.attempts: dict[bytes, Attempt] = {}
-        self.held: dict[bytes, AcquiredLease] = {}
+        self.acquired: dict[bytes, AcquiredLease] = {}
         self.last_attempt = 0
         self.deliveries = OutcomeDeliveries(config, len(self.replicas))
 
     def on_input(self, event: CommonInput | ClientInput) -> None:
-        """Take an input of the core's."""
+        """Process an input from the core."""
         match event:
             case AcquireKeyLeases(keys):
                 self.on_acquire(keys)
             case KeyLeaseRunEnded(key, status, result):
-                self.on_ended(key, status, result)
+                self.on_run_ended(key, status, result)
             case KeyLeaseRunCancelled(key):
-                self.on_never_ran(key)
+                self.on_run_cancelled(key)
             case AbandonKeyLease(key):
                 attempt = self.attempts.pop(key, None)
                 if attempt is not None:
                     self.release(key, attempt.number)
 
     def after_input(self) -> None:
-        """Send all that is due, many to a message."""
+        """Send the proposals and outcomes that are due, in batches."""
         self._drop_expired()
         proposals = self._due_proposals()
         outcomes = self.deliveries.take_due(self.now)
@@ -105,9 +105,9 @@
     def on_acquire(self, keys: Iterable[KeyToLease]) -> None:
         """Begin to acquire leases."""
         for key, payload_digest, duration_us in keys:
-            if key in self.attempts or key in self.held:
+            if key in self.attempts or key in self.acquired:
                 self.count("requested already")
-            elif len(self.attempts) + len(self.held) >= self.config.max_leases:
+            elif len(self.attempts) + len(self.acquired) >= self.config.max_leases:
                 self.answer(key, LeaseStatus.UNAVAILABLE)
             else:
                 self._begin_attempt(key, payload_digest, duration_us)
@@ -119,7 +119,7 @@
             return
         attempt.votes[replica] = vote.status
         if vote.status in RUN_ENDED:
-            # Only a holder with a quorum runs, and only it reports outcomes: one replica's report is enough.
+            # Only a holder with a quorum runs the key and reports an outcome: one replica's vote is enough.
             self._conclude(attempt, vote.status, vote.result)
         elif vote.status == LeaseStatus.PAYLOAD_MISMATCH:
             self._conclude(attempt, LeaseStatus.PAYLOAD_MISMATCH)
@@ -131,29 +131,29 @@
     def answer(
         self, key: bytes, status: LeaseStatus, result: bytes = b"", run_before: int | None = None
     ) -> None:
-        """Answer an attempt, see `LeaseAnswer`."""
+        """Emit the answer to the core's request for a lease; see `LeaseAnswer`."""
         self.count(ANSWER_COUNTERS[status])
         self.effects.append(LeaseAnswer(key, status, result, run_before))
 
     def release(self, key: bytes, attempt: int) -> None:
-        """Release an attempt: it never ran and never will."""
+        """Release an attempt whose run has not begun and never will."""
         self._report(LeaseReport(key, attempt, LeaseStatus.RELEASED))
 
     def on_no_quorum(self, attempt: Attempt) -> None:
-        """Release the attempt and begin another, unless it has taken too long.
+        """Release an attempt that got no quorum and begin another, or conclude it if its time is over.
 
-        Another holds the lease, or the votes are split between several.
+        Another holder has the lease, the votes are split between several holders, or votes are missing.
         """
         is_held = LeaseStatus.HELD in attempt.votes.values()
-        patience = self.config.outcome_timeout if is_held else self.config.quorum_timeout
-        if self.now - attempt.started_at >= patience:
+        timeout = self.config.outcome_timeout if is_held else self.config.quorum_timeout
+        if self.now - attempt.started_at >= timeout:
             self._conclude(attempt, LeaseStatus.HELD if is_held else LeaseStatus.UNAVAILABLE)
             return
         self.release(attempt.key, attempt.number)
         retry = self._begin_attempt(attempt.key, attempt.payload_digest, attempt.duration_us)
         retry.started_at = attempt.started_at
-        pause = self.config.poll_interval if is_held else self.config.retransmit_interval
-        retry.proposed_at = self.now + pause // 2 + self.random.randrange(pause)
+        delay = self.config.poll_interval if is_held else self.config.retransmit_interval
+        retry.proposed_at = self.now + delay // 2 + self.random.randrange(delay)
         retry.transmit_at = retry.proposed_at
 
     def _begin_attempt(self, key: bytes, payload_digest: int, duration_us: int) -> Attempt:
@@ -169,7 +169,7 @@
             return
         del self.attempts[attempt.key]
         expires_at = self.now + self.config.widened(attempt.duration_us)
-        self.held[attempt.key] = AcquiredLease(attempt.number, attempt.payload_digest, expires_at)
+        self.acquired[attempt.key] = AcquiredLease(attempt.number, attempt.payload_digest, expires_at)
         self.answer(attempt.key, LeaseStatus.GRANTED, run_before=run_before)
 
     def _quorum_is_possible(self, attempt: Attempt) -> bool:
@@ -181,25 +181,28 @@
         self.release(attempt.key, attempt.number)
         self.answer(attempt.key, status, result)
 
-    # ---- runs that were commanded, or will not be
+    # ---- runs of acquired leases
 
-    def on_ended(self, key: bytes, status: LeaseStatus, result: bytes = b"") -> None:
-        """Report how the run of an acquired lease ended; a result that is too long is reported as lost."""
-        held = self.held.pop(key, None)
-        if held is None:
+    def on_run_ended(self, key: bytes, status: LeaseStatus, result: bytes = b"") -> None:
+        """Report how the run of an acquired lease ended.
+
+        A run whose result is too long is reported as `FAILED`, without the result.
+        """
+        lease = self.acquired.pop(key, None)
+        if lease is None:
             self.count("lease not held")
             return
         if status == LeaseStatus.COMPLETED and len(result) > self.config.max_result_bytes:
             status = LeaseStatus.FAILED
         if status != LeaseStatus.COMPLETED:
             result = b""
-        self._report(LeaseReport(key, held.attempt, status, result, held.payload_digest))
+        self._report(LeaseReport(key, lease.attempt, status, result, lease.payload_digest))
 
-    def on_never_ran(self, key: bytes) -> None:
+    def on_run_cancelled(self, key: bytes) -> None:
         """Release the lease of a key whose run was not commanded."""
-        held = self.held.pop(key, None)
-        if held is not None:
-            self.release(key, held.attempt)
+        lease = self.acquired.pop(key, None)
+        if lease is not None:
+            self.release(key, lease.attempt)
 
     def _report(self, outcome: LeaseReport) -> None:
         self.deliveries.add(self.now, outcome)
@@ -207,7 +210,7 @@
     # ---- messages
 
     def on_message(self, address: HostPort, message: KeyLeaseMessage) -> None:
-        """Take a replica's answer to this process."""
+        """Process a message from a replica to this process."""
         if address not in self.replicas or message.session != self.session:
             raise MessageRejectedError("not for this process")
         replica = self.replicas.index(address)
@@ -222,8 +225,8 @@
                 raise MessageRejectedError("not for a holder")
 
     def _drop_expired(self) -> None:
-        for key in [key for key, held in self.held.items() if held.expires_at <= self.now]:
-            del self.held[key]
+        for key in [key for key, lease in self.acquired.items() if lease.expires_at <= self.now]:
+            del self.acquired[key]
             self.count("expired without an outcome")
 
     def _due_proposals(self) -> dict[int, list[LeaseProposal]]:
--- a/finchcart/key_leases/config.py
+++ b/finchcart/key_leases/config.py
@@ -1,7 +1,7 @@
 """The configuration of key leases and the bounds that follow from it.
 
-Owns times and sizes, by the names of the code; `FIELDS_BY_SETTING` has the words of the settings file. It
-must never hold what is learnt while running. Times are whole microseconds.
+Owns the times and sizes that operators set; `FIELDS_BY_SETTING` maps the keys of the settings file to its
+fields. This module must never hold state that is learnt at run time. Times are whole microseconds.
 """
 
 from collections.abc import Iterator, Mapping
@@ -12,9 +12,9 @@
 from finchcart.fleet.field_problem import FieldProblem
 from finchcart.fleet.units import MS, SECOND
 
-LEASE_BYTES = 500  # memory of one lease at a replica, without its result
+LEASE_BYTES = 500  # memory of one lease on a replica, without its result
 
-# Key of a setting (without its unit) -> the field, where they differ.
+# Maps the key of a setting, without its unit, to the name of its field where the two differ.
 FIELDS_BY_SETTING = {
     "life": "lease_duration",
     "command": "command_timeout",
@@ -32,30 +32,37 @@
 class KeyLeaseConfig:
     """Times and sizes of key leases; see docs/operate/claims.md for how to choose them."""
 
-    replicas: tuple[str, ...] = ()  # addresses of the replicas: 1, 3 or 5, the same everywhere
-    lease_duration: int = 20 * SECOND  # the longest window of a key, and how late a retry may come
-    command_timeout: int = 1 * SECOND  # a run is commanded within this after the request, or not at all
-    quorum_timeout: int = 200 * MS  # an attempt without a quorum of votes fails after this
-    retransmit_interval: int = 50 * MS  # an unanswered message is retransmitted after this
-    outcome_timeout: int = 2 * SECOND  # a duplicate waits so long for the outcome of a run elsewhere
-    poll_interval: int = 100 * MS  # interval at which it polls the replicas meanwhile
-    drift: float = 0.001  # the part by which any two clocks of the fleet may run apart
-    max_result_bytes: int = 256  # that replicas keep; a longer result is reported as lost
-    max_leases: int = 200_000  # of one replica; when full, it refuses new ones and answers duplicates
-    max_batch: int = 16  # leases in one message
+    replicas: tuple[str, ...] = ()  # addresses of the 1, 3 or 5 replicas, the same on all nodes and replicas
+    lease_duration: int = (
+        20 * SECOND
+    )  # longest window of a key; a retry within it is recognised as a duplicate
+    command_timeout: int = 1 * SECOND  # a run is commanded within this time after the proposal, or not at all
+    quorum_timeout: int = 200 * MS  # an attempt without a quorum of votes fails after this time
+    retransmit_interval: int = 50 * MS  # an unanswered message is retransmitted after this time
+    outcome_timeout: int = (
+        2 * SECOND
+    )  # a duplicate waits at most this long for the outcome of a run elsewhere
+    poll_interval: int = 100 * MS  # while it waits, it polls the replicas at this interval
+    drift: float = 0.001  # upper bound on the relative difference in rate between two clocks of the fleet
+    max_result_bytes: int = 256  # longest result that replicas keep; a longer one is reported as `FAILED`
+    max_leases: int = 200_000  # of one replica; when full, it refuses new leases but still answers duplicates
+    max_batch: int = 16  # most leases in one message
 
     @classmethod
     def from_settings(cls, replicas: tuple[str, ...], settings: Mapping[str, Any]) -> "KeyLeaseConfig":
-        """Return the configuration of settings by key (without its unit); times are microseconds."""
+        """Return the configuration for settings given by key without unit; times are microseconds."""
         return cls(replicas, **{FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()})
 
     def widened(self, duration: int) -> int:
-        """Return the duration of a lease as its granter counts it, see finchcart/fleet/leases.py."""
+        """Return the duration of a lease on its granter's clock; see finchcart/fleet/leases.py."""
         return leases.widened(duration, self.drift)
 
     @property
     def startup_quiet_period(self) -> int:
-        """The microseconds in which a replica that starts answers nobody: it may have voted before."""
+        """The microseconds for which a replica doesn't answer after its start.
+
+        An earlier process at its address may have voted for leases that this one doesn't know.
+        """
         return self.widened(self.lease_duration)
 
     @property
@@ -64,16 +71,16 @@
         return leases.quorum(len(self.replicas))
 
     def run_spacing_bound(self) -> int:
-        """Return the microseconds between two runs of one key, at least, whoever fails."""
+        """Return the shortest time in microseconds between two runs of one key, whichever process fails."""
         return self.lease_duration - self.command_timeout
 
     def state_bytes_bound(self) -> int:
-        """Return the memory of a full replica, in bytes."""
+        """Return the most memory that the leases of a replica take, in bytes."""
         return self.max_leases * (LEASE_BYTES + self.max_result_bytes)
 
 
 def config_errors(config: KeyLeaseConfig) -> Iterator[FieldProblem]:
-    """Yield what cannot be used."""
+    """Yield each combination of values that cannot be used."""
     yield from leases.group_size_problems("keepers", config.replicas)
     yield from leases.duplicate_problems("keepers", config.replicas)
     if config.command_timeout + 2 * config.quorum_timeout > config.lease_duration // 2:
--- a/finchcart/key_leases/effects.py
+++ b/finchcart/key_leases/effects.py
@@ -1,7 +1,4 @@
-"""The effect of a key lease client, besides those of finchcart/fleet/effects.py.
-
-Owns its type alone.
-"""
+"""The effect that a key lease client emits in addition to those of finchcart/fleet/effects.py."""
 
 from typing import NamedTuple
 
@@ -9,11 +6,13 @@
 
 
 class LeaseAnswer(NamedTuple):
-    """The answer to the demand for a key's lease.
+    """The answer to the request for a key's lease.
 
-    `GRANTED`: command the run before `run_before`, or not at all. `COMPLETED`: `result` is of a run
-    elsewhere. `HELD`: it runs elsewhere and did not end in time. `UNAVAILABLE`: no quorum, or no room: it
-    never ran here. `FAILED` and `PAYLOAD_MISMATCH` as in `LeaseStatus`.
+    - `GRANTED`: the run must be commanded before `run_before`, or not at all.
+    - `COMPLETED`: another run of the key has completed with `result`.
+    - `HELD`: another node runs the key, and its run did not end within `outcome_timeout`.
+    - `UNAVAILABLE`: no quorum, or no capacity for another lease; the key was not run for this request.
+    - `FAILED` and `PAYLOAD_MISMATCH`: see `LeaseStatus`.
     """
 
     key: bytes
--- a/finchcart/key_leases/inputs.py
+++ b/finchcart/key_leases/inputs.py
@@ -1,7 +1,4 @@
-"""The inputs of a key lease client, besides those of finchcart/fleet/inputs.py.
-
-Owns their types alone.
-"""
+"""The inputs that a key lease client takes in addition to those of finchcart/fleet/inputs.py."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,7 +7,7 @@
 
 
 class KeyToLease(NamedTuple):
-    """A key whose lease is wanted."""
+    """A key whose lease is requested."""
 
     key: bytes
     payload_digest: int
@@ -24,7 +21,7 @@
 
 
 class KeyLeaseRunEnded(NamedTuple):
-    """The run of a held key has ended."""
+    """The run of a key whose lease was granted has ended."""
 
     key: bytes
     status: LeaseStatus  # `COMPLETED` or `FAILED`
@@ -32,13 +29,13 @@
 
 
 class KeyLeaseRunCancelled(NamedTuple):
-    """The run of a held key will not be commanded: it never ran."""
+    """The run of a key whose lease was granted will not be commanded."""
 
     key: bytes
 
 
 class AbandonKeyLease(NamedTuple):
-    """Nobody waits for the answer of this key any more."""
+    """The core no longer needs an answer to its request for the lease of this key."""
 
     key: bytes
 
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -1,7 +1,8 @@
-"""The messages between the holders of key leases and the replicas.
+"""The messages between the clients of key leases, called holders here, and the replicas.
 
-Owns their fields and limits, and the digests by which keys and payloads are named. It must never act on a
-message. The order of the fields and the tags are the wire format: they stay, whatever the fields are called.
+Owns their fields and limits, and the digests that identify keys and payloads. This module must never act on a
+message. The order of the fields and the tags are the wire format and must not change; the names of the fields
+are not sent.
 """
 
 from enum import IntEnum
@@ -24,20 +25,20 @@
 class LeaseStatus(IntEnum):
     """The status of a key in a vote, an outcome or the answer to an attempt."""
 
-    GRANTED = 1  # the lease is the proposer's
-    HELD = 2  # another attempt holds it, and its run has not ended
-    COMPLETED = 3  # a run succeeded
-    FAILED = 4  # a run failed, or its result was not kept
-    RELEASED = 5  # by its holder: it never ran
-    UNAVAILABLE = 6  # no quorum, or no capacity for another lease: it never ran here
-    PAYLOAD_MISMATCH = 7  # the same key with another payload
+    GRANTED = 1  # the lease is granted to the proposed attempt
+    HELD = 2  # another attempt holds the lease, and its run has not ended
+    COMPLETED = 3  # a run of the key succeeded
+    FAILED = 4  # a run of the key failed, or its result was too long to be kept
+    RELEASED = 5  # the holder released the lease without running the key
+    UNAVAILABLE = 6  # no quorum, or no capacity for another lease; the key was not run for this attempt
+    PAYLOAD_MISMATCH = 7  # the key is in use for a request with another payload
 
 
-RUN_ENDED = frozenset({LeaseStatus.COMPLETED, LeaseStatus.FAILED})  # statuses of a run that is over
+RUN_ENDED = frozenset({LeaseStatus.COMPLETED, LeaseStatus.FAILED})
 
 
 class LeaseProposal(Struct, array_like=True, frozen=True):
-    """One attempt to acquire the lease of a key; of one holder the higher `attempt` is the newer."""
+    """One attempt to acquire the lease of a key; a holder numbers its attempts in ascending order."""
 
     key: Key
     payload_digest: Unsigned64
@@ -46,32 +47,32 @@
 
 
 class AcquireLeases(Struct, array_like=True, frozen=True, tag=60):
-    """A holder's proposals, to one replica."""
+    """A holder sends proposals to one replica."""
 
     node: NodeName
-    session: Unsigned64  # drawn at the holder's start: tells two processes of one name apart
+    session: Unsigned64  # random number of the holder's process, which tells it from others of the same name
     proposals: Annotated[list[LeaseProposal], Meta(max_length=MAX_BATCH)]
 
 
 class LeaseReport(Struct, array_like=True, frozen=True):
-    """What one side reports of a lease: a replica's vote on an attempt, or the outcome of its run."""
+    """A replica's vote on an attempt, or a holder's report on the outcome of its run."""
 
     key: Key
     attempt: Unsigned53
     status: LeaseStatus
-    result: Result = b""  # with `COMPLETED` alone
-    payload_digest: Unsigned64 = 0  # in outcomes alone
+    result: Result = b""  # only with `COMPLETED`
+    payload_digest: Unsigned64 = 0  # only in outcomes
 
 
 class Votes(Struct, array_like=True, frozen=True, tag=61):
-    """A replica's votes on the proposals of the holder's process `session`."""
+    """A replica sends its votes on the proposals of the process `session`."""
 
     session: Unsigned64
     votes: Annotated[list[LeaseReport], Meta(max_length=MAX_BATCH)]
 
 
 class ReportOutcomes(Struct, array_like=True, frozen=True, tag=62):
-    """By the holder: how its runs ended (`COMPLETED`, `FAILED`), or that they never began (`RELEASED`)."""
+    """A holder reports how its runs ended (`COMPLETED`, `FAILED`) or that they never began (`RELEASED`)."""
 
     node: NodeName
     session: Unsigned64
@@ -87,7 +88,7 @@
 
 
 class OutcomesAcknowledged(Struct, array_like=True, frozen=True, tag=63):
-    """A replica has recorded these outcomes of the process `session`."""
+    """A replica acknowledges that it has recorded outcomes of the process `session`."""
 
     session: Unsigned64
     outcomes: Annotated[list[OutcomeId], Meta(max_length=MAX_BATCH)]
@@ -103,5 +104,5 @@
 
 
 def payload_digest(payload: bytes) -> int:
-    """Return the digest that tells the payloads of two requests with one key apart."""
+    """Return the digest by which a payload is compared with that of another request with the same key."""
     return xxh3_64_intdigest(payload)
--- a/finchcart/key_leases/outcome_deliveries.py
+++ b/finchcart/key_leases/outcome_deliveries.py
@@ -1,18 +1,18 @@
-"""The delivery of outcomes to all replicas: each is retransmitted until it is acknowledged.
+"""The delivery of outcomes to all replicas: each outcome is retransmitted until it is acknowledged.
 
-Owns the outcomes that not all replicas have acknowledged. It must never send anything itself: client.py does.
-Times are microseconds on the boot clock.
+Owns the outcomes that not all replicas have acknowledged. This module must never send anything itself:
+client.py does. Times are microseconds on the boot clock.
 """
 
 from finchcart.key_leases.config import KeyLeaseConfig
 from finchcart.key_leases.messages import LeaseReport, OutcomeId
 
-MAX_TRANSMISSIONS = 40  # of one outcome to replicas that do not acknowledge it
-MAX_BACKOFF = 8  # retransmission intervals between two transmissions of one outcome
+MAX_TRANSMISSIONS = 40  # an outcome is dropped after this many, whether or not all replicas acknowledged it
+MAX_BACKOFF = 8  # longest wait between two transmissions of an outcome, in retransmission intervals
 
 
 class OutcomeDelivery:
-    """An outcome, and the replicas that have not acknowledged it, by index."""
+    """An outcome and the indexes of the replicas that have not acknowledged it."""
 
     def __init__(self, outcome: LeaseReport, replica_count: int, now: int) -> None:
         self.outcome = outcome
@@ -22,11 +22,11 @@
 
 
 class OutcomeDeliveries:
-    """Bounded in time: a delivery ends with the last acknowledgement or after `MAX_TRANSMISSIONS`.
+    """The outcomes in delivery; each ends with its last acknowledgement or after `MAX_TRANSMISSIONS`.
 
     Arguments:
-        config: the interval of retransmissions.
-        replica_count: that each outcome is delivered to.
+        config: sets the interval of retransmissions.
+        replica_count: the number of replicas.
     """
 
     def __init__(self, config: KeyLeaseConfig, replica_count: int) -> None:
@@ -35,12 +35,12 @@
         self._deliveries: dict[tuple[bytes, int], OutcomeDelivery] = {}  # by key and attempt
 
     def add(self, now: int, outcome: LeaseReport) -> None:
-        """Deliver an outcome, in place of an earlier one of the same attempt."""
+        """Begin to deliver an outcome; it replaces an earlier outcome of the same attempt."""
         delivery = OutcomeDelivery(outcome, self.replica_count, now)
         self._deliveries[outcome.key, outcome.attempt] = delivery
 
     def acknowledge(self, replica: int, acknowledged: OutcomeId) -> None:
-        """Take an acknowledgement of a replica, given by its index."""
+        """Record the acknowledgement of a replica, given by its index."""
         attempt_id = acknowledged.key, acknowledged.attempt
         delivery = self._deliveries.get(attempt_id)
         if delivery is None or delivery.outcome.status != acknowledged.status:
@@ -50,7 +50,7 @@
             del self._deliveries[attempt_id]
 
     def take_due(self, now: int) -> dict[int, list[LeaseReport]]:
-        """Return the outcomes to transmit now, by index of the replica."""
+        """Return the outcomes to transmit now, by index of the replica, and schedule their retransmission."""
         outcomes: dict[int, list[LeaseReport]] = {}
         for attempt_id, delivery in list(self._deliveries.items()):
             if now < delivery.transmit_at:
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -1,10 +1,11 @@
-"""One replica (an acceptor): votes for one holder of each key, and records how the holder's run ended.
+"""A replica of key leases: votes for one holder of each key and records how the holder's run ended.
 
-Owns the leases that it voted for, until they expire. It must never vote for two holders of one key while a
-lease of it lasts, nor answer before all leases that an earlier process at its address may have voted for are
-over: it has no disk (see finchcart/fleet/leases.py).
+Owns the leases that the replica voted for, until they expire. A replica, an acceptor in the terms of
+PaxosLease, must never vote for two holders of a key while a lease of that key lasts. After its start it must
+not answer any message until all leases that an earlier process at its address may have voted for are over,
+as it keeps nothing on disk (see finchcart/fleet/leases.py).
 
-Bounds: `max_leases` leases and as many released attempts; both expire with the longest lease.
+Bounds: `max_leases` leases and as many released attempts; both expire within the longest lease.
 """
 
 from collections import OrderedDict
@@ -27,12 +28,12 @@
     Votes,
 )
 
-EXPIRED_PER_TICK = 64  # of each table: bounds the work of one tick
-VOTES_OVERHEAD_BYTES = 120  # of a datagram, for all but the votes in it
+MAX_EXPIRED_PER_TICK = 64  # expired entries dropped from each table, which bounds the work of one tick
+VOTES_OVERHEAD_BYTES = 120  # upper bound for the parts of a datagram other than its votes
 
 
 class KeyLease:
-    """The lease of one key: whose it is, and how its run ended, if it has."""
+    """The lease of one key: the attempt that holds it, and the outcome of its run once it has ended."""
 
     __slots__ = ("session", "attempt", "payload_digest", "status", "result", "expires_at")
 
@@ -45,27 +46,27 @@
         self.result = b""
 
     def is_of(self, session: int, attempt: int) -> bool:
-        """Whether it is held by this attempt of this process."""
+        """Whether the lease belongs to this attempt of the process `session`."""
         return self.session == session and self.attempt == attempt
 
 
 class ReleasedAttempt(NamedTuple):
-    """The newest attempt that a process released of a key, kept for the longest lease."""
+    """The newest attempt for a key that a process released, kept for the duration of the longest lease."""
 
     attempt: int
     expires_at: int
 
 
 class Expiring(Protocol):
-    """What is kept until a time."""
+    """An entry of a table that is kept until a given time."""
 
     @property
     def expires_at(self) -> int:
-        """Until when, in microseconds on the boot clock."""
+        """The time at which the entry expires, in microseconds on the boot clock."""
 
 
-K = TypeVar("K")
-E = TypeVar("E", bound=Expiring)
+KeyT = TypeVar("KeyT")
+EntryT = TypeVar("EntryT", bound=Expiring)
 
 
 class KeyLeaseReplica(MessageEndpoint[KeyLeaseMessage, Never]):
@@ -73,7 +74,7 @@
 
     Arguments:
         fleet: the name of the fleet.
-        config: the same at all replicas and holders.
+        config: the configuration, which must be the same on all replicas and holders.
         now: microseconds on the boot clock.
     """
 
@@ -87,18 +88,21 @@
         self.released: OrderedDict[tuple[bytes, int], ReleasedAttempt] = OrderedDict()
 
     def on_tick(self) -> None:
-        """Drop some of the oldest that expired: they were made in about the order in which they expire."""
+        """Drop some of the expired entries, oldest first.
+
+        Entries expire in about the order in which they were added.
+        """
         _drop_expired(self.leases, self.now)
         _drop_expired(self.released, self.now)
 
     def on_message(self, address: HostPort, message: KeyLeaseMessage) -> None:
-        """Answer a holder."""
+        """Process a message from a holder and answer it."""
         if self.now < self.quiet_until:
             raise MessageRejectedError("quiet after the start")
         match message:
             case AcquireLeases():
                 votes = [self.vote(message.session, proposal) for proposal in message.proposals]
-                # What does not fit into one datagram is requested again by its holder.
+                # The holder retransmits the proposals whose votes don't fit into one datagram.
                 votes = take_fitting(votes, MAX_DATAGRAM_BYTES - VOTES_OVERHEAD_BYTES)
                 self.send(address, Votes(message.session, votes))
             case ReportOutcomes():
@@ -115,10 +119,10 @@
         """Vote on an attempt of the process `session`.
 
         Returns:
-            The vote: `GRANTED`, or why not, with the result where a run of the key has completed.
+            The vote: `GRANTED` or the reason for a refusal, with the result if a run of the key completed.
         """
         if self._is_released(session, proposal):
-            # A late copy of an attempt that was released must not acquire the lease again.
+            # A delayed or duplicated proposal of a released attempt must not acquire the lease again.
             return self._report(proposal, LeaseStatus.RELEASED)
         if proposal.duration_us > self.config.lease_duration:
             self.count("duration longer than configured")
@@ -131,8 +135,8 @@
             return self._report(proposal, LeaseStatus.PAYLOAD_MISMATCH)
         if lease.is_of(session, proposal.attempt) and lease.status == LeaseStatus.HELD:
             return self._report(proposal, LeaseStatus.GRANTED)
-        # A later attempt of the same process is refused too, until the process has released the earlier one:
-        # its run may have ended, with the outcome still in transit.
+        # A later attempt of the same process is also refused until the process has released the earlier one:
+        # the run of the earlier one may have ended, with the report of its outcome still in transit.
         return self._report(proposal, lease.status, lease.result)
 
     def _grant(self, session: int, proposal: LeaseProposal) -> LeaseReport:
@@ -162,7 +166,7 @@
     # ---- outcomes
 
     def record(self, session: int, outcome: LeaseReport) -> None:
-        """Record how the run of a lease ended, as its holder alone may report it."""
+        """Record how the run of a lease ended; only a report of the lease's holder changes the lease."""
         lease = self._active_lease(outcome.key)
         is_holder = lease is not None and lease.is_of(session, outcome.attempt)
         if outcome.status == LeaseStatus.RELEASED:
@@ -171,15 +175,15 @@
                 del self.leases[outcome.key]
         elif outcome.status in RUN_ENDED:
             if lease is None:
-                # This replica did not vote: the request was lost, or it started since.
+                # This replica did not vote: the proposal was lost, or the replica has started since.
                 self.count("outcome without a lease")
-                lease = self._lease_of_outcome(session, outcome)
+                lease = self._add_lease_for_outcome(session, outcome)
                 is_holder = True
             if is_holder:
                 lease.status = outcome.status
                 lease.result = outcome.result
 
-    def _lease_of_outcome(self, session: int, outcome: LeaseReport) -> KeyLease:
+    def _add_lease_for_outcome(self, session: int, outcome: LeaseReport) -> KeyLease:
         expires_at = self.now + self.config.widened(self.config.lease_duration)
         lease = KeyLease(session, outcome.attempt, outcome.payload_digest, expires_at)
         self.leases[outcome.key] = lease
@@ -196,9 +200,9 @@
             self.released.popitem(last=False)
 
 
-def _drop_expired(table: OrderedDict[K, E], now: int) -> None:
-    """Drop the oldest entries that expired, `EXPIRED_PER_TICK` at most."""
-    for _ in range(min(EXPIRED_PER_TICK, len(table))):
+def _drop_expired(table: OrderedDict[KeyT, EntryT], now: int) -> None:
+    """Drop the oldest entries that have expired, at most `MAX_EXPIRED_PER_TICK`."""
+    for _ in range(min(MAX_EXPIRED_PER_TICK, len(table))):
         key, oldest = next(iter(table.items()))
         if oldest.expires_at > now:
             break
--- a/tests/test_key_lease_defects.py
+++ b/tests/test_key_lease_defects.py
@@ -78,19 +78,19 @@
 
 
 class ReleasesWhatRan(KeyLeaseClient):
-    def on_ended(self, key, status, result=b""):
-        self.on_never_ran(key)
+    def on_run_ended(self, key, status, result=b""):
+        self.on_run_cancelled(key)
 
 
 class ReportsEveryRunAsCompleted(KeyLeaseClient):
-    def on_ended(self, key, status, result=b""):
-        super().on_ended(key, LeaseStatus.COMPLETED, result)
+    def on_run_ended(self, key, status, result=b""):
+        super().on_run_ended(key, LeaseStatus.COMPLETED, result)
 
 
 class ForgetsThatItRuns(KeyLeaseClient):
     def on_acquire(self, keys):
         for wanted in keys:
-            self.on_never_ran(wanted.key)
+            self.on_run_cancelled(wanted.key)
         super().on_acquire(keys)
 
 
