--- a/tests/key_lease_steps.py
+++ b/tests/key_lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps that several tests of key leases share."""
+"""Steps of a simulation that the tests of key leases share."""
 
 from finchcart.fault_injection.key_leases.simulation import TICK_US
 from finchcart.fault_injection.key_leases.state_space import KEY
@@ -7,7 +7,7 @@
 
 
 def settle(simulation, rounds=40):
-    """All messages arrive, in order, and time passes."""
+    """Deliver all messages in order and let time pass, for a number of ticks."""
     for _ in range(rounds):
         while simulation.in_flight:
             simulation.deliver(0)
@@ -15,5 +15,5 @@
 
 
 def acquire(simulation, name, payload_digest=7, key=KEY):
-    """A holder begins to acquire the lease of a key."""
+    """Make a holder begin to acquire the lease of a key."""
     simulation.feed(name, AcquireKeyLeases([KeyToLease(key, payload_digest, 12 * SECOND)]))
--- a/tests/test_key_lease_defects.py
+++ b/tests/test_key_lease_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of replicas and clients, found by seeded runs or by hand."""
+"""Planted defects in replicas and clients of key leases, found by seeded runs or by scripted ones."""
 
 import pytest
 
@@ -13,13 +13,13 @@
 from tests.key_lease_steps import acquire, settle
 
 
-class AnswersAtOnceAfterItsStart(KeyLeaseReplica):
+class ReplicaWithoutQuietPeriod(KeyLeaseReplica):
     def __init__(self, *args):
         super().__init__(*args)
         self.quiet_until = 0
 
 
-class VotesForTheNewest(KeyLeaseReplica):
+class ReplicaThatVotesForTheNewest(KeyLeaseReplica):
     def vote(self, session, proposal):
         lease = self.leases.get(proposal.key)
         if lease is not None and lease.session != session:
@@ -27,14 +27,14 @@
         return super().vote(session, proposal)
 
 
-class AnyoneReleases(KeyLeaseReplica):
+class ReplicaThatAcceptsAnyRelease(KeyLeaseReplica):
     def record(self, session, outcome):
         super().record(session, outcome)
         if outcome.status == LeaseStatus.RELEASED:
             self.leases.pop(outcome.key, None)
 
 
-class LeaseIsTooShort(KeyLeaseReplica):
+class ReplicaWithShortLeases(KeyLeaseReplica):
     def vote(self, session, proposal):
         vote = super().vote(session, proposal)
         lease = self.leases.get(proposal.key)
@@ -43,8 +43,8 @@
         return vote
 
 
-class LaterAttemptTakesOver(KeyLeaseReplica):
-    """A later attempt of the same process counts as its release of the earlier."""
+class ReplicaThatLetsLaterAttemptsTakeOver(KeyLeaseReplica):
+    """Treats a later attempt of a process as the release of the earlier one."""
 
     def vote(self, session, proposal):
         lease = self.leases.get(proposal.key)
@@ -53,7 +53,7 @@
         return super().vote(session, proposal)
 
 
-class OneVoteIsAQuorum(KeyLeaseClient):
+class ClientWithAQuorumOfOne(KeyLeaseClient):
     def on_vote(self, replica, vote):
         if vote.status == LeaseStatus.GRANTED:
             for other in range(len(self.replicas)):
@@ -62,7 +62,7 @@
             super().on_vote(replica, vote)
 
 
-class EarlierVotesCount(KeyLeaseClient):
+class ClientThatKeepsVotesOfEarlierAttempts(KeyLeaseClient):
     def on_no_quorum(self, attempt):
         granted = {
             replica: status for replica, status in attempt.votes.items() if status == LeaseStatus.GRANTED
@@ -72,38 +72,38 @@
             self.attempts[attempt.key].votes.update(granted)
 
 
-class CommandsHoweverLate(KeyLeaseClient):
+class ClientWithoutCommandTimeout(KeyLeaseClient):
     def answer(self, key, status, result=b"", run_before=None):
         super().answer(key, status, result, run_before and run_before + 10**12)
 
 
-class ReleasesWhatRan(KeyLeaseClient):
+class ClientThatReleasesEndedRuns(KeyLeaseClient):
     def on_run_ended(self, key, status, result=b""):
         self.on_run_cancelled(key)
 
 
-class ReportsEveryRunAsCompleted(KeyLeaseClient):
+class ClientThatReportsEveryRunAsCompleted(KeyLeaseClient):
     def on_run_ended(self, key, status, result=b""):
         super().on_run_ended(key, LeaseStatus.COMPLETED, result)
 
 
-class ForgetsThatItRuns(KeyLeaseClient):
+class ClientThatForgetsItsRuns(KeyLeaseClient):
     def on_acquire(self, keys):
-        for wanted in keys:
-            self.on_run_cancelled(wanted.key)
+        for requested in keys:
+            self.on_run_cancelled(requested.key)
         super().on_acquire(keys)
 
 
 DEFECTS = {
-    "a replica answers at once after its start": KeyLeaseFactories(replica=AnswersAtOnceAfterItsStart),
-    "a replica votes for the newest": KeyLeaseFactories(replica=VotesForTheNewest),
-    "a release by anyone frees a lease": KeyLeaseFactories(replica=AnyoneReleases),
-    "a lease is too short": KeyLeaseFactories(replica=LeaseIsTooShort),
-    "one vote is a quorum": KeyLeaseFactories(client=OneVoteIsAQuorum),
-    "votes for an earlier attempt count": KeyLeaseFactories(client=EarlierVotesCount),
-    "what ran is released": KeyLeaseFactories(client=ReleasesWhatRan),
-    "a failed run is reported as completed": KeyLeaseFactories(client=ReportsEveryRunAsCompleted),
-    "a key that runs here is asked for once more": KeyLeaseFactories(client=ForgetsThatItRuns),
+    "a replica has no quiet period after its start": KeyLeaseFactories(replica=ReplicaWithoutQuietPeriod),
+    "a replica votes for the newest process": KeyLeaseFactories(replica=ReplicaThatVotesForTheNewest),
+    "a release by any process frees a lease": KeyLeaseFactories(replica=ReplicaThatAcceptsAnyRelease),
+    "a lease expires too early": KeyLeaseFactories(replica=ReplicaWithShortLeases),
+    "one vote is a quorum": KeyLeaseFactories(client=ClientWithAQuorumOfOne),
+    "votes for an earlier attempt count": KeyLeaseFactories(client=ClientThatKeepsVotesOfEarlierAttempts),
+    "the lease of an ended run is released": KeyLeaseFactories(client=ClientThatReleasesEndedRuns),
+    "a failed run is reported as completed": KeyLeaseFactories(client=ClientThatReportsEveryRunAsCompleted),
+    "a key is requested again while it runs here": KeyLeaseFactories(client=ClientThatForgetsItsRuns),
 }
 
 
@@ -114,11 +114,14 @@
             KeyLeaseFaultRun(seed, factories=DEFECTS[name]).play(20)
         except InvariantError:
             return
-    raise AssertionError("not found in 30 seeds")
+    raise AssertionError("none of 30 seeds found the defect")
 
 
-def test_a_planted_defect_is_found_by_hand_a_later_attempt_takes_over_what_ran():
-    """The report of its end is still on its way, and its own table has forgotten the key."""
+def test_a_replica_that_lets_a_later_attempt_take_over_is_found_by_a_scripted_run():
+    """A process requests a key again after its run, while all reports of the run's outcome are lost.
+
+    The key then runs twice if the replicas grant its lease to the later attempt.
+    """
 
     def play(factories):
         simulation = KeyLeaseSimulation(factories=factories)
@@ -126,7 +129,7 @@
         settle(simulation, 1)
         simulation.command("h0", KEY)
         simulation.end("h0", KEY)
-        simulation.in_flight.clear()  # lost, all three
+        simulation.in_flight.clear()  # the report of the outcome is lost on the way to all three replicas
         acquire(simulation, "h0")
         while simulation.in_flight:
             simulation.deliver(0)
@@ -134,12 +137,12 @@
             simulation.command("h0", KEY)
 
     with pytest.raises(InvariantError):
-        play(KeyLeaseFactories(replica=LaterAttemptTakesOver))
+        play(KeyLeaseFactories(replica=ReplicaThatLetsLaterAttemptsTakeOver))
     play(KeyLeaseFactories())
 
 
-def test_a_planted_defect_is_found_by_hand_a_run_is_commanded_however_late():
-    """The holder is suspended between its lease and the command, the duplicate runs elsewhere."""
+def test_a_client_without_a_command_timeout_is_found_by_a_scripted_run():
+    """A holder is suspended between its lease and the command, and the duplicate runs on another node."""
 
     def play(factories):
         simulation = KeyLeaseSimulation(factories=factories)
@@ -152,5 +155,5 @@
         simulation.command("h0", KEY)
 
     with pytest.raises(InvariantError):
-        play(KeyLeaseFactories(client=CommandsHoweverLate))
+        play(KeyLeaseFactories(client=ClientWithoutCommandTimeout))
     play(KeyLeaseFactories())
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -1,4 +1,4 @@
-"""Key leases on the virtual clock: replicas and clients, seeded runs and the bounded search."""
+"""Key leases in virtual time: replicas and clients, seeded runs and the bounded search of the state space."""
 
 import random
 import re
@@ -19,7 +19,7 @@
 from tests.key_lease_steps import acquire, settle
 
 
-def test_one_of_two_gets_the_key_and_the_other_its_result():
+def test_one_of_two_holders_gets_the_lease_and_the_other_the_result():
     simulation = KeyLeaseSimulation()
     acquire(simulation, "h0")
     settle(simulation, 1)
@@ -27,18 +27,18 @@
     simulation.command("h0", KEY)
     acquire(simulation, "h1")
     settle(simulation, 4)
-    assert ("h1", KEY) not in simulation.answers, "it waits for the run elsewhere"
+    assert ("h1", KEY) not in simulation.answers, "h1 must wait for the outcome of the run on h0"
     simulation.end("h0", KEY)
     settle(simulation, 8)
     assert simulation.answers["h1", KEY] == [LeaseStatus.COMPLETED]
     acquire(simulation, "h1", 8, KEY)
     settle(simulation, 4)
     assert simulation.answers["h1", KEY] == [LeaseStatus.COMPLETED, LeaseStatus.PAYLOAD_MISMATCH], (
-        "the same key with another payload"
+        "a request for the same key with another payload must be refused"
     )
 
 
-def test_a_run_that_did_not_end_in_time_is_answered_as_held_and_what_never_ran_is_free_again():
+def test_a_duplicate_of_a_slow_run_is_answered_as_held_and_a_cancelled_run_frees_its_lease():
     simulation = KeyLeaseSimulation()
     acquire(simulation, "h0")
     settle(simulation, 1)
@@ -52,7 +52,7 @@
     assert simulation.answers["h1", KEY] == [LeaseStatus.HELD, LeaseStatus.GRANTED]
 
 
-def test_a_lease_outlives_its_holder_and_a_restart_of_its_name():
+def test_a_lease_outlives_a_restart_of_its_holder():
     simulation = KeyLeaseSimulation()
     acquire(simulation, "h0")
     settle(simulation, 1)
@@ -68,7 +68,7 @@
     ]
 
 
-def test_without_a_quorum_nothing_runs_and_a_replica_that_started_is_quiet():
+def test_no_lease_is_granted_while_restarted_replicas_are_quiet_and_leave_no_quorum():
     simulation = KeyLeaseSimulation()
     simulation.start("k0")
     simulation.start("k1")
@@ -81,7 +81,7 @@
     assert simulation.answers["h0", KEY] == [LeaseStatus.UNAVAILABLE, LeaseStatus.GRANTED]
 
 
-def test_a_replica_is_bounded_and_when_full_refuses_new_leases_and_answers_duplicates():
+def test_a_full_replica_refuses_new_leases_and_still_answers_duplicates():
     simulation = KeyLeaseSimulation(config=KeyLeaseConfig(max_leases=5))
     keys = [messages.key_digest("m", str(n)) for n in range(8)]
     for key in keys[:4]:
@@ -104,11 +104,11 @@
     assert not any(simulation.machines[f"k{n}"].leases for n in range(3))
 
 
-def test_many_requests_go_in_one_message_and_a_result_too_long_is_reported_as_lost():
+def test_proposals_are_batched_and_a_run_with_too_long_a_result_is_reported_as_failed():
     simulation = KeyLeaseSimulation()
     keys = [messages.key_digest("m", str(n)) for n in range(20)]
     simulation.feed("h0", AcquireKeyLeases([KeyToLease(key, 7, 12 * SECOND) for key in keys]))
-    assert len(simulation.in_flight) == 6, "sixteen to a message, three replicas"
+    assert len(simulation.in_flight) == 6, "20 proposals need two messages to each of three replicas"
     settle(simulation, 1)
     for key in keys:
         simulation.command("h0", key)
@@ -120,7 +120,7 @@
     assert simulation.answers["h1", keys[0]] == [LeaseStatus.FAILED]
 
 
-def test_settings_that_cannot_hold_are_reported():
+def test_unusable_settings_are_reported_and_the_example_shows_the_defaults():
     addresses = ("10.0.0.1:1", "10.0.0.2:1")
     errors = config_errors(KeyLeaseConfig(replicas=addresses, command_timeout=15 * SECOND))
     assert [error.field for error in errors] == ["keepers", "command_ms"]
@@ -129,12 +129,12 @@
     head, _, tail = text.partition("  // claims: {\n")
     example = json5.loads(head + "  claims: {\n" + re.sub(r"(?m)^  // ", "  ", tail))
     config = key_lease_config(check_settings(example, "example"))
-    assert config == KeyLeaseConfig(replicas=config.replicas), "the example shows the defaults"
-    assert len(config.replicas) == 3, "the example shows the defaults"
+    assert config == KeyLeaseConfig(replicas=config.replicas), "the example must show the defaults"
+    assert len(config.replicas) == 3, "the example must list three replicas"
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_key_runs_twice_in_seeded_runs(seed):
+def test_no_key_runs_twice_within_its_window_in_seeded_runs(seed):
     run = KeyLeaseFaultRun(seed)
     run.play(20)
     assert run.key_count > 50
@@ -145,13 +145,13 @@
     assert KeyLeaseFaultRun(5).play(10) == KeyLeaseFaultRun(5).play(10)
 
 
-def test_the_bounded_search_of_all_orders_finds_nothing():
-    states, breach = explore(5, 1, most=3000)
-    assert breach is None
+def test_the_bounded_search_of_message_orders_finds_no_violation():
+    states, violation = explore(5, 1, most=3000)
+    assert violation is None
     assert states > 500
 
 
-def test_choices_of_the_search_are_executed():
+def test_a_lease_is_granted_when_messages_arrive_in_random_order():
     simulation, rng = KeyLeaseSimulation(), random.Random(3)
     claim(simulation, "h0")
     for _ in range(30):
