--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -16,9 +16,7 @@
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import IN_FLEET
 
-RATE_WINDOW_US = (
-    10_000_000  # a member that changes its reports too often in this window is ignored for as long
-)
+RATE_WINDOW_US = 10_000_000  # window for the change rate, and how long a member above it is ignored
 
 # Each tick looks these up for every member: a plain integer costs a quarter of an enum member's lookup.
 OBSERVATIONS = GossipTopic.OBSERVATIONS.value
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -64,9 +64,7 @@
     min_hold_time: int = 2 * SECOND  # a decision stays in force this long; doubled with each recurrence
     max_hold_time: int = 16 * SECOND  # upper bound of the hold time after recurrences
     min_calls: int = 4  # the fewest calls in `observation_span` for a report on the store
-    failed_fraction: float = (
-        0.5  # the store is down, or a node is failing, if this fraction of calls or runs fails
-    )
+    failed_fraction: float = 0.5  # at this fraction of failures, the store is down or a node is an outlier
     slow_factor: float = 4.0  # slow: this many times the usual call time, or the median of other nodes' runs
     probe_calls: int = 4  # concurrent calls of the whole fleet to a store that is down
     probe_timeout: int = 1 * SECOND  # timeout of a probe call
@@ -79,9 +77,7 @@
     max_blocked_fraction: float = 0.2  # fraction of all RPCs that decisions may block, over all sources
     min_runs: int = 20  # the fewest runs in `observation_span` for a report on the node
     max_ejected_fraction: float = 0.2  # fraction of the members that may be ejected at once
-    runs_report_lifetime: int = (
-        30 * SECOND
-    )  # a node without runs (as when ejected) repeats its last report so long
+    runs_report_lifetime: int = 30 * SECOND  # an ejected node without runs repeats its last report so long
     level_step: float = 0.2  # a node's shed level may be below the fleet's by this much
     max_source_reports: int = 12  # sources that one node reports; the worst ones are chosen
     max_sources: int = 512  # sources that a node observes; `Observer` evicts one to make room
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -222,9 +222,7 @@
 
     def _report_source(self, subject: int) -> ObservationReport:
         source = self.sources[subject]
-        restriction = (
-            source.restriction or Restriction.NONE
-        )  # never NONE: `_worst_sources` chose restricted ones
+        restriction = source.restriction or Restriction.NONE  # `_worst_sources` never returns NONE
         all_rpcs = max(1, self.rpcs.sums[0])
         rpcs = SourceCounts(*source.sums.sums).rpcs
         percent = min(100, 100 * rpcs // all_rpcs)
--- a/finchcart/consensus/publisher.py
+++ b/finchcart/consensus/publisher.py
@@ -12,9 +12,7 @@
 from finchcart.membership.member import Member
 from finchcart.membership.messages import GossipTopic
 
-CONFIRMATIONS_PER_LIFETIME = (
-    3  # an unchanged report is published again before its lifetime ends at the others
-)
+CONFIRMATIONS_PER_LIFETIME = 3  # so that an unchanged report doesn't expire at the other members
 
 
 class ReportPublisher:
--- a/finchcart/key_leases/config.py
+++ b/finchcart/key_leases/config.py
@@ -33,15 +33,11 @@
     """Times and sizes of key leases; see docs/operate/claims.md for how to choose them."""
 
     replicas: tuple[str, ...] = ()  # addresses of the 1, 3 or 5 replicas, the same on all nodes and replicas
-    lease_duration: int = (
-        20 * SECOND
-    )  # longest window of a key; a retry within it is recognised as a duplicate
+    lease_duration: int = 20 * SECOND  # longest window of a key, and the latest time for a retry of it
     command_timeout: int = 1 * SECOND  # a run is commanded within this time after the proposal, or not at all
     quorum_timeout: int = 200 * MS  # an attempt without a quorum of votes fails after this time
     retransmit_interval: int = 50 * MS  # an unanswered message is retransmitted after this time
-    outcome_timeout: int = (
-        2 * SECOND
-    )  # a duplicate waits at most this long for the outcome of a run elsewhere
+    outcome_timeout: int = 2 * SECOND  # a duplicate waits this long for the outcome of a run elsewhere
     poll_interval: int = 100 * MS  # while it waits, it polls the replicas at this interval
     drift: float = 0.001  # upper bound on the relative difference in rate between two clocks of the fleet
     max_result_bytes: int = 256  # longest result that replicas keep; a longer one is reported as `FAILED`
