--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -22,7 +22,7 @@
 OBSERVATIONS = GossipTopic.OBSERVATIONS.value
 OVERRIDES = GossipTopic.OVERRIDES.value
 
-Precedence = tuple[int, int]
+Precedence = tuple[int, int]  # incarnation and sequence of a gossip entry
 
 
 class ReceivedOverride(NamedTuple):
@@ -36,12 +36,12 @@
 class ChangeRate:
     """The number of times that a member changed its reports since `window_start`."""
 
-    __slots__ = ("first", "muted_until", "window_start")
+    __slots__ = ("first", "ignored_until", "window_start")
 
     def __init__(self, now: int, precedence: Precedence) -> None:
         self.window_start = now
         self.first = precedence  # of the first entry in the window
-        self.muted_until = 0
+        self.ignored_until = 0
 
     def changes(self, now: int, precedence: Precedence) -> int:
         """Return the number of changes from the window's first entry to the entry of `precedence`."""
@@ -65,7 +65,7 @@
         self.reporting_count = 0  # members whose reports the last collection accepted
         self.member_count = 1  # members in the fleet, this one included
         self._count = count
-        self._read: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
+        self._decoded: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
         self._overrides_read: dict[int, Precedence] = {}
         self._change_rates: dict[int, ChangeRate] = {}
 
@@ -135,8 +135,8 @@
         A node may report only its own runs: reports about other nodes are dropped.
         """
         precedence = dated.entry.precedence
-        read_precedence, reports = self._read.get(member_id, (None, None))
-        if read_precedence == precedence:
+        decoded_precedence, reports = self._decoded.get(member_id, (None, None))
+        if decoded_precedence == precedence:
             return reports
         reports = decode_reports(dated.entry.payload)
         if reports is None:
@@ -146,7 +146,7 @@
             reports = [
                 each for each in reports if kind_of(each.subject) != SubjectKind.NODE or each.subject == own
             ]
-        self._read[member_id] = precedence, reports
+        self._decoded[member_id] = precedence, reports
         return reports
 
     def _changes_too_often(self, now: int, member_id: int, precedence: Precedence) -> bool:
@@ -155,15 +155,15 @@
             rate = ChangeRate(now, precedence)
             self._change_rates[member_id] = rate
         allowed = 2 * RATE_WINDOW_US // self.config.min_publish_interval
-        if rate.changes(now, precedence) > allowed and now >= rate.muted_until:
-            rate.muted_until = now + RATE_WINDOW_US
+        if rate.changes(now, precedence) > allowed and now >= rate.ignored_until:
+            rate.ignored_until = now + RATE_WINDOW_US
             self._count("changes too often")
-        return now < rate.muted_until
+        return now < rate.ignored_until
 
     def _drop_unknown_members(self, member: Member) -> None:
         """Drop the state of members that are no longer known."""
         known = member.known_members
-        if len(self._read) > len(known):
-            self._read = {key: read for key, read in self._read.items() if key in known}
+        if len(self._decoded) > len(known):
+            self._decoded = {key: decoded for key, decoded in self._decoded.items() if key in known}
             self._overrides_read = {key: read for key, read in self._overrides_read.items() if key in known}
             self._change_rates = {key: rate for key, rate in self._change_rates.items() if key in known}
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -21,6 +21,7 @@
     SubjectKind,
     kind_of,
 )
+from finchcart.fleet.units import SECOND
 
 PERCENT_FACTOR = 10**6  # the weight of a source's report is its percentage of RPCs times this, plus its rate
 LEVEL_STEPS = 20  # a reported load-shedding level is rounded to one of so many steps
@@ -35,25 +36,25 @@
     def __init__(self, span: int, width: int) -> None:
         self.span = span
         self.sums = [0] * width
-        self._items: deque[tuple[int, Sequence[int]]] = deque()
+        self._samples: deque[tuple[int, Sequence[int]]] = deque()
 
     @property
     def is_empty(self) -> bool:
         """Whether the span holds no sample other than zeros."""
-        return not self._items
+        return not self._samples
 
-    def add(self, now: int, item: Sequence[int]) -> None:
+    def add(self, now: int, sample: Sequence[int]) -> None:
         """Add one sample."""
-        if any(item):
-            self._items.append((now, item))
-            self.sums = [total + number for total, number in zip(self.sums, item, strict=True)]
+        if any(sample):
+            self._samples.append((now, sample))
+            self.sums = [total + number for total, number in zip(self.sums, sample, strict=True)]
         self.expire(now)
 
     def expire(self, now: int) -> None:
         """Remove the samples that are older than the span."""
-        while self._items and self._items[0][0] <= now - self.span:
-            _, item = self._items.popleft()
-            self.sums = [total - number for total, number in zip(self.sums, item, strict=True)]
+        while self._samples and self._samples[0][0] <= now - self.span:
+            _, sample = self._samples.popleft()
+            self.sums = [total - number for total, number in zip(self.sums, sample, strict=True)]
 
 
 class ObservedSource:
@@ -95,9 +96,9 @@
         self.rpcs = SlidingSums(config.source_span, 1)
         self.sources: dict[int, ObservedSource] = {}
         self._store: StoreHealth | None = None
-        self._store_seen_at = 0
+        self._store_updated_at = 0
         self._runs_summary: tuple[int, int] | None = None  # percentage of failed runs, mean microseconds
-        self._runs_seen_at = 0
+        self._runs_updated_at = 0
         self._level = 0.0
 
     def reset(self) -> None:
@@ -117,19 +118,19 @@
         self._observe_runs(now)
         for subject, counts in evidence.sources.items():
             self._observe_source(now, subject, counts)
-        self._review_sources(now)
+        self._update_restrictions(now)
 
     def _observe_store(self, now: int, was_called: bool) -> None:
         succeeded, failed, time = self.calls.sums
         # While the store is down only probe calls reach it, and one of them is enough to show its recovery.
         required = 1 if self._store == StoreHealth.DOWN else self.config.min_calls
         if was_called and succeeded + failed >= required:
-            self._store = self._judge_store(succeeded, failed, time)
-            self._store_seen_at = now
-        elif self._store and now - self._store_seen_at > self.config.report_lifetime:
+            self._store = self._compute_store_health(succeeded, failed, time)
+            self._store_updated_at = now
+        elif self._store and now - self._store_updated_at > self.config.report_lifetime:
             self._store = None
 
-    def _judge_store(self, succeeded: int, failed: int, time: int) -> StoreHealth:
+    def _compute_store_health(self, succeeded: int, failed: int, time: int) -> StoreHealth:
         mean = time / succeeded if succeeded else 0
         usual = self._usual_call_time
         if failed >= self.config.failed_fraction * (succeeded + failed):
@@ -143,8 +144,8 @@
         ended, failed, time = self.runs.sums
         if ended >= self.config.min_runs:
             self._runs_summary = round(100 * failed / ended), time // ended
-            self._runs_seen_at = now
-        elif self._runs_summary and now - self._runs_seen_at > self.config.runs_report_lifetime:
+            self._runs_updated_at = now
+        elif self._runs_summary and now - self._runs_updated_at > self.config.runs_report_lifetime:
             self._runs_summary = None
 
     def _observe_source(self, now: int, subject: int, counts: SourceCounts) -> None:
@@ -170,7 +171,7 @@
             self.sources[subject] = source
         return False
 
-    def _review_sources(self, now: int) -> None:
+    def _update_restrictions(self, now: int) -> None:
         until = now + self.config.restriction_time
         for subject, source in list(self.sources.items()):
             source.sums.expire(now)
@@ -206,7 +207,7 @@
         level = LEVEL_STEP_THOUSANDTHS * round(LEVEL_STEPS * self._level)
         reports = [ObservationReport(ZONE_SUBJECT, self.zone, 0), ObservationReport(LEVEL_SUBJECT, level, 0)]
         if self._store:
-            is_fresh = now - self._store_seen_at <= self.config.observation_span
+            is_fresh = now - self._store_updated_at <= self.config.observation_span
             reports.append(ObservationReport(STORE_SUBJECT, self._store, int(is_fresh)))
         if self._runs_summary:
             percent_failed, time = self._runs_summary
@@ -226,5 +227,5 @@
         all_rpcs = max(1, self.rpcs.sums[0])
         rpcs = SourceCounts(*source.sums.sums).rpcs
         percent = min(100, 100 * rpcs // all_rpcs)
-        rate = min(PERCENT_FACTOR - 1, source.worst_count * PERCENT_FACTOR // self.config.source_span)
+        rate = min(PERCENT_FACTOR - 1, source.worst_count * SECOND // self.config.source_span)
         return ObservationReport(subject, restriction, percent * PERCENT_FACTOR + rate)
--- a/finchcart/consensus/publisher.py
+++ b/finchcart/consensus/publisher.py
@@ -12,7 +12,7 @@
 from finchcart.membership.member import Member
 from finchcart.membership.messages import GossipTopic
 
-CONFIRMATIONS_PER_LIFETIME = 3  # so that an unchanged report doesn't expire at the other members
+CONFIRMATIONS_PER_LIFETIME = 3  # publications of an unchanged report, so that it doesn't expire elsewhere
 
 
 class ReportPublisher:
