--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -52,7 +52,7 @@
 
     def collect_evidence(self, now: int, shed_level: float) -> Evidence | None:
         """Return the evidence since the last call, or None if the interval is not over yet."""
-        if self._collected_at is not None and now - self._collected_at < self.config.look_interval:
+        if self._collected_at is not None and now - self._collected_at < self.config.evidence_interval:
             return None
         evidence = Evidence(
             CallCounts(*self._calls),
--- a/tests/test_consensus_in_node.py
+++ b/tests/test_consensus_in_node.py
@@ -18,7 +18,7 @@
 from finchcart.protocol.messages import HeartbeatCall
 from finchcart.quota.effects import LimitAllowance
 from finchcart.quota.limits import Limit
-from tests.consensus_examples import BAD, BLOCKED, CONFIG, DOWN, GOOD, SLOW, THROTTLED, WORKING
+from tests.consensus_examples import BAD_SOURCE, BLOCKED, CONFIG, DOWN, GOOD_SOURCE, SLOW, THROTTLED, WORKING
 from tests.core_cases import GAUGES, plain_harness
 from tests.core_harness import CoreHarness
 from tests.decision_runs import PLAIN, apply_random_events
@@ -83,7 +83,7 @@
         for subject, (count, _, _) in evidence.sources.items():
             invalid[subject] = invalid.get(subject, 0) + count
     assert silent, "the silent connection was not opened"
-    assert invalid == {BAD: 2}, "a health check or a connection that was told to close is counted"
+    assert invalid == {BAD_SOURCE: 2}, "a health check or a connection that was told to close is counted"
 
 
 def test_a_blocked_source_is_rejected_at_once_and_a_throttled_one_beyond_its_rate():
@@ -91,9 +91,9 @@
     apply_consensus(
         harness,
         sources={
-            BAD: BLOCKED,
+            BAD_SOURCE: BLOCKED,
             subjects.make_subject(SubjectKind.DISPATCHER, 5): BLOCKED,
-            GOOD: THROTTLED,
+            GOOD_SOURCE: THROTTLED,
         },
     )
     names = [
