--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -1,8 +1,8 @@
 """The consensus store: a state machine that combines the reports of all members with operators' overrides.
 
-`reduce(now, event)` takes one input and returns effects. `on_member_tick(now, member)` is called with each tick
-of the member, the membership protocol on whose heartbeats the reports are piggybacked. `now` is the boot clock
-in whole microseconds. This module must never act on a decision, nor use I/O, a clock or a lock.
+`reduce(now, event)` takes one input and returns effects. `on_member_tick(now, member)` is called with each
+tick of the member, the membership protocol on whose heartbeats the reports are piggybacked. `now` is the boot
+clock in whole microseconds. This module must never act on a decision, nor use I/O, a clock or a lock.
 
 Inputs: those of finchcart/fleet/inputs.py and inputs.py. Effects: those of finchcart/fleet/effects.py and
 `DecisionsChanged`.
