--- a/finchcart/fault_injection/scripted_runs/__init__.py
+++ b/finchcart/fault_injection/scripted_runs/__init__.py
@@ -1,1 +1,1 @@
-"""Scripts of faults, played on real processes or on the virtual clock, and checked."""
+"""Fault scripts, which are executed on real processes or on the virtual clock and then checked."""
--- a/finchcart/fault_injection/scripted_runs/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -1,8 +1,8 @@
-"""The checker: what the members reported, held against what was done to them.
+"""Check the events that members reported in a scripted run against the expectations of its plan.
 
-Owns the events of a run and the judgement of it. It knows nothing of the program but its log lines, and
-must never be told by a member what is true. Times are whole microseconds on the machine's one boot clock,
-or the virtual.
+The checker takes each event as what one member reported, never as the truth about another member. It knows
+nothing of the program but the fields of its log lines. Times are whole microseconds of the boot clock, which
+all processes on a machine share, or of the virtual clock.
 """
 
 import json
@@ -18,41 +18,41 @@
 from finchcart.fault_injection.scripted_runs.script import ExpectationKind
 
 US_PER_S = 1e6
-INITIAL_STATES = {"left", "working", "in"}  # held of a subject that nothing was heard of
+INITIAL_STATES = {"left", "working", "in"}  # of a subject before the first event about it
 
 
 class EventKind(StrEnum):
-    """What happened."""
+    """The kinds of events."""
 
-    BEGAN = "began"  # the process
-    STATE = "state"  # `of` is `value` at `at`
-    ISOLATED = "isolated"  # `at` holds itself to be, or not, by `value`
-    RESUMED = "woke"
+    STARTED = "began"  # the observer's process was started
+    STATE = "state"  # the observer holds the subject to be in the state `value`
+    ISOLATED = "isolated"  # the observer considers itself isolated (`value` is True) or connected (False)
+    RESUMED = "woke"  # the observer noticed that it had been suspended, for `value` milliseconds
 
 
 class Event(Struct):
-    """One thing that a member reported; `at` is the member."""
+    """One report of a member, the observer."""
 
     when: int
-    at: str
+    observer: str
     kind: EventKind
-    of: str = ""
+    subject: str = ""
     value: str | bool = ""
-    line: str = ""
+    line: str = ""  # the log line, shown in the text of a breach
 
 
 def events_from_logs(
     folder: Path,
     names: Iterable[str],
-    began: Mapping[tuple[str, int], int],
+    process_starts: Mapping[tuple[str, int], int],
     alias: Callable[[str], str] = str,
 ) -> list[Event]:
-    """Return the events of all logs of a run, in order.
+    """Return the events of all logs of a run, in order of time.
 
-    A health verdict is the state of its subject; `began` is when each life of each process began, `alias` the
-    name of a source by its address.
+    A health verdict counts as the state of its subject. `process_starts` maps a name and the number of a
+    process of that name to the time of its start. `alias` returns the name of a source by its address.
     """
-    events = [Event(when, name, EventKind.BEGAN) for (name, _), when in began.items()]
+    events = [Event(when, name, EventKind.STARTED) for (name, _), when in process_starts.items()]
     for name in names:
         for path in sorted(folder.glob(f"{name}.*.log")):
             for line in path.read_text(errors="replace").splitlines():
@@ -64,9 +64,10 @@
 
 
 def event_from_line(name: str, line: str, alias: Callable[[str], str]) -> Event | None:
-    """Return the event of a log line; None where it tells none.
+    """Return the event of a log line, or None if the line has no event.
 
-    A line that is not of the program's log tells none: a start that failed is seen by its silence.
+    A line that isn't one of the program's JSON log lines, such as a traceback, has no event: a process that
+    failed to start is noticed because it reports nothing.
     """
     try:
         fields = json.loads(line)
@@ -86,48 +87,48 @@
 
 
 class Result(Struct):
-    """What became of one expectation: seconds until it held, changes after, and the first breach."""
+    """The result of checking one expectation."""
 
     name: str
-    what: str
-    times: list[float]  # of each pair or member, from `after`
-    changes: int
-    breach: str | None
+    what: str  # an `ExpectationKind`, or the check that found a breach
+    times: list[float]  # seconds from `after` until it held, one for each pair or member
+    changes: int  # how often the value changed when it was no longer allowed to
+    breach: str | None  # the text of the first breach
 
 
 class History:
-    """States by (at, of), isolation by member, from events."""
+    """The events of a run, grouped by observer."""
 
     def __init__(self, events: Iterable[Event]) -> None:
-        self.states: dict[tuple[str, str], list[Event]] = defaultdict(list)
+        self.states: dict[tuple[str, str], list[Event]] = defaultdict(list)  # by (observer, subject)
         self.isolated: dict[str, list[Event]] = defaultdict(list)
-        self.lives: dict[str, list[int]] = defaultdict(list)  # when the member's processes began
+        self.process_starts: dict[str, list[int]] = defaultdict(list)
         for event in events:
-            if event.kind == EventKind.BEGAN:
-                self.lives[event.at].append(event.when)
+            if event.kind == EventKind.STARTED:
+                self.process_starts[event.observer].append(event.when)
             elif event.kind == EventKind.STATE:
-                self.states[event.at, event.of].append(event)
+                self.states[event.observer, event.subject].append(event)
             elif event.kind == EventKind.ISOLATED:
-                self.isolated[event.at].append(event)
+                self.isolated[event.observer].append(event)
 
-    def began(self, at: str, when: int) -> int:
-        """Return when the process began that ran at that time."""
-        return max((life for life in self.lives[at] if life <= when), default=0)
+    def process_start(self, observer: str, when: int) -> int:
+        """Return the start of the observer's process that ran at the time `when`."""
+        return max((start for start in self.process_starts[observer] if start <= when), default=0)
 
-    def last(self, events: list[Event], at: str, when: int) -> Event | None:
-        """Return the last of the events at that time, of the process that ran then."""
+    def latest(self, events: list[Event], observer: str, when: int) -> Event | None:
+        """Return the latest event up to `when`, if it is of the process that ran at that time."""
         count = bisect_right(events, when, key=lambda event: event.when)
-        if count and events[count - 1].when >= self.began(at, when):
+        if count and events[count - 1].when >= self.process_start(observer, when):
             return events[count - 1]
         return None
 
-    def state(self, at: str, of: str, when: int) -> Event | None:
-        """Return the event by which one member held another to be in a state at that time."""
-        return self.last(self.states[at, of], at, when)
+    def state(self, observer: str, subject: str, when: int) -> Event | None:
+        """Return the event with the state that the observer held the subject to be in at that time."""
+        return self.latest(self.states[observer, subject], observer, when)
 
 
 def check(history: History, expectation: PlannedExpectation, start: int) -> Result:
-    """Check one expectation; `start` is the run's zero on the clock."""
+    """Check one expectation; `start` is the start of the run on the clock."""
     return ExpectationCheck(history, expectation, start).check()
 
 
@@ -138,7 +139,7 @@
 
 
 class ExpectationCheck:
-    """One expectation, held against a history."""
+    """The check of one expectation against a history."""
 
     def __init__(self, history: History, expectation: PlannedExpectation, start: int) -> None:
         self.history = history
@@ -150,19 +151,19 @@
         self.result = Result(expectation.name, expectation.what, [], 0, None)
 
     def check(self) -> Result:
-        """Return what became of it."""
+        """Return the result of the check."""
         kind = self.expectation.what
         if kind in (ExpectationKind.ISOLATED, ExpectationKind.CONNECTED):
             self._check_isolation(kind == ExpectationKind.ISOLATED)
         else:
             check_pair = self._check_never if kind == ExpectationKind.NEVER else self._check_agreement
-            for at in self.expectation.by:
-                for of in self.expectation.of:
-                    if at != of:
-                        check_pair(at, of)
+            for observer in self.expectation.by:
+                for subject in self.expectation.of:
+                    if observer != subject:
+                        check_pair(observer, subject)
         return self.result
 
-    def _breach(self, text: str, event: Event | None = None) -> None:
+    def _record_breach(self, text: str, event: Event | None = None) -> None:
         if self.result.breach is None:
             line = f"\n    {event.line}" if event is not None and event.line else ""
             self.result.breach = text + line
@@ -170,15 +171,19 @@
     def _seconds_after(self, when: int) -> float:
         return (when - self.after) / US_PER_S
 
-    def _check_never(self, at: str, of: str) -> None:
-        before = self.history.state(at, of, self.after)
+    def _check_never(self, observer: str, subject: str) -> None:
+        before = self.history.state(observer, subject, self.after)
         events = [before] if before else []
-        events += [event for event in self.history.states[at, of] if self.after < event.when <= self.until]
+        events += [
+            event for event in self.history.states[observer, subject] if self.after < event.when <= self.until
+        ]
         for event in events:
             if event.value in self.expectation.states:
                 self.result.changes += 1
                 seconds = (event.when - self.start) / US_PER_S
-                self._breach(f"{at} holds {of} to be {event.value} at {seconds:.2f} s", event)
+                self._record_breach(
+                    f"{observer} holds {subject} to be {event.value} at {seconds:.2f} s", event
+                )
 
     def _check_isolation(self, expected: bool) -> None:
         for name in self.expectation.of:
@@ -186,36 +191,36 @@
                 self.history.isolated[name],
                 name,
                 lambda value: value is expected,
-                f"{name} does not hold itself {self.expectation.what}",
+                f"{name} does not consider itself {self.expectation.what}",
                 default=not expected,
             )
 
-    def _check_agreement(self, at: str, of: str) -> None:
+    def _check_agreement(self, observer: str, subject: str) -> None:
         states = self.expectation.states
         self._check_settled(
-            self.history.states[at, of],
-            at,
+            self.history.states[observer, subject],
+            observer,
             lambda value: value in states,
-            f"{at} does not hold {of} to be {' or '.join(states)}",
+            f"{observer} does not hold {subject} to be {' or '.join(states)}",
             default=bool(INITIAL_STATES & set(states)),
         )
 
     def _check_settled(
         self,
         events: list[Event],
-        at: str,
+        observer: str,
         is_expected: Callable[[str | bool], bool],
         text: str,
         default: bool,
     ) -> None:
-        """Note when the value became the expected one, and how often it changed after."""
-        last = self.history.last(events, at, self.after)
-        began = self.history.began(at, self.until)
+        """Record when the value became the expected one, and how often it changed after the limit."""
+        last = self.history.latest(events, observer, self.after)
+        process_start = self.history.process_start(observer, self.until)
         holds = is_expected(last.value) if last is not None else default
         since = self.after
         for event in events:
-            if not self.after < event.when <= self.until or event.when < began <= self.limit:
-                continue  # of an earlier process of that name, too
+            if not self.after < event.when <= self.until or event.when < process_start <= self.limit:
+                continue  # outside the time checked, or from an earlier process of the observer
             held = holds
             holds = is_expected(event.value)
             last = event
@@ -223,11 +228,13 @@
                 since = event.when
             elif held and not holds and event.when > self.limit:
                 self.result.changes += 1
-                self._breach(f"{text}: it changed at {self._seconds_after(event.when):.2f} s after", event)
+                self._record_breach(
+                    f"{text}: it changed again after {self._seconds_after(event.when):.2f} s", event
+                )
         if not holds:
-            self._breach(f"{text}: not {self._seconds_after(self.until):.1f} s after", last)
+            self._record_breach(f"{text}: not reached within {self._seconds_after(self.until):.1f} s", last)
             return
         self.result.times.append(self._seconds_after(since))
         if since > self.limit:
-            allowed = f"{self._seconds_after(self.limit):.2f} allowed"
-            self._breach(f"{text} until {self._seconds_after(since):.2f} s after, {allowed}", last)
+            allowed = f"{self._seconds_after(self.limit):.2f} s are allowed"
+            self._record_breach(f"{text} until after {self._seconds_after(since):.2f} s; {allowed}", last)
--- a/finchcart/fault_injection/scripted_runs/fault_injecting_proxy.py
+++ b/finchcart/fault_injection/scripted_runs/fault_injecting_proxy.py
@@ -1,9 +1,11 @@
-"""The simulated network on loopback, as a process: `python -m` with this module's name.
-
-One process for all links of a run. Owns one loopback address for each member, which that member advertises.
-A datagram that arrives there from another member's own address goes on, if the simulated network lets it,
-to the member from the other's proxied address. Orders come as JSON lines on standard input, counts go out
-on standard output. It must never outlive its standard input, nor look at what a datagram says.
+"""Run a UDP proxy that injects faults into the links between members, as a process of its own.
+
+One process, started by `python -m` with this module's name, serves all links of a run. It binds a proxied
+loopback address for each member, which the member advertises in place of its own. A datagram that another
+member sends there passes through the simulated network, which may drop, delay, duplicate, reorder or corrupt
+it. The proxy then forwards it to the member's own address, from the proxied address of the sender. Orders
+arrive as JSON lines on standard input, and counts are printed to standard output. The proxy must end when its
+standard input is closed, and must never interpret the content of a datagram.
 """
 
 import json
@@ -19,8 +21,8 @@
 from finchcart.net.clock import boot_clock
 
 RECEIVE_BUFFER_BYTES = 1 << 20
-LONGEST_DATAGRAM = 2048  # bytes
-UP_LINE = "up"
+MAX_DATAGRAM_BYTES = 2048
+READY_LINE = "up"
 US_PER_S = 1e6
 
 Address = tuple[str, int]
@@ -28,21 +30,21 @@
 
 @dataclass(frozen=True)
 class Order:
-    """A line of standard input, read."""
+    """An order from a line of standard input."""
 
-    order: dict
+    fields: dict
 
 
 @dataclass(frozen=True)
 class EndOfInput:
-    """Standard input was closed: the proxy ends."""
+    """The end of standard input, at which the proxy ends."""
 
 
 Input = Delivery | Order | EndOfInput
 
 
 class FaultInjectingProxy:
-    """Passes datagrams on between members: `[name, own address, proxied address]` each."""
+    """A proxy between members, each given as `[name, own address, proxied address]`."""
 
     def __init__(self, seed: int, members: Iterable[tuple[str, Address, Address]]) -> None:
         self.network = SimulatedNetwork(seed)
@@ -67,8 +69,8 @@
 
     def _receive(self, target: str, sock: socket.socket) -> None:
         while True:
-            with suppress(OSError):  # an earlier datagram met nobody
-                data, address = sock.recvfrom(LONGEST_DATAGRAM)
+            with suppress(OSError):  # an earlier datagram reached no socket (ICMP port unreachable)
+                data, address = sock.recvfrom(MAX_DATAGRAM_BYTES)
                 origin = self.names.get(address)
                 if origin:
                     self.inputs.put(Delivery(origin, target, data))
@@ -79,20 +81,20 @@
         self.inputs.put(EndOfInput())
 
     def run(self) -> None:
-        """Pass datagrams on until standard input is closed."""
+        """Forward datagrams until standard input is closed."""
         while True:
-            taken = self._next_input()
-            if isinstance(taken, EndOfInput):
+            received = self._next_input()
+            if isinstance(received, EndOfInput):
                 return
-            if isinstance(taken, Order):
-                self._deliver(self._carry_out(taken.order))
-            elif taken is None:
+            if isinstance(received, Order):
+                self._deliver(self._execute(received.fields))
+            elif received is None:
                 self._deliver(self.network.advance(boot_clock()))
             else:
-                self._deliver(self.network.send(boot_clock(), *taken))
+                self._deliver(self.network.send(boot_clock(), *received))
 
     def _next_input(self) -> Input | None:
-        """Wait for an input; None where a datagram under way is due before."""
+        """Wait for an input; return None if a delayed datagram is due first."""
         due = self.network.next_arrival()
         timeout = None if due is None else max(0.0, (due - boot_clock()) / US_PER_S)
         try:
@@ -100,7 +102,7 @@
         except Empty:
             return None
 
-    def _carry_out(self, order: dict) -> Iterator[Delivery]:
+    def _execute(self, order: dict) -> Iterator[Delivery]:
         if order["do"] == "counts":
             print(json.dumps(self.network.total_counts()), flush=True)
         elif order["do"] == "clear":
@@ -111,15 +113,15 @@
 
     def _deliver(self, deliveries: Iterable[Delivery]) -> None:
         for origin, target, data in deliveries:
-            with suppress(OSError):  # nobody is there: as on a network
+            with suppress(OSError):  # the target doesn't run: the datagram is lost, as on a real network
                 self.socks[origin].sendto(data, self.own_addresses[target])
 
 
 def main() -> None:
-    """Read the members from the first line of standard input, and pass their datagrams on."""
+    """Read the members from the first line of standard input, and forward their datagrams."""
     first = json.loads(sys.stdin.readline())
     proxy = FaultInjectingProxy(first["seed"], first["members"])
-    print(UP_LINE, flush=True)
+    print(READY_LINE, flush=True)
     proxy.run()
 
 
--- a/finchcart/fault_injection/scripted_runs/fleet_options.py
+++ b/finchcart/fault_injection/scripted_runs/fleet_options.py
@@ -1,4 +1,4 @@
-"""What a fleet of processes has beside its nodes."""
+"""Options of a fleet of processes: its load, planners, limits, health verdicts and key leases."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,24 +8,24 @@
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """What a fleet has beside its nodes; the dicts are blocks of the settings file."""
+    """What a fleet has besides its nodes; the dicts are blocks of the settings file."""
 
     load: ScriptedLoad | None = None
-    talk: bool = True  # whether the nodes exchange anything
+    exchange_messages: bool = True  # whether the nodes form a fleet, or run on their own
     planners: int = 0
-    spares: int = 0
+    spares: int = 0  # addresses for processes with the name of another node
     limits: Sequence[dict] = ()
     quota: dict | None = None
-    static: bool = False  # each node is told its part of the limit
+    static: bool = False  # whether each node gets a fixed share of the limit
     verdicts: dict | None = None
     claims: dict | None = None
 
     @classmethod
-    def of_script(cls, script: Script, talk: bool = True) -> "FleetOptions":
-        """Return what a script asks for."""
+    def from_script(cls, script: Script, exchange_messages: bool = True) -> "FleetOptions":
+        """Return the options that a script asks for."""
         return cls(
             load=script.load,
-            talk=talk,
+            exchange_messages=exchange_messages,
             planners=0 if script.static else script.planners,
             spares=script.spares,
             limits=script.limits,
@@ -36,13 +36,16 @@
         )
 
     def shared_settings(self, planners: list[str]) -> dict:
-        """Return the blocks that all settings files have; `planners` are the planners' addresses."""
+        """Return the blocks that all settings files have in common.
+
+        `planners` are the addresses of the planners.
+        """
         shared = {}
         if self.limits and not self.static:
             shared["limits"] = list(self.limits)
             shared["quota"] = {"planners": planners, **(self.quota or {})}
-        if self.verdicts is not None and self.talk:
+        if self.verdicts is not None and self.exchange_messages:
             shared["verdicts"] = self.verdicts
-        if self.claims is not None and self.talk:
+        if self.claims is not None and self.exchange_messages:
             shared["claims"] = {"keepers": planners, **self.claims}
         return shared
--- a/finchcart/fault_injection/scripted_runs/limit_bounds.py
+++ b/finchcart/fault_injection/scripted_runs/limit_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of a script's limit, by the formulas of its settings."""
+"""Compute the bounds that the use of a script's limit must keep to, from the script's settings."""
 
 from finchcart.fault_injection.scripted_runs.script import Script
 from finchcart.fleet_settings.configs import quota_config
@@ -6,8 +6,8 @@
 from finchcart.quota.limits import QuotaConfig
 
 
-def quota_of(script: Script) -> QuotaConfig | None:
-    """Return the limits of a script as its processes have them; None where nothing holds them."""
+def script_quota_config(script: Script) -> QuotaConfig | None:
+    """Return the quota configuration of a script's processes, or None if nothing enforces its limits."""
     if script.static or not script.limits:
         return None
     planners = [f"127.0.0.1:{number + 2}" for number in range(script.planners)]
@@ -20,8 +20,8 @@
 
 
 def overshoot_bound(script: Script) -> int | None:
-    """Return by how much the limit may be exceeded, whatever fails; None where nothing holds it."""
-    quota = quota_of(script)
+    """Return by how much the limit may be exceeded whatever fails, or None if nothing enforces it."""
+    quota = script_quota_config(script)
     if quota is None:
         return None
     limit = quota.limits[0]
@@ -29,12 +29,13 @@
 
 
 def bucket_bound(script: Script) -> float | None:
-    """Return the fullest that a bucket may be that empties at the rate of the first limit.
+    """Return the highest level of a leaky bucket that drains at the rate of the first limit.
 
-    None where that is no strict rate. Calls that were counted are written up to the slack later, so that so
-    many may come in one moment.
+    The result is None unless the first limit is a strict rate. A node may write a call to the store up to the
+    write slack after it counted the call, so the calls of that time may reach the store at the same moment,
+    in addition to the burst.
     """
-    quota = quota_of(script)
+    quota = script_quota_config(script)
     if quota is None or quota.limits[0].per != "rate" or not quota.limits[0].is_strict:
         return None
     return quota.window_bound(quota.limits[0], 0)
--- a/finchcart/fault_injection/scripted_runs/plan.py
+++ b/finchcart/fault_injection/scripted_runs/plan.py
@@ -1,7 +1,7 @@
-"""Plans: a script laid out in time from a seed.
+"""Make a plan from a script and a seed: the actions and expectations of a run with fixed times and members.
 
-Owns the choice of members by chance, all of it made before the run. It must never play a plan: process_run.py
-does, on processes, and virtual_run.py, on the virtual clock, from the same plan.
+All random choices are made here, before the run. This module must never execute a plan: process_run.py and
+virtual_run.py execute the same plan on real processes and on the virtual clock.
 """
 
 from random import Random
@@ -11,9 +11,10 @@
 
 from finchcart.fault_injection.scripted_runs.script import Expect, MemberSet, Round, Script, Step, StepKind
 
-LEADER = "leader"  # in place of a name: the planner that leads when it comes to that
+LEADER = "leader"  # stands in place of a name for the planner that leads when the action is executed
 
-SINGLE_ACTIONS = (
+# The steps that become one action with all names; other steps become an action for each name.
+SINGLE_ACTION_STEPS = (
     StepKind.FOCUS,
     StepKind.LIMIT,
     StepKind.END_ELSEWHERE,
@@ -24,7 +25,7 @@
 
 
 class PlannedAction(Struct):
-    """One thing to do at a time, with members or pairs of them."""
+    """One action on some members, or on the links between pairs of them."""
 
     at: float  # seconds from the start of the run
     kind: str  # a `StepKind`, or "end"
@@ -47,21 +48,21 @@
 
 
 class RoundSpan(NamedTuple):
-    """The time in which a round is played, in seconds from the start of the run."""
+    """The time of a round for which the use of limits is reported, in seconds from the start of the run."""
 
     name: str
     since: float
     until: float
-    limit: int  # that holds in it; 0: that of the start
+    limit: int  # the limit in this time; 0: the limit at the start of the run
 
 
 class Plan(Struct):
-    """All that a run does and is expected to come to."""
+    """All actions and expectations of a run."""
 
     script: Script
     seed: int
-    names: list[str]  # all nodes that ever run
-    first: list[str]  # that run from the start
+    names: list[str]  # all nodes that run at any time
+    initial_names: list[str]  # the nodes that are started at the start of the run
     actions: list[PlannedAction]
     expectations: list[PlannedExpectation]
     seconds: float
@@ -69,19 +70,19 @@
 
 
 def make_plan(script: Script, seed: int, nodes: int | None = None) -> Plan:
-    """Lay a script out; `nodes` in place of the script's number of nodes."""
+    """Return the plan of a script; `nodes`, if given, replaces the script's number of nodes."""
     return PlanBuilder(script, seed, nodes or script.nodes).build()
 
 
 class PlanBuilder:
-    """The plan so far, and who runs at the time that is laid out."""
+    """Builder of a plan: the plan so far, and which nodes run at the time of the step being added."""
 
     def __init__(self, script: Script, seed: int, nodes: int) -> None:
         self.script = script
         self.seed = seed
         self.random = Random(f"script {seed}")
         self.names = [f"n{number:02d}" for number in range(nodes)]
-        self.first = list(self.names)
+        self.initial_names = list(self.names)
         self.running = list(self.names)
         self.saved: dict[str, list[str]] = {}
         self.actions: list[PlannedAction] = []
@@ -89,19 +90,21 @@
         self.spans: list[RoundSpan] = []
 
     def build(self) -> Plan:
-        """Lay out all rounds."""
-        for each in self.script.rounds:
-            for number in range(each.count):
-                at = self.script.settle + each.at + number * each.every
-                name = f"{each.name}#{number + 1}" if each.count > 1 else each.name
-                self._add_round(each, at, name)
+        """Return the plan with all rounds."""
+        for scripted_round in self.script.rounds:
+            for number in range(scripted_round.count):
+                at = self.script.settle + scripted_round.at + number * scripted_round.every
+                name = (
+                    f"{scripted_round.name}#{number + 1}" if scripted_round.count > 1 else scripted_round.name
+                )
+                self._add_round(scripted_round, at, name)
         self.actions.sort(key=lambda action: action.at)
         seconds = self.script.settle + self.script.seconds
         return Plan(
             self.script,
             self.seed,
             self.names,
-            self.first,
+            self.initial_names,
             self.actions,
             self.expectations,
             seconds,
@@ -111,11 +114,11 @@
     # ---- sets of members
 
     def _members(self, members: MemberSet) -> list[str]:
-        """Return the names of a set, in order."""
+        """Return the names in a set of members, in order."""
         if isinstance(members, list):
             return list(members)
         if isinstance(members, dict):
-            return self._members_by_rule(dict(members))
+            return self._chosen_members(dict(members))
         named = {
             "all": self.running,
             "planners": self.script.planner_names,
@@ -123,27 +126,29 @@
         }
         return list(named[members] if members in named else self.saved[members])
 
-    def _members_by_rule(self, rule: dict) -> list[str]:
-        candidates = self._members(rule.pop("of", "all"))
-        ((word, value),) = rule.items()
-        if word == "rest":
+    def _chosen_members(self, choice: dict) -> list[str]:
+        candidates = self._members(choice.pop("of", "all"))
+        ((key, value),) = choice.items()
+        if key == "rest":
             others = set(self._members(value))
             return [name for name in self.running if name not in others]
-        if word == "zone":
+        if key == "zone":
             return [name for name in self.running if int(name[1:]) % self.script.zones == value]
-        if word == "half":
+        if key == "half":
             return [name for name in self.running if int(name[1:]) % 2 == value]
-        count = value if word == "chance" else max(1, round(value * len(candidates)))
+        count = value if key == "chance" else max(1, round(value * len(candidates)))
         return sorted(self.random.sample(candidates, count))
 
     # ---- rounds and steps
 
-    def _add_round(self, each: Round, at: float, name: str) -> None:
-        if each.length:
-            self.spans.append(RoundSpan(each.name, at, at + each.length, each.limit))
-        for step in sorted(each.steps, key=lambda step: step.at):
+    def _add_round(self, scripted_round: Round, at: float, name: str) -> None:
+        if scripted_round.length:
+            self.spans.append(
+                RoundSpan(scripted_round.name, at, at + scripted_round.length, scripted_round.limit)
+            )
+        for step in sorted(scripted_round.steps, key=lambda step: step.at):
             self._add_step(step, at + step.at)
-        for expect in each.expect:
+        for expect in scripted_round.expect:
             self._add_expectation(expect, at, name)
 
     def _add_expectation(self, expect: Expect, at: float, name: str) -> None:
@@ -174,13 +179,13 @@
             self.actions.append(PlannedAction(at, step.do))
         elif step.do == StepKind.REPLACE:
             self._add_replacements(step, at, names)
-        elif step.do in SINGLE_ACTIONS:
+        elif step.do in SINGLE_ACTION_STEPS:
             self.actions.append(PlannedAction(at, step.do, names, settings=step.set))
         else:
-            self._add_each(step, at, names)
+            self._add_action_for_each(step, at, names)
 
     def _pairs(self, step: Step) -> list[tuple[str, str]]:
-        """Return the directed links of a rule; none: all links."""
+        """Return the directed links of a rule as (origin, target); an empty list stands for all links."""
         if step.origin is None:
             return []
         origins = self._members(step.origin)
@@ -192,8 +197,8 @@
             pairs += [(target, origin) for origin, target in pairs]
         return pairs
 
-    def _add_each(self, step: Step, at: float, names: list[str]) -> None:
-        """Do the same to one name after the other."""
+    def _add_action_for_each(self, step: Step, at: float, names: list[str]) -> None:
+        """Add an action for each name, spread over the step's time, and update which nodes run."""
         for number, name in enumerate(names):
             self.actions.append(PlannedAction(at + number * step.over / len(names), step.do, [name]))
             if step.do in (StepKind.KILL, StepKind.TERMINATE) and name in self.running:
@@ -202,14 +207,14 @@
                 self.running.append(name)
 
     def _add_replacements(self, step: Step, at: float, names: list[str]) -> None:
-        fresh = []
+        replacements = []
         for number, name in enumerate(names):
             when = at + number * step.over / len(names)
-            new = f"n{len(self.names):02d}"
-            self.names.append(new)
-            fresh.append(new)
+            replacement = f"n{len(self.names):02d}"
+            self.names.append(replacement)
+            replacements.append(replacement)
             self.actions.append(PlannedAction(when, step.how, [name]))
-            self.actions.append(PlannedAction(when, StepKind.START, [new]))
+            self.actions.append(PlannedAction(when, StepKind.START, [replacement]))
             self.running.remove(name)
-            self.running.append(new)
-        self.saved[step.fresh] = fresh
+            self.running.append(replacement)
+        self.saved[step.fresh] = replacements
--- a/finchcart/fault_injection/scripted_runs/process_fleet.py
+++ b/finchcart/fault_injection/scripted_runs/process_fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of real processes of the program on loopback.
+"""Start and control a fleet of real processes of the program on loopback addresses.
 
-Owns the folder of a run and every process of it: nodes, planners, proxy, simulated peers, load. It must end
-all of them by their own ids whatever happens, and never touch a process that it did not start.
+The fleet owns the folder of a run and all its processes: nodes, planners, the fault-injecting proxy, the
+simulated peers and the load generator. It must end each of them by its process id whatever happens, and never
+signal a process that it didn't start.
 """
 
 import json
@@ -22,7 +23,7 @@
     node_configuration,
     store_share,
 )
-from finchcart.fault_injection.scripted_runs.fault_injecting_proxy import UP_LINE
+from finchcart.fault_injection.scripted_runs.fault_injecting_proxy import READY_LINE
 from finchcart.fault_injection.scripted_runs.fleet_options import FleetOptions
 from finchcart.fault_injection.scripted_runs.script import ScriptedLoad
 from finchcart.fleet_queries import query_limits, send_override
@@ -46,8 +47,8 @@
 class ProcessFleet:
     """The processes of one run.
 
-    `names` are of all nodes that may run, `fleet` is the `fleet` block of their settings. The proxy and the
-    simulated peers are started at once, nodes and planners by `start`.
+    `names` are the names of all nodes that may run, and `fleet` is the `fleet` block of their settings. The
+    constructor starts the proxy and the simulated peers; `start` starts nodes and planners.
     """
 
     def __init__(
@@ -68,12 +69,13 @@
         self.names = [*names, *self.planners, *self.spares]
         self.addresses = LoopbackAddresses(self.names)
         self.child_processes = ChildProcesses(self.folder)
-        self.processes: dict[str, subprocess.Popen] = {}  # of nodes and planners, the last of each name
-        self.lives: dict[str, int] = {}
-        self.began: dict[tuple[str, int], int] = {}  # (name, life) -> boot clock at its start
-        self.leader: str | None = None  # who was taken for it last
-        self.faults: dict[str, str] = {}  # host -> its state
-        self.settings: dict[str, dict] = {}  # name -> its settings file, which may change in a run
+        self.processes: dict[str, subprocess.Popen] = {}  # the latest process of each node or planner
+        self.start_counts: dict[str, int] = {}  # name -> how many processes were started
+        # (name, number of the process from 1) -> boot clock at its start
+        self.process_starts: dict[tuple[str, int], int] = {}
+        self.leader: str | None = None  # the planner that `find_leader` found last
+        self.faults: dict[str, str] = {}  # host -> a `StoreState`
+        self.settings: dict[str, dict] = {}  # name -> content of its settings file, which may change in a run
         self._write_files(fleet)
         try:
             self._start_proxy()
@@ -85,7 +87,7 @@
 
     @property
     def children(self) -> list[subprocess.Popen]:
-        """All processes that were started."""
+        """All processes that the fleet started, also those that ended."""
         return self.child_processes.children
 
     # ---- files
@@ -99,7 +101,7 @@
         for name in self.names:
             self._write(f"{name}.json", node_configuration(name, self.addresses, share))
             own = fleet_settings(name, f"trial-{self.seed}", self.addresses, seeds, fleet)
-            self.settings[name] = {"fleet": own, **shared} if options.talk else {}
+            self.settings[name] = {"fleet": own, **shared} if options.exchange_messages else {}
             self._write_settings(name)
 
     def _write(self, name: str, tree: object) -> None:
@@ -108,8 +110,8 @@
     def _write_settings(self, name: str) -> None:
         (self.folder / f"{name}.json5").write_text(json5.dumps(self.settings[name], indent=1))
 
-    def _replace(self, name: str, tree: object) -> None:
-        """Write a file that another process reads now and then: it sees all of it or nothing."""
+    def _write_atomically(self, name: str, tree: object) -> None:
+        """Write a file that another process polls, so that the process never reads a partial file."""
         path = self.folder / name
         path.with_suffix(".new").write_text(json.dumps(tree))
         path.with_suffix(".new").rename(path)
@@ -118,7 +120,7 @@
         return str(self.folder / name)
 
     def read_lines(self, name: str) -> list[dict]:
-        """Return the lines of a JSON-lines file of the run; none where it is not there."""
+        """Return the lines of a JSON-lines file of the run; an empty list if the file doesn't exist."""
         path = self.folder / name
         lines = path.read_text().splitlines() if path.exists() else []
         return [json.loads(line) for line in lines]
@@ -140,23 +142,25 @@
             [name, self.addresses.member(name), [self.addresses.proxied_host(name), MEMBER_PORT]]
             for name in self.names
         ]
-        self.order({"seed": self.seed, "members": members})
+        self.send_order({"seed": self.seed, "members": members})
         line = self.proxy.stdout.readline()
-        if line.strip() != UP_LINE:
-            raise RuntimeError(f"the proxy said {line!r} instead of {UP_LINE!r}; see relay.log")
+        if line.strip() != READY_LINE:
+            raise RuntimeError(
+                f"the fault-injecting proxy printed {line!r} instead of {READY_LINE!r}; see relay.log"
+            )
 
-    def order(self, order: dict) -> None:
-        """Hand the proxy an order."""
+    def send_order(self, order: dict) -> None:
+        """Send an order to the proxy."""
         self.proxy.stdin.write(json.dumps(order) + "\n")
         self.proxy.stdin.flush()
 
     def link_counts(self) -> dict[str, int]:
-        """Return what became of datagrams, of all links together."""
-        self.order({"do": "counts"})
+        """Return the counts of datagrams by their fate, summed over all links."""
+        self.send_order({"do": "counts"})
         return json.loads(self.proxy.stdout.readline())
 
     def _start_simulated_peers(self, load: ScriptedLoad) -> None:
-        """Start store and registry in one process, worker pools in some."""
+        """Start the first process with store, registry and worker pools, and more with worker pools alone."""
         paths = [self._path(f"{name}.json") for name in self.node_names]
         arguments = ["--work-ms", str(load.work_ms), "--store-work-ms", str(load.store_ms)]
         arguments += ["--truth", self._path(TRUTH_FILE), "--faults", self._path(FAULTS_FILE)]
@@ -185,7 +189,7 @@
         return [word for name in self.node_names for word in ("--place", self.addresses.store(name))]
 
     def start_load(self, seconds: float) -> subprocess.Popen:
-        """Start the load on all nodes; its figures are in load.json at the end."""
+        """Start the load generator on all nodes; it writes its results into load.json when it ends."""
         load = self.options.load
         return self._spawn_module(
             "load",
@@ -207,8 +211,8 @@
         )
 
     def start_misbehaving_clients(self) -> subprocess.Popen:
-        """Start the sources that flood nodes when they are ordered to."""
-        self._replace(FLOOD_ORDERS_FILE, {"at": []})
+        """Start the process with the sources of floods, which send nothing until `flood` is called."""
+        self._write_atomically(FLOOD_ORDERS_FILE, {"at": []})
         return self._spawn_module(
             "flood",
             "finchcart.simulated_peers.misbehaving_clients",
@@ -221,31 +225,31 @@
         )
 
     def set_store_state(self, names: Iterable[str], state: str) -> None:
-        """Set the store's state for these nodes, or let their worker pools fail."""
+        """Set the store's state for these nodes; with FAILING, runs in their worker pools fail instead."""
         failing = state == StoreState.FAILING
         host = self.addresses.own_host if failing else self.addresses.store_host
         self.faults |= {host(name): state for name in names}
         if state == StoreState.OK:
             self.faults |= {self.addresses.own_host(name): state for name in names}
-        self._replace(FAULTS_FILE, self.faults)
+        self._write_atomically(FAULTS_FILE, self.faults)
 
     def flood(self, names: Iterable[str], orders: dict) -> None:
-        """Let sources flood these nodes, if any; see misbehaving_clients.py for the orders."""
+        """Let sources flood these nodes alone; no names end the flood. Orders: see misbehaving_clients.py."""
         addresses = [self.addresses.node(name) for name in names]
-        self._replace(FLOOD_ORDERS_FILE, {**orders, "at": addresses})
+        self._write_atomically(FLOOD_ORDERS_FILE, {**orders, "at": addresses})
 
     def focus(self, names: Sequence[str]) -> None:
-        """Let the load go to these nodes alone; to all where there are none."""
+        """Send the load to these nodes alone, or to all nodes if there are no names."""
         if names:
-            self._replace(FOCUS_FILE, [self.names.index(name) for name in names])
+            self._write_atomically(FOCUS_FILE, [self.names.index(name) for name in names])
         else:
             (self.folder / FOCUS_FILE).unlink(missing_ok=True)
 
     # ---- orders to nodes
 
     def override(self, name: str, kind: str, subject: str, value: str) -> None:
-        """Issue an operator's override at that node; without a value it is withdrawn."""
-        with suppress(TimeoutError):  # stopped, or not there
+        """Issue an operator's override at that node; an empty value withdraws the override."""
+        with suppress(TimeoutError):  # the node is suspended or doesn't run
             send_override(
                 self.addresses.member(name),
                 subjects.parse_subject(kind, subject),
@@ -256,14 +260,17 @@
             )
 
     def set_limit(self, name: str, changes: dict) -> None:
-        """Change the first limit in the settings of a process, and let it read them."""
+        """Change the first limit in the settings file of a process, and let the process reload the file."""
         first, *others = self.settings[name]["limits"]
         self.settings[name]["limits"] = [{**first, **changes}, *others]
         self._write_settings(name)
         self.reload_settings(name)
 
     def find_leader(self) -> str | None:
-        """Return the planner that leads, by its own word; the last one known where none says so."""
+        """Return the planner that reports itself as leader.
+
+        If none does, the result is the planner found last, or else the first planner.
+        """
         for name in self.planners:
             with suppress(TimeoutError):
                 if (
@@ -276,17 +283,17 @@
     # ---- processes of the program
 
     def start(self, name: str) -> None:
-        """Start a node or planner."""
-        life = self.lives[name] = self.lives.get(name, 0) + 1
-        self.began[name, life] = boot_clock()
-        words = ["serve"]
+        """Start a process of a node or planner; its log has the number of the process in its name."""
+        number = self.start_counts[name] = self.start_counts.get(name, 0) + 1
+        self.process_starts[name, number] = boot_clock()
+        arguments = ["serve"]
         if name in self.planners:
             host, port = self.addresses.member(name)
-            words = ["plan", "--place", self.addresses.advertised(name), "--listen", f"{host}:{port}"]
+            arguments = ["plan", "--place", self.addresses.advertised(name), "--listen", f"{host}:{port}"]
         self.processes[name] = self._spawn_module(
-            f"{name}.{life}",
+            f"{name}.{number}",
             "finchcart",
-            *words,
+            *arguments,
             "--log",
             "json",
             "--settings",
@@ -295,26 +302,26 @@
         )
 
     def start_elsewhere(self, name: str) -> None:
-        """Start the name once more at a spare's address, while the first may still be there."""
+        """Start a second process with this name at the first spare's address; the first one may still run."""
         spare = self.spares[0]
         path = self.folder / f"{spare}.json"
         self._write(path.name, {**json.loads(path.read_text()), "name": name})
         self.start(spare)
 
     def end_elsewhere(self) -> None:
-        """End what was started at the spare's address."""
+        """End the process that `start_elsewhere` started."""
         self.kill(self.spares[0])
 
     def is_running(self, name: str) -> bool:
-        """Whether the process runs, stopped or not."""
+        """Whether the process exists, suspended or not."""
         return self.processes[name].poll() is None
 
     def running(self) -> list[str]:
-        """Return the names of the nodes and planners that run."""
+        """Return the names of the nodes and planners whose process exists, suspended or not."""
         return [name for name in self.processes if self.is_running(name)]
 
     def usage(self, name: str) -> tuple[float, float]:
-        """Return CPU seconds and peak MB of a process."""
+        """Return the CPU time of a process in seconds and its peak memory in MB."""
         return cpu_and_peak_memory(self.processes[name].pid)
 
     def _signal(self, name: str, number: signal.Signals) -> None:
@@ -322,16 +329,16 @@
             self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self._signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def stop(self, name: str) -> None:
-        """Stop the process until `resume`."""
+        """Suspend the process until `resume`."""
         self._signal(name, signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume a suspended process."""
         self._signal(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
@@ -339,10 +346,10 @@
         self._signal(name, signal.SIGTERM)
 
     def reload_settings(self, name: str) -> None:
-        """Let the process read its settings again."""
+        """Let the process reload its settings file."""
         self._signal(name, signal.SIGHUP)
 
     def end(self) -> None:
-        """End all processes, and let other runs have the addresses."""
+        """End all processes, and release the addresses for other runs."""
         self.child_processes.end()
         self.addresses.release()
--- a/finchcart/fault_injection/scripted_runs/process_run.py
+++ b/finchcart/fault_injection/scripted_runs/process_run.py
@@ -1,4 +1,4 @@
-"""Plays a plan on real processes."""
+"""Execute a plan on real processes."""
 
 import json
 import time
@@ -26,25 +26,30 @@
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.store import StoreState
 
-START_INTERVAL_S = 0.02  # between the starts of the first processes
-LOAD_ENDS_BEFORE_S = 2  # the load ends so long before the run
+START_INTERVAL_S = 0.02  # between the starts of the initial processes
+LOAD_ENDS_BEFORE_S = 2  # time from the end of the load to the end of the run
 LOAD_TIMEOUT_S = 20
-TRUTH_DELAY_S = 0.5  # in which the store writes its last line
+TRUTH_DELAY_S = 0.5  # time for the simulated store to write its last line
 QUERY_TIMEOUT_S = 1.0
 US_PER_S = 1e6
 END = "end"  # the action at the end of a run
 
 
-def play_on_processes(plan: Plan, folder: Path, talk: bool = True, oracle: bool = False) -> ScriptedRunRecord:
-    """Play a plan; logs and files go to `folder`.
+def play_on_processes(
+    plan: Plan, folder: Path, exchange_messages: bool = True, oracle: bool = False
+) -> ScriptedRunRecord:
+    """Execute a plan on processes whose logs and other files go to `folder`.
 
-    Without `talk` the nodes exchange nothing; with `oracle` each node is told of the store's state at once.
+    Without `exchange_messages` the nodes don't form a fleet. With `oracle` each node learns of a change of
+    the store's state immediately, by an operator's override.
     """
     script = plan.script
-    fleet = ProcessFleet(folder, plan.names, plan.seed, script.fleet, FleetOptions.of_script(script, talk))
+    fleet = ProcessFleet(
+        folder, plan.names, plan.seed, script.fleet, FleetOptions.from_script(script, exchange_messages)
+    )
     facts: Facts = {"driver": "processes", "stats": {}}
     try:
-        for name in fleet.planners + plan.first:
+        for name in fleet.planners + plan.initial_names:
             fleet.start(name)
             time.sleep(START_INTERVAL_S)
         start = boot_clock()
@@ -53,18 +58,18 @@
         fleet.end()
     facts["late_s"] = late_s
     alias = partial(source_alias, fleet.addresses.sources_net)
-    return ScriptedRunRecord(events_from_logs(folder, plan.names, fleet.began, alias), start, facts)
+    return ScriptedRunRecord(events_from_logs(folder, plan.names, fleet.process_starts, alias), start, facts)
 
 
 def source_alias(sources_net: str, host: str) -> str:
-    """Return the name of a misbehaving source by its address; any other address as it is."""
+    """Return the name of the flood source with this address; any other address unchanged."""
     if not host.startswith(f"{sources_net}."):
         return host
     return f"flood{int(host.rpartition('.')[2]) - 1}"
 
 
 class ProcessRun:
-    """A plan on a fleet of processes."""
+    """The execution of a plan on a fleet of processes."""
 
     def __init__(self, plan: Plan, fleet: ProcessFleet, oracle: bool, start: int) -> None:
         self.plan = plan
@@ -85,7 +90,7 @@
             StepKind.END_ELSEWHERE: self._end_elsewhere,
             END: self._end,
         }
-        self.handlers_of_each = {
+        self.member_handlers = {
             StepKind.START: fleet.start,
             StepKind.KILL: fleet.kill,
             StepKind.STOP: fleet.stop,
@@ -95,7 +100,10 @@
         }
 
     def play(self, facts: Facts) -> float:
-        """Play all actions at their times and gather the facts; return the most that one came late, in s."""
+        """Perform all actions at their times and collect the facts.
+
+        Returns the longest delay of an action, in seconds.
+        """
         load = self.plan.script.load
         if load:
             load_process = self.fleet.start_load(self.plan.seconds - LOAD_ENDS_BEFORE_S)
@@ -117,11 +125,11 @@
             if wait > 0:
                 time.sleep(wait)
             late_s = max(late_s, -wait)
-            self.handlers.get(action.kind, self._do_to_each)(action)
+            self.handlers.get(action.kind, self._perform_on_each)(action)
         return late_s
 
     def _load_facts(self) -> Facts:
-        """Return what the load and the simulated peers wrote."""
+        """Return the figures that the load generator and the simulated peers wrote to files."""
         folder = self.fleet.folder
         facts: Facts = {"load": json.loads((folder / LOAD_FILE).read_text())}
         time.sleep(TRUTH_DELAY_S)
@@ -139,10 +147,10 @@
         names = self.fleet.names
         pairs = [(origin, target) for origin, target in action.pairs if origin in names and target in names]
         if pairs or not action.pairs:
-            self.fleet.order({"do": "rule", "pairs": pairs, "set": action.settings})
+            self.fleet.send_order({"do": "rule", "pairs": pairs, "set": action.settings})
 
     def _clear_rules(self, action: PlannedAction) -> None:
-        self.fleet.order({"do": "clear"})
+        self.fleet.send_order({"do": "clear"})
 
     def _focus(self, action: PlannedAction) -> None:
         self.fleet.focus(action.names)
@@ -171,26 +179,26 @@
         self.fleet.end_elsewhere()
 
     def _end(self, action: PlannedAction) -> None:
-        """Do nothing: the end of the run is reached."""
+        """Do nothing: this action only keeps the run going until its end."""
 
-    def _do_to_each(self, action: PlannedAction) -> None:
+    def _perform_on_each(self, action: PlannedAction) -> None:
         for planned_name in action.names:
             name = self._leader(action) if planned_name == LEADER else planned_name
-            if name in self.fleet.names:  # else it is played without planners
-                self.handlers_of_each[action.kind](name)
+            if name in self.fleet.names:  # a script that is run without its planners has no leader
+                self.member_handlers[action.kind](name)
 
     def _leader(self, action: PlannedAction) -> str | None:
-        """Return the planner that leads now; the same one as before for all but stop and kill."""
+        """Return the planner that leads now for stop and kill, and the one found last for other actions."""
         if action.kind in (StepKind.STOP, StepKind.KILL):
             return self.fleet.find_leader()
         return self.fleet.leader
 
 
 def process_statistics(fleet: ProcessFleet, name: str) -> dict:
-    """Return what a process used, and what it tells of itself."""
+    """Return the resource usage of a process, and the statistics that a node reports about itself."""
     cpu_s, peak_mb = fleet.usage(name)
     view = {}
-    if fleet.options.talk and name not in fleet.planners:
+    if fleet.options.exchange_messages and name not in fleet.planners:
         try:
             view = query_members(fleet.addresses.member(name), QUERY_TIMEOUT_S)
         except TimeoutError:
@@ -206,17 +214,17 @@
 
 
 def run_spacing(script: Script) -> int:
-    """Return the microseconds within which a key may run once."""
+    """Return the shortest time in microseconds that key leases allow between two runs of one key."""
     claims = script.claims or {}
     settings = {name: claims[f"{name}_ms"] * MS for name in ("life", "command") if f"{name}_ms" in claims}
     return KeyLeaseConfig.from_settings((), settings).run_spacing_bound()
 
 
 def effect_counts(folder: Path, answered: Iterable[str], spacing: int) -> dict:
-    """Count what the worker pools' own record says.
+    """Return counts from the record of effects that the worker pools wrote.
 
-    Counted are runs, keys that ran twice within `spacing` microseconds, and keys that were answered ok and
-    never ran.
+    Counted are runs, keys that ran, keys that ran twice in less than `spacing` microseconds, and keys whose
+    RPC was answered ok although they never ran.
     """
     times: dict[str, list[int]] = defaultdict(list)
     for line in (folder / EFFECTS_FILE).read_text().splitlines():
--- a/finchcart/fault_injection/scripted_runs/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -221,8 +221,8 @@
     first = lines[0]
     last = lines[-1]
     states = [event for event in events if event.kind == EventKind.STATE]
-    changes = Counter(event.at for event in states if event.of == "store")
-    blocked = [event.when for event in events if event.of.startswith("source") and event.value == "out"]
+    changes = Counter(event.observer for event in states if event.subject == "store")
+    blocked = [event.when for event in events if event.subject.startswith("source") and event.value == "out"]
     admitted = [line["t_us"] for line in flood if line["how"] == "ok"]
     blocked_by_all = min(blocked) + BLOCKED_WITHIN_US if blocked else math.inf
     return {
--- a/finchcart/fault_injection/scripted_runs/runner.py
+++ b/finchcart/fault_injection/scripted_runs/runner.py
@@ -158,7 +158,7 @@
         save_timeline,  # matplotlib is slow to import
     )
 
-    members = len(plan.first)
+    members = len(plan.initial_names)
     head = f"`{options.script}`, seed {options.seed}, {members} members"
     (folder / "table.md").write_text(f"{head}\n\n{report.text}\n")
     results = {
--- a/finchcart/fault_injection/scripted_runs/script.py
+++ b/finchcart/fault_injection/scripted_runs/script.py
@@ -1,12 +1,24 @@
-"""Scripts: who, what, when; read from JSON5.
-
-Owns the words and keys of scripts. It must never choose or play: plan.py lays a script out in time, and
-process_run.py or virtual_run.py play the plan.
-
-A script has `rounds`; each is played `count` times, `every` so many seconds, its times relative to its
-start. Sets of members: a name saved with `as`, `"all"` (those that run), a list of names, `{chance: k}`,
-`{part: 0.2}`, `{zone: 1}`, `{rest: set}` (those that run and are not in it), `{half: 0}`. Of `chance` and
-`part`, `of` names the set to draw from.
+"""Define the format of fault scripts, which are JSON5 files, and read them.
+
+A script says which faults to inject into a fleet, when, and what to expect of its members. This module must
+never choose members or execute a step: plan.py makes a plan with fixed members and times from a script, and
+process_run.py or virtual_run.py execute the plan.
+
+A script consists of `rounds`. A round is played `count` times, once every `every` seconds, and the times in
+it are relative to its start. A set of members is one of:
+
+- `"all"`: the nodes that are running;
+- `"planners"`: all planners;
+- `"leader"`: the planner that leads when the step is executed;
+- a name under which an earlier step saved a set with `as`;
+- a list of names;
+- `{chance: k}`: k members chosen at random;
+- `{part: 0.2}`: this fraction of the members, chosen at random, but at least one;
+- `{zone: 1}`: the running nodes of this zone;
+- `{half: 0}`: the running nodes with an even number, or an odd one for 1;
+- `{rest: set}`: the running nodes that are not in the set.
+
+With `chance` and `part`, `of` names the set to choose from, which is `"all"` by default.
 """
 
 from collections.abc import Iterator
@@ -17,66 +29,68 @@
 import msgspec
 from msgspec import Struct, field
 
-SCRIPTS = Path(__file__).parent / "scripts"
+SCRIPTS_FOLDER = Path(__file__).parent / "scripts"
 
 MemberSet = str | list | dict
 
 
 class StepKind(StrEnum):
-    """What a step does: the words of `do`."""
+    """What a step does: the values of `do`."""
 
     START = "start"
     KILL = "kill"
     STOP = "stop"
     RESUME = "go_on"
     TERMINATE = "term"
-    REPLACE = "replace"  # `who` goes by `how`, a fresh name starts
-    RULE = "rule"  # `set` on all pairs from `origin` to `to`; `both` ways
-    CLEAR = "clear"
-    MARK = "mark"  # saves a set, and does nothing
-    FOCUS = "focus"  # the load goes to `who` alone; to all without it
-    LIMIT = "limit"  # `set` of the first limit, told to `who`
-    STORE = "store"  # its state for `who`, `set: {state: "down"}`; "failing" is of their runs
-    FLOOD = "flood"  # from sources to `who`, `set: {sources: 1, rate: 20}`; none without `who`
-    OVERRIDE = "say"  # an operator's, `set: {kind, name, value}`; withdrawn without a value
-    START_ELSEWHERE = "elsewhere"  # the name of `who` is started once more at the spare's address
-    END_ELSEWHERE = "end_elsewhere"
+    REPLACE = "replace"  # ends each of `who` by the step `how`, and starts a node with a new name for it
+    RULE = "rule"  # applies the link faults `set` to all links from `from` to `to`, with `both` also back
+    CLEAR = "clear"  # removes all link faults
+    MARK = "mark"  # saves a set of members under `as`, and does nothing else
+    FOCUS = "focus"  # sends the whole load to `who`, or to all nodes if `who` is missing
+    LIMIT = "limit"  # changes the first limit by `set` in the settings of `who`
+    STORE = "store"  # sets the store's state for `who`, `set: {state: "down"}`; "failing": their runs fail
+    FLOOD = "flood"  # floods `who` from some sources, `set: {sources: 1, rate: 20}`; ends without `who`
+    OVERRIDE = "say"  # issues an operator's override, `set: {kind, name, value}`, or withdraws it (no value)
+    START_ELSEWHERE = "elsewhere"  # starts a second process with the name of `who` at the spare's address
+    END_ELSEWHERE = "end_elsewhere"  # ends that second process
 
 
 class ExpectationKind(StrEnum):
-    """What is expected: the words of `what`."""
+    """What is expected: the values of `what`."""
 
-    AGREE = "agree"  # all of `by` hold all of `of` to be in `states` in time, and until `until`
-    ISOLATED = "isolated"
-    CONNECTED = "connected"
-    NEVER = "never"  # no one of `by` holds one of `of` to be in `states`
+    AGREE = "agree"  # each of `by` holds each of `of` to be in one of `states`
+    ISOLATED = "isolated"  # each of `of` considers itself isolated
+    CONNECTED = "connected"  # each of `of` considers itself connected
+    NEVER = "never"  # none of `by` holds any of `of` to be in one of `states`
 
 
 class Step(Struct, forbid_unknown_fields=True):
     """One step of a round.
 
-    `who: "leader"` is the planner that leads when it comes to that; the same one in later steps of the
-    round but for stop and kill.
+    `who: "leader"` stands for the planner that leads when the step is executed. Only the steps `stop` and
+    `kill` look the leader up; any other step applies to the leader that was found last.
     """
 
-    at: float
+    at: float  # seconds from the start of the round
     do: str
     who: MemberSet | None = None
     saved: str | None = field(default=None, name="as")
     origin: MemberSet | None = field(default=None, name="from")
     to: MemberSet | None = None
     both: bool = False
-    ring: bool = False  # each of `origin` to the next of them alone
+    ring: bool = False  # only the links from each of `from` to the next one of them
     set: dict = {}
-    over: float = 0.0  # `who` one after the other over so many seconds
+    over: float = 0.0  # seconds over which the step is spread, one of `who` after the other
     how: str = "kill"
-    fresh: str = "fresh"  # the set of those that replaced
+    fresh: str = "fresh"  # the name under which the set of the new nodes is saved
 
 
 class Expect(Struct, forbid_unknown_fields=True):
-    """An expectation of a round, by `after` + `within` and until `until`.
+    """What is expected of members in a round.
 
-    `of` may be subjects of consensus: "store", "source flood0" (the first that floods).
+    The expectation holds from `after` + `within` at the latest, and then until `until`, in seconds from the
+    start of the round. `never` applies from `after` on. `of` may also list subjects of health verdicts:
+    "store", or "source flood0" for the first source of a flood.
     """
 
     what: str
@@ -90,32 +104,32 @@
 
 
 class Round(Struct, forbid_unknown_fields=True):
-    """Steps and expectations that are played together."""
+    """Steps and expectations that belong together."""
 
-    at: float
+    at: float  # seconds from the end of the script's `settle` time
     steps: list[Step]
     expect: list[Expect] = []
     count: int = 1
     every: float = 0.0
     name: str = ""
-    length: float = 0.0  # of the span that use of a limit is told for
-    limit: int = 0  # that holds in this span, where it is another than at the start
+    length: float = 0.0  # seconds for which the use of a limit is reported; 0: not reported
+    limit: int = 0  # the limit in this time; 0: the limit at the start of the run
 
 
 class ScriptedLoad(Struct, forbid_unknown_fields=True):
     """RPCs of simulated clients, and the simulated peers that the nodes need for them."""
 
-    rate: float  # RPCs a second, all nodes together
-    store_ms: float = 0.0  # of a call to the store
-    work_ms: float = 50.0
-    spin: bool = False
-    processes: int = 1  # of worker pools
+    rate: float  # RPCs per second, over all nodes
+    store_ms: float = 0.0  # duration of a call to the store
+    work_ms: float = 50.0  # duration of a run in a worker pool
+    spin: bool = False  # whether the worker pools use CPU time during a run
+    processes: int = 1  # number of processes of worker pools
     links: int = 1  # connections to each node
-    keyed: bool = False  # keys alone, sent again to other nodes; effects are counted by key
+    keyed: bool = False  # only RPCs with idempotency keys, retried at other nodes; effects are counted by key
 
 
 class Script(Struct, forbid_unknown_fields=True):
-    """A script; its keys are those of the file."""
+    """A script; the fields are the keys of its file."""
 
     about: str
     nodes: int
@@ -124,15 +138,15 @@
     zones: int = 3
     fleet: dict = {}
     load: ScriptedLoad | None = None
-    planners: int = 0  # named p0, p1, ...: in no set but by name, or all of them by "planners"
-    spares: int = 0
+    planners: int = 0  # named p0, p1, ...; not part of "all", but of "planners"
+    spares: int = 0  # addresses for processes that are started by `elsewhere`
     limits: list[dict] = field(default_factory=list)  # as in the settings file
-    quota: dict = {}
+    quota: dict = {}  # as in the settings file
     verdicts: dict | None = None  # as in the settings file
-    claims: dict | None = None  # the same; the planners are the replicas
-    claims_off: bool = False  # a baseline: effects are counted, and no key is leased
-    static: bool = False  # each node is told its share of the limit instead: a baseline
-    settle: float = 6.0  # before the first round
+    claims: dict | None = None  # as in the settings file; the planners are the replicas
+    claims_off: bool = False  # for comparison: effects are counted, but no key is leased
+    static: bool = False  # for comparison: each node gets a fixed share of the limit
+    settle: float = 6.0  # seconds before the first round
 
     @property
     def planner_names(self) -> list[str]:
@@ -141,14 +155,14 @@
 
 
 def shipped_scripts() -> Iterator[tuple[str, Script]]:
-    """Yield names and scripts that come with the program."""
-    for path in sorted(SCRIPTS.glob("*.json5")):
+    """Yield the name and the content of each script that is part of the package."""
+    for path in sorted(SCRIPTS_FOLDER.glob("*.json5")):
         yield path.stem, read_script(path)
 
 
 def read_script(script: str | Path) -> Script:
-    """Read a script by its path, or one that comes with the program by its name."""
+    """Read a script by its path, or one that is part of the package by its name."""
     path = Path(script)
     if not path.exists():
-        path = SCRIPTS / f"{script}.json5"
+        path = SCRIPTS_FOLDER / f"{script}.json5"
     return msgspec.convert(json5.loads(path.read_text(encoding="utf-8")), Script)
--- a/finchcart/fault_injection/scripted_runs/virtual_run.py
+++ b/finchcart/fault_injection/scripted_runs/virtual_run.py
@@ -1,4 +1,4 @@
-"""Plays a plan on the virtual clock."""
+"""Execute a plan on the virtual clock, with simulated members in one process."""
 
 from collections.abc import Callable
 from random import Random
@@ -15,14 +15,14 @@
 from finchcart.membership.member import Member
 
 US_PER_S = 1e6
-DRAIN_US = 400_000  # a drain takes so long,
-DRAIN_MORE_US = 1_500_000  # and by chance up to so much more
+MIN_DRAIN_US = 400_000
+EXTRA_DRAIN_US = 1_500_000  # a drain takes a random time of up to this in addition to the minimum
 
 AfterStep = Callable[[MembershipSimulation], None]
 
 
 def membership_config(fleet: dict) -> MembershipConfig:
-    """Return the configuration of a script's `fleet`: the same names and units as in the settings file."""
+    """Return the configuration for a script's `fleet`, which has the names and units of the settings file."""
     units = {"_ms": MS, "_s": SECOND}
     fields = {}
     for name, value in fleet.items():
@@ -34,12 +34,12 @@
 def play_on_virtual_clock(
     plan: Plan, make: MemberFactory = Member, after_step: AfterStep | None = None
 ) -> ScriptedRunRecord:
-    """Play a plan; `make` makes a member, so that a planted defect can be played."""
+    """Execute a plan; `make` creates a member, so that a test can plant a defect in it."""
     return VirtualRun(plan, make, after_step).play()
 
 
 class VirtualRun:
-    """A plan on the virtual clock, and the drains under way."""
+    """The execution of a plan on the virtual clock, with the drains in progress."""
 
     def __init__(self, plan: Plan, make: MemberFactory, after_step: AfterStep | None) -> None:
         self.plan = plan
@@ -49,11 +49,11 @@
         self.fleet = MembershipSimulation(plan.names, plan.seed, config, watch=self._watch, make=make)
         self.start = self.fleet.now
         self.random = Random(f"drain {plan.seed}")
-        self.drain_ends: dict[str, int] = {}  # name -> when its drain is over
+        self.drain_ends: dict[str, int] = {}  # name -> time at which its drain ends
 
     def play(self) -> ScriptedRunRecord:
-        """Play all actions in order of their times."""
-        for name in self.plan.first:
+        """Perform all actions in order of their times, and return the record of the run."""
+        for name in self.plan.initial_names:
             self._start(name)
         for action in sorted(self.plan.actions, key=lambda action: action.at):
             when = self.start + int(action.at * US_PER_S)
@@ -77,7 +77,7 @@
             self.events.append(Event(now, name, EventKind.RESUMED, "", str(effect.fields["gap_ms"])))
 
     def _start(self, name: str) -> None:
-        self.events.append(Event(self.fleet.now, name, EventKind.BEGAN))
+        self.events.append(Event(self.fleet.now, name, EventKind.STARTED))
         self.fleet.start(name)
 
     def _perform(self, action: PlannedAction) -> None:
@@ -99,10 +99,10 @@
 
     def _drain(self, name: str) -> None:
         self.fleet.feed(name, Leave())
-        self.drain_ends[name] = self.fleet.now + DRAIN_US + self.random.randrange(DRAIN_MORE_US)
+        self.drain_ends[name] = self.fleet.now + MIN_DRAIN_US + self.random.randrange(EXTRA_DRAIN_US)
 
     def _end_next_drain(self) -> None:
-        """Play on to the end of the next drain: the last messages, then nothing."""
+        """Run to the end of the next drain; the member then sends its last messages and ends."""
         name = min(self.drain_ends, key=self.drain_ends.get)
         self.fleet.run(self.drain_ends.pop(name), self.after_step)
         self.fleet.feed(name, Shutdown())
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -62,7 +62,7 @@
 
 def judged(events, **changed):
     """What becomes of an expectation, by events of member `a` as (second, kind, value)."""
-    history = [Event(0, "a", EventKind.BEGAN)]
+    history = [Event(0, "a", EventKind.STARTED)]
     history += [Event(int(second * 1e6), "a", EventKind(kind), "b", value) for second, kind, value in events]
     return check(History(history), msgspec.structs.replace(AGREEMENT, **changed), 0)
 
