--- a/finchcart/fault_injection/scripted_runs/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -92,7 +92,7 @@
     name: str
     what: str  # an `ExpectationKind`, or the check that found a breach
     times: list[float]  # seconds from `after` until it held, one for each pair or member
-    changes: int  # how often the value changed when it was no longer allowed to
+    changes: int  # changes of the value after `after` + `within`; for `never`, events with a forbidden state
     breach: str | None  # the text of the first breach
 
 
--- a/finchcart/fault_injection/scripted_runs/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -1,6 +1,6 @@
-"""Reports of a run: rows, tables and one paragraph of what its processes tell of themselves.
+"""Format the report of a run: rows and tables of results, and a summary of what its processes measured.
 
-Owns how results are put together and printed. It must never judge a run.
+This module only aggregates and formats results; checker.py and runner.py decide what is a breach.
 """
 
 import math
@@ -13,22 +13,22 @@
 
 US_PER_S = 1e6
 US_PER_MS = 1000
-BLOCKED_WITHIN_US = 2e6  # after the first node blocked a source, all do
+BLOCKED_WITHIN_US = 2e6  # bound from the first node's block of a source until all nodes block it
 CALL_COUNTS = ("calls", "wasted", "taken", "taken_after")
 
 
-def quantile(times: Sequence[float], part: float) -> float:
-    """Return that quantile of the times; not a number where there are none."""
+def quantile(times: Sequence[float], fraction: float) -> float:
+    """Return the quantile of the times at this fraction; NaN if there are no times."""
     if not times:
         return math.nan
-    return sorted(times)[min(len(times) - 1, math.ceil(part * len(times)) - 1)]
+    return sorted(times)[min(len(times) - 1, math.ceil(fraction * len(times)) - 1)]
 
 
 # ---- expectations
 
 
 def expectation_rows(results: Iterable[Result]) -> list[dict]:
-    """Return a row for each expectation, the rounds of one name together."""
+    """Return a row for each expectation, with all repetitions of a round in one row."""
     groups: dict[tuple[str, str], list[Result]] = defaultdict(list)
     for result in results:
         head, _, tail = result.name.partition("#")
@@ -38,7 +38,7 @@
 
 
 def expectation_row(name: str, what: str, results: list[Result]) -> dict:
-    """Return the row of results of one name."""
+    """Return the row of an expectation from its results in all repetitions of its round."""
     times = [seconds for result in results for seconds in result.times]
     return {
         "name": name,
@@ -54,7 +54,7 @@
 
 
 def expectation_table(rows: Iterable[dict]) -> str:
-    """Return the table of expectations."""
+    """Return the Markdown table of expectations."""
     lines = [
         "| expectation | what | rounds | held | median s | p99 s | worst s | changes after | breaches |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -69,15 +69,15 @@
 
 
 def seconds_cell(seconds: float) -> str:
-    """Return the text of a number of seconds."""
+    """Return a table cell with a number of seconds."""
     return "-" if math.isnan(seconds) else f"{seconds:.2f}"
 
 
-# ---- what processes and store tell
+# ---- what the processes and the store report
 
 
 def summary(facts: Facts, events: Iterable[Event], plan: Plan) -> str:
-    """Return one paragraph of what the processes tell of themselves."""
+    """Return a few lines on what the processes and the simulated peers measured."""
     ordered = sum(len(action.names) for action in plan.actions if action.kind == "stop")
     unexpected = max(0, sum(event.kind == EventKind.RESUMED for event in events) - ordered)
     statistics = [each for each in facts["stats"].values() if each.get("late_ms") is not None]
@@ -86,9 +86,9 @@
         return max((each[name] for each in statistics), default=math.nan)
 
     lines = [
-        f"{facts['driver']}; own ticks late by at most {worst('late_ms')} ms at the end, "
-        f"{unexpected} pauses nobody ordered; measured loss at most {worst('loss')}; "
-        f"views by their own word at most {worst('stale_ms')} ms old; links: {facts['links']}"
+        f"{facts['driver']}; ticks of the processes late by at most {worst('late_ms')} ms at the end, "
+        f"{unexpected} suspensions that the script did not order; measured loss at most {worst('loss')}; "
+        f"views of the fleet at most {worst('stale_ms')} ms old by their own measure; links: {facts['links']}"
     ]
     if facts.get("load"):
         lines.append(f"RPCs: {facts['load']}")
@@ -100,21 +100,21 @@
 
 
 def store_summary(truth: list[dict]) -> str:
-    """Return what the store counted: most at once, use, and the moments beyond the limit."""
+    """Return the counts of the store: calls, its use, and the times during which the limit was exceeded."""
     first = truth[0]
     last = truth[-1]
     over_ms = [(until - since) / US_PER_MS for since, until, _ in last["over"]]
     seconds = (last["t_us"] - first["t_us"]) / US_PER_S
     return (
-        f"store: {last['calls']} calls, {last['most']} at once at most, {last['late']} late, "
-        f"{(last['used'] - first['used']) / seconds:.1f} in hand on average; moments beyond the limit: "
-        f"{len(over_ms)}, together {sum(over_ms):.1f} ms, the longest {max(over_ms, default=0):.1f} ms; "
-        f"fullest bucket {last['fullest']:.1f}"
+        f"store: {last['calls']} calls, at most {last['most']} at once, {last['late']} past their deadline, "
+        f"{(last['used'] - first['used']) / seconds:.1f} in progress on average; times over the limit: "
+        f"{len(over_ms)}, {sum(over_ms):.1f} ms in total, the longest {max(over_ms, default=0):.1f} ms; "
+        f"highest level of the rate bucket {last['fullest']:.1f}"
     )
 
 
 def lines_between(lines: Iterable[dict], since: float, until: float) -> list[dict]:
-    """Return the lines of a file of the run that were written in that time."""
+    """Return the lines of a JSON-lines file of the run that were written in that time."""
     return [line for line in lines if since <= line["t_us"] <= until]
 
 
@@ -130,9 +130,10 @@
 
 
 def use_rows(plan: Plan, record: ScriptedRunRecord) -> list[dict]:
-    """Return for each kind of round what the store counted.
+    """Return a row for each kind of round with the use of the limit that the store counted.
 
-    Told are use of the limit, the least of one round, most in hand, and by how much that is beyond the limit.
+    A row has the average use of the limit, the lowest use in one round, the most calls in progress at once,
+    and by how much these exceed the limit.
     """
     if not plan.script.limits or not record.facts.get("truth"):
         return []
@@ -160,7 +161,7 @@
 
 
 def use_of_round(lines: list[dict], limit: float) -> dict:
-    """Return the use of a limit in one round."""
+    """Return the use of the limit in one round, as a fraction of it, and the most calls in progress."""
     first = lines[0]
     last = lines[-1]
     seconds = (last["t_us"] - first["t_us"]) / US_PER_S
@@ -170,9 +171,9 @@
 
 
 def use_table(rows: Iterable[dict]) -> str:
-    """Return the table of use of a limit."""
+    """Return the Markdown table of the use of a limit."""
     lines = [
-        "| round | played | use of the limit | least | most in hand | beyond it |",
+        "| round | played | use of the limit | least | most in progress | over the limit |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     lines += [
@@ -187,11 +188,12 @@
 
 
 def call_rows(plan: Plan, record: ScriptedRunRecord) -> list[dict]:
-    """Return for each kind of round with faults of the store or floods what became of calls.
+    """Return a row for each kind of round with counts of calls, if the script has store faults or floods.
 
-    Told are calls, those wasted on a store that is down, the most in hand, the most changes of the store's
-    health at one node, and of the RPCs of flooding sources how many were admitted in all and later than the
-    bound after the first node blocked one.
+    A row has the number of calls, those wasted on a store that was down, the most in progress at once, the
+    most changes of the store's health verdict at one node, and of the valid RPCs from flooding sources the
+    number admitted in all and the number admitted later than BLOCKED_WITHIN_US after the first node blocked a
+    source.
     """
     if record.facts.get("flood") is None:
         return []
@@ -217,7 +219,7 @@
 
 
 def calls_of_round(lines: list[dict], events: list[Event], flood: list[dict]) -> dict:
-    """Return what became of calls in one round."""
+    """Return the counts of calls in one round."""
     first = lines[0]
     last = lines[-1]
     states = [event for event in events if event.kind == EventKind.STATE]
@@ -236,11 +238,11 @@
 
 
 def call_table(rows: Iterable[dict]) -> str:
-    """Return the table of calls by round."""
+    """Return the Markdown table of calls by round."""
     columns = ("round", "rounds", "calls", "wasted", "most", "changes", "taken", "taken_after")
     lines = [
-        "| round | played | calls | wasted | most in hand | changes of verdict | "
-        "RPCs of floods taken | 2 s after one shut it out |",
+        "| round | played | calls | wasted | most in progress | changes of verdict | "
+        "flood RPCs admitted | admitted over 2 s after the first block |",
         "| --- " * len(columns) + "|",
     ]
     lines += ["| " + " | ".join(str(row[column]) for column in columns) + " |" for row in rows]
--- a/finchcart/fault_injection/scripted_runs/runner.py
+++ b/finchcart/fault_injection/scripted_runs/runner.py
@@ -1,6 +1,7 @@
-"""Runs a script on processes or on the virtual clock, checks it and reports.
+"""Run a script on processes or on the virtual clock, check the result and print a report.
 
-Owns the steps of a run from the script to its status. What a breach of an expectation is, checker.py decides.
+This module leads a run from the script to the exit status, and checks the limits and key leases. The
+expectations of the script are checked by checker.py.
 """
 
 import signal
@@ -33,27 +34,27 @@
 
 US_PER_S = 1e6
 US_PER_MS = 1000
-STATUS_ENDED = 3  # of a run that was told to end
+INTERRUPTED_STATUS = 3  # exit status of a run that a signal ended
 
 
 @dataclass(frozen=True)
 class RunOptions:
-    """What a run is asked for: the options of `finchcart trial run`."""
+    """The options of `finchcart trial run`."""
 
-    script: str  # a path, or the name of a script that comes with the program
+    script: str  # a path, or the name of a script that is part of the package
     seed: int = 1
-    nodes: int | None = None  # in place of the script's
-    out: str | None = None  # a folder that keeps logs, table and chart
-    virtual: bool = False
-    apart: bool = False  # the nodes exchange nothing, and nothing is expected of them
-    share: str = "strict"  # how the first limit is held: "strict", "loose" or "static"
-    verdicts: str = "on"  # "on", "off", or "oracle": all are told of the store at once
-    times: int | None = None  # how often each kind of round is played
+    nodes: int | None = None  # replaces the script's number of nodes
+    out: str | None = None  # a folder in which logs, table and chart are kept
+    virtual: bool = False  # run on the virtual clock instead of processes
+    apart: bool = False  # the nodes exchange no messages, and no expectation is checked
+    share: str = "strict"  # how the first limit is enforced: "strict", "loose" or "static"
+    verdicts: str = "on"  # "on", "off", or "oracle": each node learns the store's state immediately
+    times: int | None = None  # how often each round is repeated
 
 
 @dataclass(frozen=True)
 class ScriptedRunReport:
-    """The rows of a run's tables, and the text of all of them."""
+    """The results of a run: the rows of its tables, and the text of the report."""
 
     results: list[Result]
     expectations: list[dict]
@@ -63,18 +64,18 @@
 
 
 def end_run(*_: object) -> NoReturn:
-    """Handle a signal to end: guards against processes that outlive the run.
+    """Handle SIGTERM or SIGINT by an exit that runs the clean-up, so that no process outlives the run.
 
-    The clean-up runs then too, and a second signal does not break it off.
+    Further signals are ignored, because they would interrupt the clean-up.
     """
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.SIG_IGN)
-    sys.exit(STATUS_ENDED)
+    sys.exit(INTERRUPTED_STATUS)
 
 
 def play(options: RunOptions) -> int:
-    """Run a script; return the status: 0, or 1 with the first breach printed."""
-    plan = plan_of(options)
+    """Run a script and print its report; return 0, or 1 after printing the first breach."""
+    plan = plan_from_options(options)
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(options.out or scratch)
         folder.mkdir(parents=True, exist_ok=True)
@@ -92,7 +93,7 @@
 # ---- the plan
 
 
-def plan_of(options: RunOptions) -> Plan:
+def plan_from_options(options: RunOptions) -> Plan:
     """Return the plan of a script with the changes that the options ask for."""
     script = share_limit(read_script(options.script), options.share)
     if options.times:
@@ -108,7 +109,7 @@
 
 
 def share_limit(script: Script, share: str) -> Script:
-    """Return the script with its first limit held in another way."""
+    """Change how the first limit of the script is enforced, and return the script."""
     if share == "static":
         script.static = True
     elif share == "loose":
@@ -118,15 +119,18 @@
 
 
 def repeat_rounds(script: Script, times: int) -> Script:
-    """Return the script with each kind of round played so often."""
-    for each in script.rounds:
-        each.count = times
-    script.seconds = max(each.at + (times - 1) * each.every + each.length for each in script.rounds)
+    """Change how often each round of the script is repeated, and return the script."""
+    for scripted_round in script.rounds:
+        scripted_round.count = times
+    script.seconds = max(
+        scripted_round.at + (times - 1) * scripted_round.every + scripted_round.length
+        for scripted_round in script.rounds
+    )
     return script
 
 
 def play_plan(plan: Plan, options: RunOptions, folder: Path) -> ScriptedRunRecord:
-    """Play a plan where the options say."""
+    """Execute a plan on processes or on the virtual clock, as the options ask."""
     if options.virtual:
         return play_on_virtual_clock(plan)
     oracle = options.verdicts == "oracle"
@@ -137,7 +141,7 @@
 
 
 def make_report(plan: Plan, record: ScriptedRunRecord, options: RunOptions) -> ScriptedRunReport:
-    """Check a run and put its tables together."""
+    """Check the expectations of a run and return its tables."""
     results = [] if options.apart else check_plan(plan, record.events, record.start)
     expectations = expectation_rows(results)
     uses = use_rows(plan, record)
@@ -153,7 +157,7 @@
 def save_report(
     plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions, folder: Path
 ) -> None:
-    """Write table.md, results.json and timeline.png."""
+    """Write table.md, results.json and timeline.png into the folder."""
     from finchcart.fault_injection.scripted_runs.timeline_chart import (
         save_timeline,  # matplotlib is slow to import
     )
@@ -180,14 +184,14 @@
 def first_breach(
     plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions
 ) -> Result | None:
-    """Return the first breach of an expectation, of the limit or of key leases."""
+    """Return the first breach of an expectation, of a limit or of key leases."""
     return next(breaches(plan, record, report, options), None)
 
 
 def breaches(
     plan: Plan, record: ScriptedRunRecord, report: ScriptedRunReport, options: RunOptions
 ) -> Iterator[Result]:
-    """Yield all that did not hold."""
+    """Yield a result with the text of the breach for each breach of a run."""
     script = plan.script
     overshoot = overshoot_bound(script)
     bucket = bucket_bound(script)
@@ -195,34 +199,32 @@
     if record.facts.get("truth"):
         last = record.facts["truth"][-1]
         if overshoot is not None:
-            yield from moments_beyond_limit(script, last, record.start, overshoot, options.share)
-        yield from overfull_bucket(bucket, last)
+            yield from limit_violations(script, last, record.start, overshoot, options.share)
+        yield from bucket_overflow(bucket, last)
     yield from wrong_effects(script, record)
     for row in report.uses if overshoot is not None else ():
         if row["over"] > overshoot:
-            yield Result("limit", row["round"], [], 0, f"over by {row['over']}")
+            yield Result("limit", row["round"], [], 0, f"limit exceeded by {row['over']} calls")
 
 
-def moments_beyond_limit(
-    script: Script, last: dict, start: int, overshoot: int, share: str
-) -> Iterator[Result]:
-    """Yield the moments in which more was in hand at the store than the bound."""
+def limit_violations(script: Script, last: dict, start: int, overshoot: int, share: str) -> Iterator[Result]:
+    """Yield a breach for each time during which the store had more calls in progress than the bound."""
     limit = script.limits[0].get("in_hand")
     for since, until, most in last["over"] if limit else ():
         if most > limit + overshoot:
-            text = f"{most} calls in hand at the store for {(until - since) / US_PER_MS:.1f} ms"
+            text = f"{most} calls in progress at the store for {(until - since) / US_PER_MS:.1f} ms"
             yield Result("limit", share, [], 0, f"{text}, at {(since - start) / US_PER_S:.2f} s")
 
 
-def overfull_bucket(most: float | None, last: dict) -> Iterator[Result]:
-    """Yield a breach if the store's bucket held more than its bound."""
-    if most is not None and last["fullest"] > most:
-        text = f"the store's bucket held {last['fullest']:.1f}, {most} at most"
+def bucket_overflow(bound: float | None, last: dict) -> Iterator[Result]:
+    """Yield a breach if the level of the store's rate bucket exceeded its bound."""
+    if bound is not None and last["fullest"] > bound:
+        text = f"the store's rate bucket reached a level of {last['fullest']:.1f}, but {bound} is the bound"
         yield Result("limit", "rate", [], 0, text)
 
 
 def wrong_effects(script: Script, record: ScriptedRunRecord) -> Iterator[Result]:
-    """Yield a breach if a key ran twice, or was answered ok and never ran."""
+    """Yield a breach if a key ran twice, or if the RPC of a key that never ran was answered ok."""
     effects = record.facts.get("effects")
     if not effects:
         return
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -1,4 +1,4 @@
-"""Fault injection itself: simulated network, checker, and a short script on real processes."""
+"""Tests of the fault-injection tools: network simulation, checker, plans, and a run on real processes."""
 
 import json
 import socket
@@ -21,15 +21,15 @@
 from finchcart.net.datagrams import DatagramEndpoint
 
 
-def until(true, within=20):
-    """Waits for what must come; the bound only ends a run that failed."""
-    end = time.monotonic() + within
-    while not true():
-        assert time.monotonic() < end, "it never came"
+def wait_until(condition, timeout=20):
+    """Polls a condition that must become true; the timeout only ends a test that has failed."""
+    end = time.monotonic() + timeout
+    while not condition():
+        assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.02)
 
 
-def test_the_simulated_network_does_to_each_directed_link_what_its_rule_says_and_replays():
+def test_simulated_network_applies_the_rule_of_each_directed_link_and_repeats_for_a_seed():
     first_counts = {}
 
     def run(rule, count=2000):
@@ -52,45 +52,45 @@
         from_a, counts = run({"swap": 0.2, "swap_by": 5000, "delay": 2000, "jitter": 3000})
         assert len(from_a) == 2000 and from_a != sorted(from_a) and counts["swapped"] > 300
         from_a, counts = run({"spoil": 0.5})
-        wrong = sum(not data.isdigit() or int(data) != number for number, data in enumerate(from_a))
-        assert 900 < wrong <= counts["spoilt"]
+        corrupted = sum(not data.isdigit() or int(data) != number for number, data in enumerate(from_a))
+        assert 900 < corrupted <= counts["spoilt"]
         assert run({"cut": True})[0] == [] and len(run({"flap": 700_000})[0]) in range(900, 1301)
 
 
 AGREEMENT = PlannedExpectation("x", "agree", ["b"], ["a"], 1.0, 2.0, 9.0, ["failed"])
 
 
-def judged(events, **changed):
-    """What becomes of an expectation, by events of member `a` as (second, kind, value)."""
+def check_events(events, **changed):
+    """Checks an expectation against events of the observer `a`, given as (second, kind, value)."""
     history = [Event(0, "a", EventKind.STARTED)]
     history += [Event(int(second * 1e6), "a", EventKind(kind), "b", value) for second, kind, value in events]
     return check(History(history), msgspec.structs.replace(AGREEMENT, **changed), 0)
 
 
-def test_the_checker_finds_what_is_late_changes_or_never_comes():
-    assert judged([(2, "state", "failed")]).breach is None
-    assert judged([(2, "state", "failed")]).times == [1.0]
-    assert judged([(4, "state", "failed")]).breach and judged([]).breach
-    flaps = judged([(2, "state", "failed"), (5, "state", "alive"), (6, "state", "failed")])
+def test_checker_finds_states_that_are_late_change_again_or_are_never_reached():
+    assert check_events([(2, "state", "failed")]).breach is None
+    assert check_events([(2, "state", "failed")]).times == [1.0]
+    assert check_events([(4, "state", "failed")]).breach and check_events([]).breach
+    flaps = check_events([(2, "state", "failed"), (5, "state", "alive"), (6, "state", "failed")])
     assert flaps.breach and flaps.changes == 1
-    assert judged([(0.5, "state", "failed")]).times == [0.0]
-    assert judged([(5, "state", "failed")], what="never").breach
-    assert judged([(0.5, "state", "failed")], what="never").breach, "it holds already"
-    assert judged([(9.5, "state", "failed")], what="never").breach is None
-    assert judged([(2, "isolated", True)], what="isolated", of=["a"]).breach is None
-    assert judged([(2, "isolated", True)], what="connected", of=["a"]).breach
+    assert check_events([(0.5, "state", "failed")]).times == [0.0]
+    assert check_events([(5, "state", "failed")], what="never").breach
+    assert check_events([(0.5, "state", "failed")], what="never").breach, "the state was already held"
+    assert check_events([(9.5, "state", "failed")], what="never").breach is None
+    assert check_events([(2, "isolated", True)], what="isolated", of=["a"]).breach is None
+    assert check_events([(2, "isolated", True)], what="connected", of=["a"]).breach
 
 
-def test_all_shipped_scripts_lay_out_the_same_for_a_seed():
+def test_all_shipped_scripts_give_the_same_plan_for_the_same_seed():
     for name, script in shipped_scripts():
-        one = make_plan(script, 4)
-        two = make_plan(read_script(name), 4)
-        assert isinstance(one, Plan) and one == two, name
-        assert one.expectations or script.limits or script.claims, name
-        assert one != make_plan(script, 5) or name in ("cuts", "halves", "loss", "half-lost", "replace")
+        first = make_plan(script, 4)
+        second = make_plan(read_script(name), 4)
+        assert isinstance(first, Plan) and first == second, name
+        assert first.expectations or script.limits or script.claims, name
+        assert first != make_plan(script, 5) or name in ("cuts", "halves", "loss", "half-lost", "replace")
 
 
-def test_a_breach_gives_status_1_with_its_lines(tmp_path, capsys):
+def test_breach_gives_status_1_and_is_printed_with_its_log_line(tmp_path, capsys):
     script = tmp_path / "wrong.json5"
     script.write_text("""{about: "", nodes: 4, seconds: 8, rounds: [{at: 0, name: "r", steps: [
         {at: 0, do: "kill", who: ["n02"], as: "x"}], expect: [
@@ -99,20 +99,20 @@
     printed = capsys.readouterr().out
     assert "BREACH r (never): n0" in printed and "'n02', 'failed'" in printed
     assert (tmp_path / "out" / "timeline.png").stat().st_size > 1000
-    one, two = (play_on_virtual_clock(make_plan(read_script(script), 1)) for _ in range(2))
-    assert one.events == two.events
+    first, second = (play_on_virtual_clock(make_plan(read_script(script), 1)) for _ in range(2))
+    assert first.events == second.events
 
 
-def test_a_short_script_on_real_processes(tmp_path):
+def test_short_script_on_real_processes(tmp_path):
     assert play(RunOptions("short", out=str(tmp_path))) == 0
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = ProcessFleet(tmp_path, ["n0", "n1"], 1, {"period_ms": 200})
-    yield made
-    made.end()
-    assert all(child.poll() is not None for child in made.children)
+    process_fleet = ProcessFleet(tmp_path, ["n0", "n1"], 1, {"period_ms": 200})
+    yield process_fleet
+    process_fleet.end()
+    assert all(child.poll() is not None for child in process_fleet.children)
 
 
 def test_settings_are_taken_whole_or_not_at_all_and_rubbish_is_counted(fleet, tmp_path):
@@ -122,23 +122,25 @@
     def view(name):
         return query_members(fleet.addresses.member(name), 5.0)
 
-    until(lambda: [m["state"] for m in view("n0")["members"]] == ["alive"] * 2 and not view("n0")["isolated"])
+    wait_until(
+        lambda: [m["state"] for m in view("n0")["members"]] == ["alive"] * 2 and not view("n0")["isolated"]
+    )
     path, log = tmp_path / "n0.json5", tmp_path / "n0.1.log"
-    good = path.read_text()
+    valid = path.read_text()
     for text, line in [
-        (good.replace("200", "2"), "fleet.period_ms: 2: Expected `int` >= 100"),
-        (good.replace(":7400", ":7401"), "fleet.listen: waits for the next start"),
-        (good.replace("200", "300"), "settings applied from"),
+        (valid.replace("200", "2"), "fleet.period_ms: 2: Expected `int` >= 100"),
+        (valid.replace(":7400", ":7401"), "fleet.listen: waits for the next start"),
+        (valid.replace("200", "300"), "settings applied from"),
     ]:
         path.write_text(text)
         fleet.reload_settings("n0")
-        until(lambda: line in log.read_text())
+        wait_until(lambda: line in log.read_text())
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for _ in range(20):
             sock.sendto(b"rubbish", fleet.addresses.member("n0"))
             sock.sendto(b"Mrubbish", fleet.addresses.member("n0"))
-    until(lambda: view("n0")["counts"].get("spoilt") == 20)
-    until(lambda: view("n0")["counts"].get("of an unknown channel") == 20)
+    wait_until(lambda: view("n0")["counts"].get("spoilt") == 20)
+    wait_until(lambda: view("n0")["counts"].get("of an unknown channel") == 20)
     completed = subprocess.run(
         [
             sys.executable,
@@ -157,42 +159,45 @@
     assert set(answer) >= {"name", "incarnation", "isolated", "age_ms", "members"} and answer["name"] == "n0"
     assert set(answer["members"][0]) == {"name", "address", "state", "incarnation", "age_ms"}
     fleet.terminate("n1")
-    until(lambda: {m["name"]: m["state"] for m in view("n0")["members"]}["n1"] == "left")
+    wait_until(lambda: {m["name"]: m["state"] for m in view("n0")["members"]}["n1"] == "left")
 
 
-def test_ticks_are_not_held_back_by_datagrams_that_keep_coming():
+def test_ticks_are_not_delayed_by_a_steady_stream_of_datagrams():
     class Machine:
-        ended, ticks, got = False, 0, 0
+        ended, ticks, received = False, 0, 0
 
-        def reduce(self, now, what):
-            self.ticks += isinstance(what, Tick)
-            self.got += isinstance(what, DatagramReceived)
-            self.ended = self.ended or isinstance(what, Shutdown)
+        def reduce(self, now, event):
+            self.ticks += isinstance(event, Tick)
+            self.received += isinstance(event, DatagramReceived)
+            self.ended = self.ended or isinstance(event, Shutdown)
             return []
 
     machine = Machine()
-    made = DatagramEndpoint(("127.0.0.1", 0), lambda now: {b"x": machine}, lambda change: None, lambda: [])
-    made.start()
+    endpoint = DatagramEndpoint(
+        ("127.0.0.1", 0), lambda now: {b"x": machine}, lambda change: None, lambda: []
+    )
+    endpoint.start()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        # One every 5 ms, a twentieth of a tick: a tick that waits for a pause between them never comes.
-        while machine.ticks < 8 and machine.got < 2000:
-            sock.sendto(b"x", made.sock.getsockname())
+        # A datagram arrives every 5 ms, a twentieth of the tick interval. An endpoint that ticks only when a
+        # receive times out would never tick.
+        while machine.ticks < 8 and machine.received < 2000:
+            sock.sendto(b"x", endpoint.sock.getsockname())
             time.sleep(0.005)
-    assert machine.ticks >= 8 and machine.got > 8
-    made.stop()
+    assert machine.ticks >= 8 and machine.received > 8
+    endpoint.stop()
 
 
-def test_a_node_without_arguments_imports_none_of_this():
+def test_node_without_arguments_imports_no_fleet_or_fault_injection_module():
     code = (
         "import finchcart.__main__, sys\n"
-        "new = ('finchcart.membership', 'finchcart.fault_injection', 'finchcart.cli',\n"
+        "excluded = ('finchcart.membership', 'finchcart.fault_injection', 'finchcart.cli',\n"
         "       'finchcart.fleet_settings', 'finchcart.fleet_queries',\n"
         "       'finchcart.simulated_peers',\n"
         "       'finchcart.quota', 'finchcart.consensus', 'finchcart.key_leases', 'finchcart.fleet.',\n"
         "       'finchcart.node.observer', 'finchcart.node.limiters', 'finchcart.node.key_leases',\n"
         "       'finchcart.node.fleet_inputs',\n"
         "       'finchcart.net.datagrams', 'msgspec', 'click', 'json5', 'xxhash')\n"
-        "print([name for name in sys.modules if name.startswith(new)])"
+        "print([name for name in sys.modules if name.startswith(excluded)])"
     )
     completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert completed.stdout.strip() == "[]"
