--- a/finchcart/fault_injection/scripted_runs/run_report.py
+++ b/finchcart/fault_injection/scripted_runs/run_report.py
@@ -119,7 +119,7 @@
 
 
 def grouped_by_round(pairs: Iterable[tuple[str, dict]]) -> dict[str, list[dict]]:
-    """Return rows by the name of their round, in the order of first appearance."""
+    """Return the rows grouped by the name of their round, in the order of first appearance."""
     groups: dict[str, list[dict]] = defaultdict(list)
     for name, row in pairs:
         groups[name].append(row)
@@ -137,16 +137,16 @@
     """
     if not plan.script.limits or not record.facts.get("truth"):
         return []
-    whole = plan.script.limits[0].get("in_hand")
+    script_limit = plan.script.limits[0].get("in_hand")
     rows = []
-    for name, since, until, limit in plan.spans if whole else ():
+    for name, since, until, limit in plan.spans if script_limit else ():
         inside = lines_between(
             record.facts["truth"],
             record.start + since * US_PER_S,
             record.start + until * US_PER_S,
         )
         if len(inside) > 1:
-            rows.append((name, use_of_round(inside, limit or whole)))
+            rows.append((name, use_of_round(inside, limit or script_limit)))
     return [
         {
             "round": name,
--- a/finchcart/fault_injection/scripted_runs/runner.py
+++ b/finchcart/fault_injection/scripted_runs/runner.py
@@ -49,7 +49,7 @@
     apart: bool = False  # the nodes exchange no messages, and no expectation is checked
     share: str = "strict"  # how the first limit is enforced: "strict", "loose" or "static"
     verdicts: str = "on"  # "on", "off", or "oracle": each node learns the store's state immediately
-    times: int | None = None  # how often each round is repeated
+    times: int | None = None  # how many times each round is played
 
 
 @dataclass(frozen=True)
@@ -119,7 +119,7 @@
 
 
 def repeat_rounds(script: Script, times: int) -> Script:
-    """Change how often each round of the script is repeated, and return the script."""
+    """Change how many times each round of the script is played, and return the script."""
     for scripted_round in script.rounds:
         scripted_round.count = times
     script.seconds = max(
