--- a/finchcart/fault_injection/processes/__init__.py
+++ b/finchcart/fault_injection/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of a run: child processes, loopback addresses, configurations, faults inside a process."""
+"""Support for tests with real processes: child processes, loopback addresses, node configurations, faults."""
--- a/finchcart/fault_injection/processes/child_processes.py
+++ b/finchcart/fault_injection/processes/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a run: started with a log each, and all of them ended by their own ids."""
+"""Starts the child processes of a test run, each with its own log file, and kills them by process id."""
 
 import os
 import signal
@@ -10,12 +10,13 @@
 
 END_TIMEOUT_S = 10
 CHILD_ENV = {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(Path(__file__).parents[3])}
-CPU_FIELDS = slice(11, 13)  # of /proc/PID/stat behind the command: user and system time
+# utime and stime in /proc/PID/stat, counted from the first field after the command name.
+CPU_FIELDS = slice(11, 13)
 KB_PER_MB = 1024
 
 
 class ChildProcesses:
-    """All children of one run; logs go to `folder`."""
+    """The child processes of one test run; their log files are in `folder`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -26,7 +27,7 @@
     def spawn(
         self, name: str, command: list[str], env: Mapping[str, str] | None = None, **more: object
     ) -> subprocess.Popen:
-        """Start a process whose standard error goes to NAME.log; `more` goes to `Popen`."""
+        """Start a process that appends its standard error to NAME.log; `more` is passed to `Popen`."""
         with (self.folder / f"{name}.log").open("ab") as log:
             child = subprocess.Popen(
                 command, stderr=log, env={**self.env, **(env or {})}, start_new_session=True, **more
@@ -35,7 +36,7 @@
         return child
 
     def end(self) -> None:
-        """End all of them, stopped ones too."""
+        """Kill all children, including those that SIGSTOP has suspended, and wait for them."""
         for child in self.children:
             if child.poll() is None:
                 child.send_signal(signal.SIGCONT)
@@ -47,7 +48,7 @@
 
 
 def cpu_and_peak_memory(pid: int) -> tuple[float, float]:
-    """Return the CPU seconds of a process and its peak resident memory in MB."""
+    """Return the CPU time of a process in seconds and its peak resident memory in MB."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text().splitlines()
     peak = next(line for line in status if line.startswith("VmHWM"))
--- a/finchcart/fault_injection/processes/loopback_addresses.py
+++ b/finchcart/fault_injection/processes/loopback_addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a run: runs side by side don't meet."""
+"""Assigns loopback addresses to the processes of a test run, so that concurrent runs do not collide."""
 
 import os
 import socket
@@ -8,12 +8,12 @@
 FIRST_NET = 20
 NETS = 200
 LOCK_PORT = 7399
-FIRST_OWN_NET = 221  # beyond those of runs with many processes
+FIRST_OWN_NET = 221  # above the nets that `LoopbackAddresses` uses
 OWN_NETS = 30
 OWN_HOSTS = 250
 FIRST_OWN_PORT = 10_000
-MEMBER_PORT = 7400  # of messages between members
-NODE_PORT = 7001  # of clients' RPCs
+MEMBER_PORT = 7400  # for datagrams between members
+NODE_PORT = 7001  # for RPCs from dispatchers
 WORKER_POOL_PORT = 9300
 STORE_PORT = 8900
 REGISTRY_PORT = 2379
@@ -23,9 +23,10 @@
 
 
 def own_address() -> tuple[str, int]:
-    """Return an address that no other process has, and none is given by chance: each is returned once.
+    """Return an address that this process has not returned before and other processes do not use.
 
-    The host tells the process, by its id, and the port lies below those that connections are given.
+    The host is derived from the process id. The ports begin below the range of ephemeral ports, so that an
+    outgoing connection does not occupy one.
     """
     number = next(_addresses_given)
     process = os.getpid()
@@ -34,7 +35,10 @@
 
 
 class LoopbackAddresses:
-    """The addresses of the named processes of one run; a bound socket keeps other runs away."""
+    """The addresses of the named processes of one run.
+
+    A bound socket reserves the 127.X net, so that no concurrent run uses it.
+    """
 
     def __init__(self, names: Sequence[str]) -> None:
         self.names = names
@@ -42,7 +46,7 @@
         self.net = self._lock_free_net()
 
     def _lock_free_net(self) -> str:
-        """Return the first two parts of the addresses, from a net that no other run has."""
+        """Reserve a net that no other run uses and return its first two octets, "127.X"."""
         for offset in range(NETS):
             net = f"127.{FIRST_NET + (os.getpid() + offset) % NETS}"
             self.lock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -52,48 +56,52 @@
                 self.lock.close()
             else:
                 return net
-        raise OSError("no loopback addresses are free")
+        raise OSError("all loopback nets for test runs are in use")
 
     def release(self) -> None:
-        """Let other runs have the addresses."""
+        """Release the net for other runs."""
         self.lock.close()
 
     def own_host(self, name: str) -> str:
-        """Return the process's own address."""
+        """Return the host on which the process listens."""
         return f"{self.net}.1.{self._number(name)}"
 
     def proxied_host(self, name: str) -> str:
-        """Return the address by which others reach the process, through the proxy."""
+        """Return the host of the proxy through which other members reach the process."""
         return f"{self.net}.2.{self._number(name)}"
 
     def store_host(self, name: str) -> str:
-        """Return the node's own address of the one store, so that it can fail for some."""
+        """Return the store's host as seen by one node.
+
+        All nodes share one store. Each node has its own host for the store, so that a fault can affect some
+        nodes only.
+        """
         return f"{self.net}.4.{self._number(name)}"
 
     @property
     def registry(self) -> str:
-        """The registry's address, "HOST:PORT"."""
+        """The address of the registry, "HOST:PORT"."""
         return f"{self.net}.3.1:{REGISTRY_PORT}"
 
     @property
     def sources_net(self) -> str:
-        """The first three parts of the misbehaving clients' addresses."""
+        """The first three octets of the hosts of misbehaving clients."""
         return f"{self.net}.9"
 
     def member(self, name: str) -> tuple[str, int]:
-        """Return where the process itself receives messages of members."""
+        """Return the (host, port) on which the process receives datagrams from members."""
         return self.own_host(name), MEMBER_PORT
 
     def advertised(self, name: str) -> str:
-        """Return the address that the process advertises, "HOST:PORT"."""
+        """Return the address that the process advertises to members: the proxy's "HOST:PORT"."""
         return f"{self.proxied_host(name)}:{MEMBER_PORT}"
 
     def node(self, name: str) -> str:
-        """Return where a node takes RPCs, "HOST:PORT"."""
+        """Return the address on which a node accepts RPCs, "HOST:PORT"."""
         return f"{self.own_host(name)}:{NODE_PORT}"
 
     def store(self, name: str) -> str:
-        """Return the node's address of the store, "HOST:PORT"."""
+        """Return the address of the store as seen by one node, "HOST:PORT"."""
         return f"{self.store_host(name)}:{STORE_PORT}"
 
     def _number(self, name: str) -> int:
--- a/finchcart/fault_injection/processes/node_configuration.py
+++ b/finchcart/fault_injection/processes/node_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration and the settings of a node in a run with faults."""
+"""Builds the configuration and the settings of nodes in fault-injection runs."""
 
 import copy
 from collections.abc import Sequence
@@ -56,7 +56,10 @@
 
 
 def store_share(limits: Sequence[dict], nodes: int, static: bool) -> float | None:
-    """Return what a node is told that it may use of the store: the first limit, or its part of it."""
+    """Return the store capacity to configure on a node, or None where there are no limits.
+
+    The capacity is the whole first limit, or an equal share of it for each node where limits are `static`.
+    """
     if not limits:
         return None
     whole = limits[0].get("in_hand") or limits[0]["rate"]
@@ -64,7 +67,7 @@
 
 
 def node_configuration(name: str, addresses: LoopbackAddresses, share: float | None) -> dict[str, Any]:
-    """Return the platform's configuration of a node."""
+    """Return the configuration that the platform gives to a node."""
     configuration = copy.deepcopy(EXAMPLE)
     if share is not None:
         configuration["settings"]["familyInfo"]["callsOut"] = share
@@ -81,7 +84,7 @@
 def fleet_settings(
     name: str, fleet_name: str, addresses: LoopbackAddresses, seeds: list[str], fleet: dict
 ) -> dict[str, Any]:
-    """Return the `fleet` block of a process's settings file."""
+    """Return the `fleet` section of a process's settings file."""
     host, port = addresses.member(name)
     return {
         "name": fleet_name,
--- a/finchcart/fault_injection/processes/process_shim.c
+++ b/finchcart/fault_injection/processes/process_shim.c
@@ -1,10 +1,11 @@
-/* A library to be loaded into a process under test (LD_PRELOAD): it moves the process's wall clock and makes
- * its system calls fail, come back short or be interrupted, as a mapped file says.
+/* A library that LD_PRELOAD loads into a process under test. It shifts the wall clock of the process and makes
+ * its system calls fail, transfer fewer bytes than requested or return EINTR, as a memory-mapped file specifies.
  *
- * Where FINCHCART_SOCKET_TRACE names a file, what the process does to accepted sockets is appended to it.
+ * If FINCHCART_SOCKET_TRACE names a file, the library appends the operations on accepted sockets to that file.
  *
- * Owns nothing but the counts in the mapped file. It must never touch the monotonic clocks, nor any other process.
- * Layout of the files: struct shared, see process_shim.py; struct traced, see socket_trace.py. */
+ * The library writes to the counters in the mapped file and nothing else there. It must not change the monotonic
+ * clocks or affect another process. File layouts: struct shared, read and written by process_shim.py; struct
+ * traced, read by socket_trace.py. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -24,18 +25,18 @@
 enum call { ACCEPT, SOCKET, CONNECT, BIND, LISTEN, RECV, SEND, SENDTO, SETSOCKOPT, WRITE, THREAD, CALLS };
 
 struct rule {
-    int64_t first;      /* the call with this number fails, counted from 1; 0: none does */
-    int64_t count;      /* and so many in all, one after the other */
-    int64_t error;      /* errno; 0: the call is not failed */
-    int64_t per_million; /* chance of each call besides */
-    int64_t seed;       /* of that chance */
-    int64_t most_bytes; /* a read or write that is hit moves no more than these; 0: as many as asked */
-    int64_t calls;      /* counted here: all */
-    int64_t injected;   /* and those that were hit */
+    int64_t first;      /* number of the first call that fails, counted from 1; 0: no call fails by number */
+    int64_t count;      /* number of consecutive calls that fail from `first` on */
+    int64_t error;      /* errno of an affected call; 0: the call does not fail */
+    int64_t per_million; /* probability, in millionths, that any other call is affected */
+    int64_t seed;       /* seed of the random choice by `per_million` */
+    int64_t most_bytes; /* limit on the bytes that an affected read or write transfers; 0: no limit */
+    int64_t calls;      /* counter of all calls */
+    int64_t injected;   /* counter of the affected calls */
 };
 
 struct shared {
-    int64_t clock_offset_ns; /* added to the wall clock */
+    int64_t clock_offset_ns; /* offset added to the wall clock */
     int64_t unused[7];
     struct rule rules[CALLS];
 };
@@ -45,13 +46,13 @@
 enum traced_event { ACCEPTED = 1, RECEIVED, SENT, HALF_CLOSED, CLOSED };
 
 struct traced {
-    int64_t at_ns; /* on the monotonic clock */
+    int64_t at_ns; /* time on the monotonic clock */
     int32_t event;
     int32_t fd;
-    int64_t value; /* the peer's port, or a count of bytes; 0 at an end of the stream */
+    int64_t value; /* ACCEPTED: the peer's port; RECEIVED and SENT: number of bytes (0: end of the stream) */
 };
 
-#define TRACED_DESCRIPTORS 4096 /* higher ones are not traced */
+#define TRACED_DESCRIPTORS 4096 /* descriptors from this number on are not traced */
 static int trace_file = -1;
 static char is_accepted[TRACED_DESCRIPTORS];
 
@@ -65,14 +66,14 @@
     return trace_file >= 0 && fd >= 0 && fd < TRACED_DESCRIPTORS && is_accepted[fd];
 }
 
-/* Appends one event of an accepted socket, and leaves errno as it is. */
+/* Appends one event of an accepted socket to the trace and preserves errno. */
 static void trace(enum traced_event event, int fd, int64_t value) {
     struct timespec now;
     int error = errno;
     syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &now);
     struct traced traced = {(int64_t)now.tv_sec * 1000000000 + now.tv_nsec, event, fd, value};
     if (syscall(SYS_write, trace_file, &traced, sizeof traced) < 0)
-        trace_file = -1; /* the disk is full: what is missing is seen by its end */
+        trace_file = -1; /* a write failed, as on a full disk: stop, so that only the end of the trace is missing */
     errno = error;
 }
 
@@ -105,7 +106,7 @@
     return x ^ (x >> 33);
 }
 
-/* Returns the rule of a call that is to be hit, or NULL. */
+/* Counts a call, and returns its rule if the rule affects this call, or NULL. */
 static struct rule *hit(enum call which) {
     if (!shared)
         return NULL;
@@ -186,7 +187,7 @@
     }
     int result = real(fd, address, length);
     if (rule && rule->error == EINTR && result < 0 && errno == EINPROGRESS)
-        errno = EINTR; /* the connection goes on being made, as after a real signal */
+        errno = EINTR; /* the connection attempt continues, as after a real signal */
     return result;
 }
 
@@ -205,7 +206,7 @@
     return fails(SETSOCKOPT) ? -1 : real(fd, level, name, value, length);
 }
 
-/* Cuts a length down where the call is to be short; returns -1 where it is to fail. */
+/* Reduces the length if the call is to be short. Returns -1 with errno set if the call is to fail, else 0. */
 static int limited(enum call which, size_t *length) {
     struct rule *rule = hit(which);
     if (!rule)
--- a/finchcart/fault_injection/processes/process_shim.py
+++ b/finchcart/fault_injection/processes/process_shim.py
@@ -1,10 +1,12 @@
-"""Faults inside a process: its wall clock steps and its system calls fail, at any time and from outside.
+"""Injects faults into a process under test: steps of its wall clock and failing system calls.
 
-The library also traces accepted sockets where a path is set for that: socket_trace.py reads what it wrote.
+A preloaded library (process_shim.c) intercepts the calls, and a memory-mapped file controls it. The test can
+change the faults at any time while the process runs. The library also writes a trace of the accepted sockets
+if `FINCHCART_SOCKET_TRACE` names a file; socket_trace.py reads the trace.
 
-Owns the library that is loaded into the process (process_shim.c) and the mapped file that says what happens.
-It must never be loaded into a process that serves anybody. One library for all calls, and not a seam in
-`finchcart.net`: so the program runs as it ships, and what Python itself makes of an error is played too.
+The library must never be loaded into a process in production. The faults are injected by a library and not
+by a replaceable layer in `finchcart.net`, so that the program under test is the program that is deployed, and
+so that the tests also cover how Python itself handles an error.
 """
 
 import errno
@@ -20,12 +22,12 @@
 NANOSECONDS_PER_SECOND = 1_000_000_000
 HEADER = struct.Struct("q7q")
 RULE = struct.Struct("8q")
-COUNTS_OFFSET = 6 * 8  # of `calls` in a rule
+COUNTS_OFFSET = 6 * 8  # position of `calls` in a rule, in bytes
 PER_MILLION = 1_000_000
 
 
 class Call(IntEnum):
-    """The calls that can fail; the numbers are those of process_shim.c."""
+    """The functions that can be made to fail; the values are those of `enum call` in process_shim.c."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -36,12 +38,13 @@
     SEND = 6
     SENDTO = 7
     SETSOCKOPT = 8
-    WRITE = 9  # on standard error
-    THREAD = 10
+    WRITE = 9  # only writes to standard error
+    THREAD = 10  # pthread_create
 
 
-# What Linux documents for each call besides what our own arguments rule out: accept(2), socket(2),
-# connect(2), bind(2), listen(2), recv(2), send(2), write(2), pthread_create(3), tcp(7).
+# The errors that the Linux manual pages document for each call, without those that cannot occur with the
+# arguments that finchcart passes. Pages: accept(2), socket(2), connect(2), bind(2), listen(2), recv(2),
+# send(2), write(2), pthread_create(3), tcp(7).
 DOCUMENTED_ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
     + (errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ENETUNREACH),
@@ -60,7 +63,7 @@
 
 
 def build_library(folder: Path) -> Path | None:
-    """Compile the library into the folder; None where there is no C compiler."""
+    """Compile the library into the folder and return its path, or None if there is no C compiler."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         return None
@@ -71,7 +74,10 @@
 
 
 class ProcessShim:
-    """What is done to the processes that are started with `environment`; they share clock and counts."""
+    """Controls the faults in all processes that are started with `environment`.
+
+    These processes share the clock offset, the rules and the counters.
+    """
 
     def __init__(self, library: Path, folder: Path, name: str = "shim") -> None:
         path = folder / f"{name}.bin"
@@ -82,37 +88,37 @@
 
     @property
     def clock_offset_s(self) -> float:
-        """How far the wall clock of the processes is ahead of the machine's, in seconds."""
+        """The offset of the processes' wall clock from the machine's, in seconds."""
         return struct.unpack_from("q", self._map, 0)[0] / NANOSECONDS_PER_SECOND
 
     def set_clock_offset(self, seconds: float) -> None:
-        """Step the wall clock of the processes to be so far ahead of the machine's."""
+        """Step the wall clock of the processes to this offset from the machine's."""
         struct.pack_into("q", self._map, 0, int(seconds * NANOSECONDS_PER_SECOND))
 
     def fail_at(self, call: Call, first: int, error: int, count: int = 1) -> None:
-        """Fail the call of this number, from 1 on, and `count` in all. Counting begins anew."""
+        """Reset the counters and fail `count` consecutive calls from call number `first` on (1 is the next)."""
         RULE.pack_into(self._map, self._offset(call), first, count, error, 0, 0, 0, 0, 0)
 
     def fail_by_chance(self, call: Call, part: float, error: int, seed: int) -> None:
-        """Fail this part of the calls."""
+        """Reset the counters and fail each call with this probability."""
         fields = (0, 0, error, int(part * PER_MILLION), seed, 0, 0, 0)
         RULE.pack_into(self._map, self._offset(call), *fields)
 
     def shorten_by_chance(self, call: Call, part: float, most_bytes: int, seed: int) -> None:
-        """Let this part of the reads or writes move no more than so many bytes."""
+        """Reset the counters and limit the bytes of each read or write with this probability."""
         fields = (0, 0, 0, int(part * PER_MILLION), seed, most_bytes, 0, 0)
         RULE.pack_into(self._map, self._offset(call), *fields)
 
     def stop_failing(self, call: Call) -> None:
-        """Let the call work again; its counts stay."""
+        """Remove the rule of the call; its counters are kept."""
         struct.pack_into("6q", self._map, self._offset(call), 0, 0, 0, 0, 0, 0)
 
     def calls(self, call: Call) -> int:
-        """Return how often it was called since the last rule was set."""
+        """Return how often the function was called since its last rule was set."""
         return struct.unpack_from("q", self._map, self._offset(call) + COUNTS_OFFSET)[0]
 
     def injected(self, call: Call) -> int:
-        """Return how many of these calls were hit."""
+        """Return how many of these calls a rule made fail or shortened."""
         return struct.unpack_from("q", self._map, self._offset(call) + COUNTS_OFFSET + 8)[0]
 
     def _offset(self, call: Call) -> int:
--- a/finchcart/fault_injection/processes/socket_trace.py
+++ b/finchcart/fault_injection/processes/socket_trace.py
@@ -1,7 +1,7 @@
-"""What a process did to the sockets that it accepted, as the library of process_shim.c wrote it down.
+"""Reads the trace that process_shim.c writes of the sockets that a process accepted.
 
-Owns the format of the trace. It must never judge: it tells when bytes were read and written, and when the
-process closed its direction of a connection.
+This module defines the format of the trace. It reports when bytes were read and written and when the process
+closed its direction of a connection; it does not decide whether this is correct.
 """
 
 import struct
@@ -18,7 +18,7 @@
 
 
 class SocketEvent(IntEnum):
-    """What happened to a socket; the numbers are those of process_shim.c."""
+    """An operation on a socket; the values are those of `enum traced_event` in process_shim.c."""
 
     ACCEPTED = 1
     RECEIVED = 2
@@ -29,24 +29,27 @@
 
 @dataclass
 class AcceptedSocket:
-    """One accepted connection. Times are on the monotonic clock, in seconds."""
+    """The trace of one accepted connection. Times are on the monotonic clock, in seconds."""
 
     accepted_at: float
-    reads: list[tuple[float, int]] = field(default_factory=list)  # (when, bytes read so far)
-    writes: list[tuple[float, int]] = field(default_factory=list)  # (when, bytes written so far)
-    closed_at: float | None = None  # the process closed its direction, or all of the connection
+    reads: list[tuple[float, int]] = field(default_factory=list)  # (time, total bytes read)
+    writes: list[tuple[float, int]] = field(default_factory=list)  # (time, total bytes written)
+    closed_at: float | None = None  # first `shutdown` or `close` by the process
 
     def read_at(self, stream_end: int) -> float | None:
-        """Return when so many bytes were read, or None where they never were."""
+        """Return when the stream was read up to this position, or None if it was not."""
         return _reached_at(self.reads, stream_end)
 
     def written_at(self, stream_end: int) -> float | None:
-        """Return when so many bytes were written, or None where they never were."""
+        """Return when the stream was written up to this position, or None if it was not."""
         return _reached_at(self.writes, stream_end)
 
 
 def read_trace(path: Path) -> dict[int, list[AcceptedSocket]]:
-    """Return the accepted connections by the port of their peer, in the order of their making."""
+    """Return the accepted connections by the peer's port, in the order in which they were accepted.
+
+    An incomplete record at the end of the file is ignored.
+    """
     by_port: dict[int, list[AcceptedSocket]] = defaultdict(list)
     by_descriptor: dict[int, AcceptedSocket] = {}
     data = path.read_bytes() if path.exists() else b""
