--- a/finchcart/fault_injection/processes/loopback_addresses.py
+++ b/finchcart/fault_injection/processes/loopback_addresses.py
@@ -6,12 +6,12 @@
 from itertools import count
 
 FIRST_NET = 20
-NETS = 200
+NET_COUNT = 200
 LOCK_PORT = 7399
-FIRST_OWN_NET = 221  # above the nets that `LoopbackAddresses` uses
-OWN_NETS = 30
-OWN_HOSTS = 250
-FIRST_OWN_PORT = 10_000
+FIRST_UNIQUE_NET = 221  # above the nets that `LoopbackAddresses` uses
+UNIQUE_NET_COUNT = 30
+HOSTS_PER_NET = 250
+FIRST_UNIQUE_PORT = 10_000
 MEMBER_PORT = 7400  # for datagrams between members
 NODE_PORT = 7001  # for RPCs from dispatchers
 WORKER_POOL_PORT = 9300
@@ -22,7 +22,7 @@
 _addresses_given = count()
 
 
-def own_address() -> tuple[str, int]:
+def unique_address() -> tuple[str, int]:
     """Return an address that this process has not returned before and other processes do not use.
 
     The host is derived from the process id. The ports begin below the range of ephemeral ports, so that an
@@ -30,8 +30,8 @@
     """
     number = next(_addresses_given)
     process = os.getpid()
-    host = f"127.{FIRST_OWN_NET + process // OWN_HOSTS % OWN_NETS}.{process % OWN_HOSTS}.1"
-    return host, FIRST_OWN_PORT + number
+    host = f"127.{FIRST_UNIQUE_NET + process // HOSTS_PER_NET % UNIQUE_NET_COUNT}.{process % HOSTS_PER_NET}.1"
+    return host, FIRST_UNIQUE_PORT + number
 
 
 class LoopbackAddresses:
@@ -47,8 +47,8 @@
 
     def _lock_free_net(self) -> str:
         """Reserve a net that no other run uses and return its first two octets, "127.X"."""
-        for offset in range(NETS):
-            net = f"127.{FIRST_NET + (os.getpid() + offset) % NETS}"
+        for offset in range(NET_COUNT):
+            net = f"127.{FIRST_NET + (os.getpid() + offset) % NET_COUNT}"
             self.lock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             try:
                 self.lock.bind((f"{net}.3.2", LOCK_PORT))
--- a/finchcart/fault_injection/processes/node_configuration.py
+++ b/finchcart/fault_injection/processes/node_configuration.py
@@ -6,7 +6,7 @@
 
 from finchcart.fault_injection.processes.loopback_addresses import WORKER_POOL_PORT, LoopbackAddresses
 
-EXAMPLE = {
+EXAMPLE_CONFIGURATION = {
     "seed": "1",
     "stop_ms": 2500,
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -68,7 +68,7 @@
 
 def node_configuration(name: str, addresses: LoopbackAddresses, share: float | None) -> dict[str, Any]:
     """Return the configuration that the platform gives to a node."""
-    configuration = copy.deepcopy(EXAMPLE)
+    configuration = copy.deepcopy(EXAMPLE_CONFIGURATION)
     if share is not None:
         configuration["settings"]["familyInfo"]["callsOut"] = share
     return {
--- a/finchcart/fault_injection/processes/process_shim.py
+++ b/finchcart/fault_injection/processes/process_shim.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_suffix(".c")
-FILE_VARIABLE = "FINCHCART_SHIM"
+SHIM_FILE_VARIABLE = "FINCHCART_SHIM"
 NANOSECONDS_PER_SECOND = 1_000_000_000
 HEADER = struct.Struct("q7q")
 RULE = struct.Struct("8q")
@@ -26,7 +26,7 @@
 PER_MILLION = 1_000_000
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """The functions that can be made to fail; the values are those of `enum call` in process_shim.c."""
 
     ACCEPT = 0
@@ -45,20 +45,40 @@
 # The errors that the Linux manual pages document for each call, without those that cannot occur with the
 # arguments that finchcart passes. Pages: accept(2), socket(2), connect(2), bind(2), listen(2), recv(2),
 # send(2), write(2), pthread_create(3), tcp(7).
-DOCUMENTED_ERRORS: dict[Call, tuple[int, ...]] = {
-    Call.ACCEPT: (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
+DOCUMENTED_ERRORS: dict[SystemCall, tuple[int, ...]] = {
+    SystemCall.ACCEPT: (
+        errno.ECONNABORTED,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EINTR,
+    )
     + (errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ENETUNREACH),
-    Call.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    Call.CONNECT: (errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.EAGAIN)
+    SystemCall.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.CONNECT: (
+        errno.ECONNREFUSED,
+        errno.ETIMEDOUT,
+        errno.ENETUNREACH,
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+    )
     + (errno.EHOSTUNREACH, errno.EINTR, errno.ECONNRESET),
-    Call.BIND: (errno.EADDRINUSE, errno.ENOMEM),
-    Call.LISTEN: (errno.EADDRINUSE, errno.ENOBUFS),
-    Call.RECV: (errno.EINTR, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOMEM),
-    Call.SEND: (errno.EINTR, errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.ENOBUFS, errno.ENOMEM),
-    Call.SENDTO: (errno.EINTR, errno.ECONNREFUSED, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH),
-    Call.SETSOCKOPT: (errno.ENOBUFS, errno.ENOMEM),
-    Call.WRITE: (errno.ENOSPC, errno.EPIPE, errno.EIO, errno.EINTR),
-    Call.THREAD: (errno.EAGAIN,),
+    SystemCall.BIND: (errno.EADDRINUSE, errno.ENOMEM),
+    SystemCall.LISTEN: (errno.EADDRINUSE, errno.ENOBUFS),
+    SystemCall.RECV: (errno.EINTR, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOMEM),
+    SystemCall.SEND: (
+        errno.EINTR,
+        errno.ECONNRESET,
+        errno.EPIPE,
+        errno.ETIMEDOUT,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    ),
+    SystemCall.SENDTO: (errno.EINTR, errno.ECONNREFUSED, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH),
+    SystemCall.SETSOCKOPT: (errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.WRITE: (errno.ENOSPC, errno.EPIPE, errno.EIO, errno.EINTR),
+    SystemCall.THREAD: (errno.EAGAIN,),
 }
 
 
@@ -82,7 +102,7 @@
     def __init__(self, library: Path, folder: Path, name: str = "shim") -> None:
         path = folder / f"{name}.bin"
         path.write_bytes(bytes(mmap.PAGESIZE))
-        self.environment = {"LD_PRELOAD": str(library), FILE_VARIABLE: str(path)}
+        self.environment = {"LD_PRELOAD": str(library), SHIM_FILE_VARIABLE: str(path)}
         with path.open("r+b") as file:
             self._map = mmap.mmap(file.fileno(), mmap.PAGESIZE)
 
@@ -95,31 +115,31 @@
         """Step the wall clock of the processes to this offset from the machine's."""
         struct.pack_into("q", self._map, 0, int(seconds * NANOSECONDS_PER_SECOND))
 
-    def fail_at(self, call: Call, first: int, error: int, count: int = 1) -> None:
-        """Reset the counters and fail `count` consecutive calls from call number `first` on (1 is the next)."""
+    def fail_at(self, call: SystemCall, first: int, error: int, count: int = 1) -> None:
+        """Reset the counters and fail `count` calls in a row, starting at call number `first` (from 1)."""
         RULE.pack_into(self._map, self._offset(call), first, count, error, 0, 0, 0, 0, 0)
 
-    def fail_by_chance(self, call: Call, part: float, error: int, seed: int) -> None:
+    def fail_randomly(self, call: SystemCall, probability: float, error: int, seed: int) -> None:
         """Reset the counters and fail each call with this probability."""
-        fields = (0, 0, error, int(part * PER_MILLION), seed, 0, 0, 0)
+        fields = (0, 0, error, int(probability * PER_MILLION), seed, 0, 0, 0)
         RULE.pack_into(self._map, self._offset(call), *fields)
 
-    def shorten_by_chance(self, call: Call, part: float, most_bytes: int, seed: int) -> None:
+    def shorten_randomly(self, call: SystemCall, probability: float, max_bytes: int, seed: int) -> None:
         """Reset the counters and limit the bytes of each read or write with this probability."""
-        fields = (0, 0, 0, int(part * PER_MILLION), seed, most_bytes, 0, 0)
+        fields = (0, 0, 0, int(probability * PER_MILLION), seed, max_bytes, 0, 0)
         RULE.pack_into(self._map, self._offset(call), *fields)
 
-    def stop_failing(self, call: Call) -> None:
+    def stop_failing(self, call: SystemCall) -> None:
         """Remove the rule of the call; its counters are kept."""
         struct.pack_into("6q", self._map, self._offset(call), 0, 0, 0, 0, 0, 0)
 
-    def calls(self, call: Call) -> int:
+    def calls(self, call: SystemCall) -> int:
         """Return how often the function was called since its last rule was set."""
         return struct.unpack_from("q", self._map, self._offset(call) + COUNTS_OFFSET)[0]
 
-    def injected(self, call: Call) -> int:
+    def injected(self, call: SystemCall) -> int:
         """Return how many of these calls a rule made fail or shortened."""
         return struct.unpack_from("q", self._map, self._offset(call) + COUNTS_OFFSET + 8)[0]
 
-    def _offset(self, call: Call) -> int:
+    def _offset(self, call: SystemCall) -> int:
         return HEADER.size + call * RULE.size
--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -17,12 +17,12 @@
 from typing import NamedTuple
 
 from finchcart.fault_injection.processes.child_processes import CHILD_ENV
-from finchcart.fault_injection.processes.loopback_addresses import own_address
-from finchcart.fault_injection.processes.node_configuration import EXAMPLE
+from finchcart.fault_injection.processes.loopback_addresses import unique_address
+from finchcart.fault_injection.processes.node_configuration import EXAMPLE_CONFIGURATION
 from finchcart.fault_injection.processes.process_shim import (
     DOCUMENTED_ERRORS,
-    Call,
     ProcessShim,
+    SystemCall,
     build_library,
 )
 from finchcart.simulated_peers.client import Client, ClientOutcome
@@ -38,15 +38,15 @@
 LONG_AGO_S = 60.0
 # Errors that say of a connection that it is broken: what it carried from a client is lost with it.
 BREAKING = {
-    Call.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
-    Call.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
+    SystemCall.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
+    SystemCall.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
 }
 
 
 class CallFault(NamedTuple):
     """One fault: this call fails with this errno at this count, and `times` in all."""
 
-    call: Call
+    call: SystemCall
     error: int
     count: int
     times: int = 1
@@ -112,7 +112,7 @@
         outcomes = [node.outcome_of_rpc() for _ in range(RPCS)]
         node.shim.stop_failing(fault.call)
         wrong = [outcome for outcome in outcomes if outcome != ClientOutcome.OK]
-        if fault.breaks_connections or fault.call is Call.CONNECT:
+        if fault.breaks_connections or fault.call is SystemCall.CONNECT:
             wrong = []  # the client's connection, or its run's only call, is the one that broke
         after = node.wait_until_serving()
         if after:
@@ -132,10 +132,10 @@
         self._log_path = folder / f"{name}.log"
         self._config_path = folder / f"{name}.json"
         self._process: subprocess.Popen | None = None
-        addresses = {party: own_address() for party in ("listen", "pool", "store", "roster")}
+        addresses = {party: unique_address() for party in ("listen", "pool", "store", "roster")}
         self._listen = addresses["listen"]
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
-        self._config_path.write_text(json.dumps({**EXAMPLE, "name": name, **texts}))
+        self._config_path.write_text(json.dumps({**EXAMPLE_CONFIGURATION, "name": name, **texts}))
         SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= LONG_AGO_S
         SimulatedStore(addresses["store"])
         SimulatedRegistry(addresses["roster"], on_change=lambda text: None)
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 
 from finchcart.fault_injection.processes.child_processes import CHILD_ENV, cpu_and_peak_memory
-from finchcart.fault_injection.processes.loopback_addresses import own_address
-from finchcart.fault_injection.processes.node_configuration import EXAMPLE
+from finchcart.fault_injection.processes.loopback_addresses import unique_address
+from finchcart.fault_injection.processes.node_configuration import EXAMPLE_CONFIGURATION
 from finchcart.fault_injection.processes.process_shim import ProcessShim
 from finchcart.fault_injection.processes.socket_trace import TRACE_VARIABLE, AcceptedSocket, read_trace
 from finchcart.fault_injection.soak.lost_requests import add_times_of_writing
@@ -40,7 +40,7 @@
         self.plan = plan
         self.name = name
         self.shim = shim
-        self.listen = own_address()
+        self.listen = unique_address()
         self.lives: list[NodeLife] = []
         self.problems: list[str] = []
         self.log_path = folder / f"{name}.log"
@@ -50,12 +50,12 @@
         self._pauses: list[Pause] = []
         self._process: subprocess.Popen | None = None
         self._watched_pid = 0
-        pool_address = own_address()
+        pool_address = unique_address()
         with_call = {method.name: method.name == "look-up" for method in plan.methods}
         self.pool = SimulatedWorkerPool(pool_address, with_call, plan.work_s, plan.cores)
         self.pool.started -= LONG_AGO_S
-        self.pool_relay = StreamRelay(own_address(), lambda: pool_address, plan.seed)
-        self.store_relay = StreamRelay(own_address(), lambda: store, plan.seed + 1)
+        self.pool_relay = StreamRelay(unique_address(), lambda: pool_address, plan.seed)
+        self.store_relay = StreamRelay(unique_address(), lambda: store, plan.seed + 1)
         self._write_config()
         self.clients = [
             RecordingClient(
@@ -69,7 +69,7 @@
 
     def _write_config(self) -> None:
         plan = self.plan
-        tree = copy.deepcopy(EXAMPLE)
+        tree = copy.deepcopy(EXAMPLE_CONFIGURATION)
         tree["stop_ms"] = plan.stop_s * 1000
         tree["limits"] |= {"memory_mb": plan.memory_mb, "sockets": plan.sockets}
         settings = tree["settings"]
@@ -97,7 +97,7 @@
             }
             for number, method in enumerate(plan.methods)
         ]
-        registry = own_address()
+        registry = unique_address()
         SimulatedRegistry(registry, on_change=lambda text: None)
         addresses = {
             "listen": self.listen,
--- a/finchcart/fault_injection/soak/plan.py
+++ b/finchcart/fault_injection/soak/plan.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from finchcart.fault_injection.processes.process_shim import Call
+from finchcart.fault_injection.processes.process_shim import SystemCall
 from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile
 from finchcart.fault_injection.soak.stream_relay import LinkFaults
 
@@ -28,30 +28,30 @@
 
 
 @dataclass(frozen=True)
-class CallChance:
+class RandomCallFault:
     """A part of one system call's uses that fails, or comes back short."""
 
-    call: Call
-    part: float
+    call: SystemCall
+    probability: float
     error: int = 0
-    most_bytes: int = 0
-
-
-CALL_CHANCES = (
-    CallChance(Call.RECV, 0.05, errno.EINTR),
-    CallChance(Call.RECV, 0.2, most_bytes=3),
-    CallChance(Call.RECV, 0.01, errno.ENOMEM),
-    CallChance(Call.SEND, 0.2, most_bytes=5),
-    CallChance(Call.SEND, 0.02, errno.ENOBUFS),
-    CallChance(Call.SENDTO, 0.3, errno.ENETUNREACH),
-    CallChance(Call.SETSOCKOPT, 0.1, errno.ENOBUFS),
-    CallChance(Call.ACCEPT, 0.2, errno.ECONNABORTED),
-    CallChance(Call.ACCEPT, 0.1, errno.ENFILE),
-    CallChance(Call.SOCKET, 0.1, errno.ENFILE),
-    CallChance(Call.CONNECT, 0.1, errno.ENETUNREACH),
-    CallChance(Call.CONNECT, 0.1, errno.EADDRNOTAVAIL),
-    CallChance(Call.THREAD, 0.05, errno.EAGAIN),
-    CallChance(Call.WRITE, 1.0, errno.ENOSPC),
+    max_bytes: int = 0
+
+
+RANDOM_CALL_FAULTS = (
+    RandomCallFault(SystemCall.RECV, 0.05, errno.EINTR),
+    RandomCallFault(SystemCall.RECV, 0.2, max_bytes=3),
+    RandomCallFault(SystemCall.RECV, 0.01, errno.ENOMEM),
+    RandomCallFault(SystemCall.SEND, 0.2, max_bytes=5),
+    RandomCallFault(SystemCall.SEND, 0.02, errno.ENOBUFS),
+    RandomCallFault(SystemCall.SENDTO, 0.3, errno.ENETUNREACH),
+    RandomCallFault(SystemCall.SETSOCKOPT, 0.1, errno.ENOBUFS),
+    RandomCallFault(SystemCall.ACCEPT, 0.2, errno.ECONNABORTED),
+    RandomCallFault(SystemCall.ACCEPT, 0.1, errno.ENFILE),
+    RandomCallFault(SystemCall.SOCKET, 0.1, errno.ENFILE),
+    RandomCallFault(SystemCall.CONNECT, 0.1, errno.ENETUNREACH),
+    RandomCallFault(SystemCall.CONNECT, 0.1, errno.EADDRNOTAVAIL),
+    RandomCallFault(SystemCall.THREAD, 0.05, errno.EAGAIN),
+    RandomCallFault(SystemCall.WRITE, 1.0, errno.ENOSPC),
 )
 
 
@@ -98,7 +98,7 @@
     load: ClientLoad
     pool_link: LinkFaults
     store_link: LinkFaults
-    call_chances: tuple[CallChance, ...]
+    random_call_faults: tuple[RandomCallFault, ...]
     events: tuple[NodeEvent, ...]
     stamps_follow: bool  # dispatchers' clocks step with the node's
     signals: tuple[signal.Signals, ...]
@@ -135,7 +135,7 @@
         load=ClientLoad(0.02, 8) if is_crowd else ClientLoad(random.choice((0.01, 0.04)), 6, 0.02),
         pool_link=_link_faults(random),
         store_link=_link_faults(random),
-        call_chances=tuple(random.sample(CALL_CHANCES, random.randint(0, 4))),
+        random_call_faults=tuple(random.sample(RANDOM_CALL_FAULTS, random.randint(0, 4))),
         events=(),
         stamps_follow=random.random() < 0.7,
         signals=random.choice(SIGNAL_SERIES),
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from finchcart.fault_injection.processes.loopback_addresses import own_address
+from finchcart.fault_injection.processes.loopback_addresses import unique_address
 from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
 from finchcart.fault_injection.soak.lost_requests import LostCause
 from finchcart.fault_injection.soak.node import SoakNode
@@ -67,7 +67,7 @@
         self.plan = plan
         self._plant = plant
         self._shim = ProcessShim(library, folder, f"shim{plan.seed}")
-        self._store = SimulatedStore(own_address(), self.plan.store_work_s)
+        self._store = SimulatedStore(unique_address(), self.plan.store_work_s)
         self._store_load: list[tuple[float, float]] = []  # (time, call-seconds used so far)
         self._nodes: list[SoakNode] = []
         self._folder = folder
@@ -101,11 +101,11 @@
             node.store_relay.faults = plan.store_link
             for client in node.clients:
                 client.start()
-        for chance in plan.call_chances:
-            if chance.error:
-                self._shim.fail_by_chance(chance.call, chance.part, chance.error, plan.seed)
+        for fault in plan.random_call_faults:
+            if fault.error:
+                self._shim.fail_randomly(fault.call, fault.probability, fault.error, plan.seed)
             else:
-                self._shim.shorten_by_chance(chance.call, chance.part, chance.most_bytes, plan.seed)
+                self._shim.shorten_randomly(fault.call, fault.probability, fault.max_bytes, plan.seed)
         threading.Thread(target=self._play_clock, daemon=True).start()
         self._each_node(self._play_node)
         for node in self._nodes:
@@ -212,8 +212,8 @@
                 )
                 counts[f"answered {record.answers[0].outcome}" if record.answers else "no answer"] += 1
             counts["runs"] += len(node.pool.history)
-        for chance in self.plan.call_chances:
-            counts[f"call {chance.call.name.lower()} hit"] += self._shim.injected(chance.call)
+        for fault in self.plan.random_call_faults:
+            counts[f"call {fault.call.name.lower()} hit"] += self._shim.injected(fault.call)
         counts["signals"] += len(self.plan.signals) * len(self._nodes)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -52,7 +52,7 @@
     load=ClientLoad(0.02, 6),
     pool_link=LinkFaults(cut_every=0.1, reset_part=0.0),
     store_link=LinkFaults(),
-    call_chances=(),
+    random_call_faults=(),
     events=(NodeEvent(1.2, "clock", HOUR_S), NodeEvent(1.5, "clock", -HOUR_S)),
     stamps_follow=True,
 )
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,7 +16,7 @@
 import threading
 from queue import SimpleQueue
 
-from finchcart.fault_injection.processes.process_shim import Call
+from finchcart.fault_injection.processes.process_shim import SystemCall
 from finchcart.fault_injection.soak.call_sweep import CallFault, CallSweep, all_faults
 from finchcart.limits import Limits
 from finchcart.log_sink import LogSink
@@ -26,15 +26,15 @@
 SAMPLE_SIZE = 36
 PEER_COUNT = 3
 START_FAULTS = (
-    CallFault(Call.SOCKET, errno.ENOBUFS, 1),
-    CallFault(Call.LISTEN, errno.ENOBUFS, 1),
-    CallFault(Call.BIND, errno.EADDRINUSE, 1, 2),
-    CallFault(Call.SOCKET, errno.ENFILE, 2),
-    CallFault(Call.SOCKET, errno.ENFILE, 3),
-    CallFault(Call.SOCKET, errno.ENFILE, 4),
-    CallFault(Call.THREAD, errno.EAGAIN, 1),
-    CallFault(Call.THREAD, errno.EAGAIN, 2, 3),
-    CallFault(Call.WRITE, errno.ENOSPC, 1, 50),
+    CallFault(SystemCall.SOCKET, errno.ENOBUFS, 1),
+    CallFault(SystemCall.LISTEN, errno.ENOBUFS, 1),
+    CallFault(SystemCall.BIND, errno.EADDRINUSE, 1, 2),
+    CallFault(SystemCall.SOCKET, errno.ENFILE, 2),
+    CallFault(SystemCall.SOCKET, errno.ENFILE, 3),
+    CallFault(SystemCall.SOCKET, errno.ENFILE, 4),
+    CallFault(SystemCall.THREAD, errno.EAGAIN, 1),
+    CallFault(SystemCall.THREAD, errno.EAGAIN, 2, 3),
+    CallFault(SystemCall.WRITE, errno.ENOSPC, 1, 50),
 )
 
 
