--- a/finchcart/fault_injection/virtual_time/__init__.py
+++ b/finchcart/fault_injection/virtual_time/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of many processes on one simulated clock, and the network between them."""
+"""Discrete-event simulation of many processes: a simulated clock and a simulated network between them."""
--- a/finchcart/fault_injection/virtual_time/driver.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -1,8 +1,9 @@
-"""One virtual-time driver: state machines of many processes in one thread, on one simulated clock.
+"""Runs the state machines of many processes in one thread, on one simulated clock.
 
-Owns the clock, the queue of what is due, the network between the processes, and who runs. It must never
-change what a state machine does: the same objects run on sockets. A stopped process keeps what comes to it,
-as a socket's buffer does, up to a bound; it is handed over when the process goes on.
+The driver holds the clock, the event queue, the simulated network and the state of each process. It must not
+alter the behaviour of a state machine: production code runs the same objects on real sockets. A stopped
+process buffers a bounded number of incoming datagrams, as a socket's receive buffer does, and receives them
+when it resumes.
 """
 
 from collections.abc import Callable
@@ -15,12 +16,12 @@
 from finchcart.fleet.effects import SendDatagram
 from finchcart.fleet.inputs import DatagramReceived, Tick
 
-START_US = 1_000_000  # the clock's reading when a simulation begins
-MAX_BUFFERED = 250  # datagrams that wait for a stopped process
+START_US = 1_000_000  # value of the simulated clock at the start of a simulation
+MAX_BUFFERED = 250  # datagrams for each stopped process; further ones are dropped
 
 
 class VirtualTime:
-    """Actions in the order of their times, in whole microseconds, and datagrams between processes."""
+    """An event queue on a simulated clock in whole microseconds, and datagrams between processes."""
 
     def __init__(self, seed: int | str, latency: int) -> None:
         self.seed = seed
@@ -33,12 +34,12 @@
         self._next_network_wakeup: int | None = None
 
     def schedule(self, when: int, action: Callable[..., None], *args: object) -> None:
-        """Call `action(*args)` at that time."""
+        """Schedule `action(*args)` at the time `when`; ties run in the order of scheduling."""
         self._sequence += 1
         heappush(self._queue, (when, self._sequence, action, args))
 
     def run(self, until: int, after_step: Callable[[Any], None] | None = None) -> None:
-        """Run up to that time, and call `after_step(self)` after each action."""
+        """Run all actions that are due by `until`, and call `after_step(self)` after each of them."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, action, args = heappop(self._queue)
             self.steps += 1
@@ -48,18 +49,18 @@
         self.now = max(self.now, until)
 
     def transmit(self, origin: str, target: str, data: bytes) -> None:
-        """Send a datagram from one process to another over the network."""
+        """Send a datagram from one process to another over the simulated network."""
         self._deliver(self.network.send(self.now, origin, target, data))
 
     def receive(self, origin: str, target: str, data: bytes) -> None:
-        """Hand a datagram to the process that it arrives at."""
+        """Deliver a datagram to the target process."""
         raise NotImplementedError
 
     def _advance_network(self) -> None:
         self._deliver(self.network.advance(self.now))
 
     def _deliver(self, deliveries: list[Delivery]) -> None:
-        """Let what leaves the network arrive after the latency, and wake up for what is still under way."""
+        """Schedule deliveries after the latency, and a wakeup for the next datagram still in flight."""
         for delivery in deliveries:
             self.schedule(self.now + self.latency, self.receive, *delivery)
         due = self.network.next_arrival()
@@ -70,18 +71,19 @@
 
 @dataclass(eq=False)
 class SimulatedProcess:
-    """One name: its address and its process, if any."""
+    """A process name with its address and, while a process runs under this name, its state machine."""
 
     name: str
     address: str  # "HOST:PORT"
-    machine: Any = None  # the state machine, None while no process runs
+    machine: Any = None  # the state machine; None while no process runs under this name
     stopped: bool = False
-    buffered: list[tuple] = field(default_factory=list)  # inputs that wait for a stopped process
-    life: int = 0  # raised by each start: timers of an earlier process are void
+    buffered: list[tuple] = field(default_factory=list)  # datagrams received while the process is stopped
+    # Incremented by each start and kill, so that timers of an earlier process are ignored.
+    life: int = 0
 
     @cached_property
     def endpoint(self) -> tuple[str, int]:
-        """The address as (host, port)."""
+        """The address as a pair (host, port)."""
         host, _, port = self.address.rpartition(":")
         return host, int(port)
 
@@ -90,40 +92,43 @@
 
 
 class ProcessSimulation(VirtualTime, Generic[ProcessT]):
-    """Processes by name, each with a state machine that is fed ticks and datagrams."""
+    """Passes ticks and datagrams to the state machines of named processes and performs the effects."""
 
     def __init__(self, seed: int | str, latency: int) -> None:
         super().__init__(seed, latency)
         self.processes: dict[str, ProcessT] = {}
         self.names_by_address: dict[str, str] = {}
-        self.last_fed: str | None = None  # the process that acted last
+        self.last_fed: str | None = None  # name of the process that handled the last input
 
     def add_process(self, process: ProcessT) -> None:
-        """Take in a process that does not run yet."""
+        """Register a process that is not running yet."""
         self.processes[process.name] = process
         self.names_by_address[process.address] = process.name
 
-    # ---- what a simulation has to say
+    # ---- hooks for subclasses
 
     def clock(self, process: ProcessT) -> int:
-        """Return what the process's own clock reads."""
+        """Return the current value of the process's own clock."""
         return self.now
 
     def tick_interval(self, process: ProcessT) -> int:
-        """Return the time from one tick of the process to the next."""
+        """Return the interval between ticks of the process in microseconds."""
         raise NotImplementedError
 
     def handle_effect(self, process: ProcessT, effect: tuple) -> None:
-        """Carry out an effect that is not a datagram."""
+        """Perform an effect other than sending a datagram."""
         raise NotImplementedError
 
     def after_tick(self, process: ProcessT) -> None:
-        """Act for the process after its tick."""
+        """Run simulation code after each tick of the process; does nothing by default."""
 
-    # ---- what happens to processes
+    # ---- process control
 
     def begin_life(self, name: str) -> ProcessT:
-        """Forget the earlier process of that name; the caller gives the new one its state machine."""
+        """Discard the state of the previous process of this name.
+
+        The caller sets the state machine of the new process.
+        """
         process = self.processes[name]
         process.life += 1
         process.stopped = False
@@ -131,15 +136,15 @@
         return process
 
     def kill(self, name: str) -> None:
-        """End the process at once."""
+        """Kill the process without notice."""
         self.begin_life(name).machine = None
 
     def stop(self, name: str) -> None:
-        """Stop the process, as SIGSTOP does."""
+        """Suspend the process, as SIGSTOP does."""
         self.processes[name].stopped = True
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on: it gets what was buffered, and a tick."""
+        """Resume a stopped process: pass it the buffered datagrams and then a tick."""
         process = self.processes[name]
         process.stopped = False
         buffered = process.buffered
@@ -149,7 +154,7 @@
         self.feed(name, Tick())
 
     def tick(self, name: str, life: int) -> None:
-        """Feed the tick that is due, if the process of that life still runs, and schedule the next."""
+        """Pass a tick to the process and schedule the next, unless it was replaced or killed."""
         process = self.processes[name]
         if process.life != life:
             return
@@ -158,7 +163,10 @@
         self.schedule(self.now + self.tick_interval(process), self.tick, name, life)
 
     def feed(self, name: str, machine_input: tuple) -> None:
-        """Hand an input to a process's state machine and carry out the effects."""
+        """Pass an input to a process's state machine and perform the resulting effects.
+
+        A stopped process buffers datagrams and ignores all other inputs.
+        """
         process = self.processes[name]
         if process.machine is None:
             return
@@ -177,5 +185,5 @@
                 self.transmit(name, target, effect.data)
 
     def receive(self, origin: str, target: str, data: bytes) -> None:
-        """Hand a datagram to the process that it arrives at."""
+        """Deliver a datagram to the target process."""
         self.feed(target, DatagramReceived(self.processes[origin].endpoint, data))
--- a/finchcart/fault_injection/virtual_time/invariants.py
+++ b/finchcart/fault_injection/virtual_time/invariants.py
@@ -1,5 +1,5 @@
-"""The error of a simulation whose property did not hold."""
+"""Defines the error that simulations raise when an invariant is violated."""
 
 
 class InvariantError(AssertionError):
-    """A property that did not hold: what, when, and in which seed."""
+    """An invariant was violated; the message names the invariant and, where known, the time and the seed."""
--- a/finchcart/fault_injection/virtual_time/simulated_network.py
+++ b/finchcart/fault_injection/virtual_time/simulated_network.py
@@ -1,8 +1,9 @@
-"""The network between members: what becomes of a datagram on its way.
+"""Simulates the network between members: drops, delays, duplicates, reorders and corrupts datagrams.
 
-Owns a rule, a seeded `Random` and counts for each directed link. Time is handed in with each call, in whole
-microseconds; it must never do I/O or read a clock. Each call returns the datagrams that arrive at that time.
-Drivers: fault_injecting_proxy.py on loopback, virtual_time.py on the virtual clock.
+Each directed link has a rule, a seeded `Random` and counters. The caller passes the current time in whole
+microseconds with each call, and each call returns the datagrams that are due at that time. This module must
+not do I/O or read a clock, since it serves both fault_injecting_proxy.py, on real time over loopback, and
+driver.py, on simulated time.
 """
 
 from collections import Counter
@@ -12,7 +13,7 @@
 from typing import NamedTuple, TypedDict
 
 COUNTS = ("taken", "lost", "cut", "doubled", "swapped", "spoilt", "delivered")
-Endpoints = tuple[str | None, str | None]  # of a directed link; (None, None): of all links
+Endpoints = tuple[str | None, str | None]  # (origin, target) of a directed link; (None, None) for all links
 
 
 class LinkRuleChanges(TypedDict, total=False):
@@ -33,30 +34,30 @@
 
 @dataclass(frozen=True)
 class LinkRule:
-    """What happens to the datagrams of a directed link.
+    """The faults that apply to the datagrams of a directed link.
 
-    The fields are the keys of scripts. Probabilities are from 0 to 1, times whole microseconds.
+    Scripts use the field names as keys. Probabilities are from 0 to 1, times are in whole microseconds.
     """
 
-    lose: float = 0.0  # independently
-    burst: float = 0.0  # a datagram begins a burst of loss, which takes
-    burst_length: int = 0  # so long
+    lose: float = 0.0  # probability that a datagram is dropped, independently of others
+    burst: float = 0.0  # probability that a datagram starts a period in which all datagrams are dropped
+    burst_length: int = 0  # length of this period
     delay: int = 0
-    jitter: int = 0  # added to the delay, evenly from 0
-    double: float = 0.0
-    swap: float = 0.0  # overtaken: delayed by
+    jitter: int = 0  # maximum of a uniformly distributed addition to the delay
+    double: float = 0.0  # probability that a datagram is duplicated
+    swap: float = 0.0  # probability that a datagram is delayed by `swap_by`, so that later ones overtake it
     swap_by: int = 50_000
-    spoil: float = 0.0  # one byte is another
-    cut: bool = False
-    flap: int = 0  # cut and open in turn, each for so long
+    spoil: float = 0.0  # probability that one byte of a datagram is changed
+    cut: bool = False  # all datagrams are dropped
+    flap: int = 0  # the link is alternately open and cut for periods of this length; 0: it does not flap
 
     def is_cut(self, now: int) -> bool:
-        """Whether nothing passes at this time."""
+        """Whether the link drops all datagrams at this time."""
         return bool(self.cut or (self.flap and now // self.flap % 2))
 
 
 class Delivery(NamedTuple):
-    """A datagram that arrives."""
+    """A datagram that is delivered to its target."""
 
     origin: str
     target: str
@@ -64,7 +65,7 @@
 
 
 class DirectedLink:
-    """Chance and counts of the datagrams from one member to another."""
+    """Random source and counters for the datagrams from one member to another."""
 
     def __init__(self, seed: str) -> None:
         self.random = Random(seed)
@@ -72,24 +73,24 @@
         self.counts = dict.fromkeys(COUNTS, 0)
 
     def happens(self, probability: float) -> bool:
-        """Draw an event of that probability; nothing is drawn where it is 0."""
+        """Return True with this probability; a probability of 0 does not consume a random number."""
         return bool(probability) and self.random.random() < probability
 
     def loses(self, rule: LinkRule, now: int) -> bool:
-        """Whether a datagram sent now is lost, in a burst or by itself."""
+        """Return whether a datagram sent now is dropped, in a burst or independently; may start a burst."""
         if rule.burst and now >= self.burst_until and self.random.random() < rule.burst:
             self.burst_until = now + rule.burst_length
         return now < self.burst_until or self.happens(rule.lose)
 
     def copies(self, rule: LinkRule) -> int:
-        """How often a datagram is passed on: once or twice."""
+        """Draw how many copies of a datagram are forwarded, 1 or 2, and count duplicates."""
         if not self.happens(rule.double):
             return 1
         self.counts["doubled"] += 1
         return 2
 
     def arrival_time(self, rule: LinkRule, now: int) -> int:
-        """When a datagram sent now arrives."""
+        """Draw when a datagram sent now arrives, and count reordered ones."""
         when = now + rule.delay
         if rule.jitter:
             when += int(self.random.random() * rule.jitter)
@@ -99,7 +100,7 @@
         return when
 
     def corrupted(self, rule: LinkRule, data: bytes) -> bytes:
-        """Return the datagram, with another byte in it where the rule says so."""
+        """Return the datagram, with one byte changed if the rule's random draw says so, and count it."""
         if not self.happens(rule.spoil):
             return data
         self.counts["spoilt"] += 1
@@ -109,33 +110,40 @@
 
 
 class SimulatedNetwork:
-    """All directed links; datagrams under way are bounded: what is over is lost and counted as such."""
+    """All directed links and the datagrams in flight.
+
+    At most `max_in_flight` datagrams are in flight; further ones are dropped and counted as "lost".
+    """
 
     def __init__(self, seed: int | str, max_in_flight: int = 100_000) -> None:
         self.seed = seed
         self.max_in_flight = max_in_flight
         self.rules: dict[Endpoints, LinkRule] = {}
         self.links: dict[tuple[str, str], DirectedLink] = {}
-        self.in_flight: list[tuple[int, int, Delivery]] = []  # heap by (arrival time, number)
+        # Heap ordered by (arrival time, sequence number).
+        self.in_flight: list[tuple[int, int, Delivery]] = []
         self.sequence = 0
         self.now = 0
 
     def rule(self, origin: str | None, target: str | None) -> LinkRule:
-        """Return the rule of a directed link: its own, that of all links, or none."""
+        """Return the rule of a directed link, else the rule of all links, else a rule without faults."""
         return self.rules.get((origin, target)) or self.rules.get((None, None)) or LinkRule()
 
     def link(self, origin: str, target: str) -> DirectedLink:
-        """Return the directed link, made at its first use."""
+        """Return the directed link, and create it on first use."""
         if (origin, target) not in self.links:
             self.links[origin, target] = DirectedLink(f"{self.seed} {origin} {target}")
         return self.links[origin, target]
 
     def next_arrival(self) -> int | None:
-        """When the next datagram under way arrives."""
+        """Return when the next datagram in flight arrives, or None if there is none."""
         return self.in_flight[0][0] if self.in_flight else None
 
     def advance(self, now: int) -> list[Delivery]:
-        """Return the datagrams that arrive up to this time."""
+        """Advance the time and return the datagrams that have arrived.
+
+        A datagram is dropped if its link has `cut` set at its arrival.
+        """
         self.now = max(now, self.now)
         deliveries = []
         while self.in_flight and self.in_flight[0][0] <= self.now:
@@ -148,19 +156,22 @@
     def set_rule(
         self, now: int, origin: str | None, target: str | None, changes: LinkRuleChanges
     ) -> list[Delivery]:
-        """Change fields of the rule of a directed link; of all links where both names are None."""
+        """Change fields of the rule of a directed link, or of the rule of all links if both names are None.
+
+        Returns the datagrams that have arrived by `now` under the previous rule.
+        """
         deliveries = self.advance(now)
         self.rules[origin, target] = replace(self.rule(origin, target), **changes)
         return deliveries
 
     def clear_rules(self, now: int) -> list[Delivery]:
-        """Let everything pass."""
+        """Remove all rules and return the datagrams that have arrived by `now` under them."""
         deliveries = self.advance(now)
         self.rules.clear()
         return deliveries
 
     def send(self, now: int, origin: str, target: str, data: bytes) -> list[Delivery]:
-        """Take a datagram from one member to another."""
+        """Send a datagram under the rule of its link and return all datagrams that have arrived by `now`."""
         deliveries = self.advance(now)
         rule = self.rule(origin, target)
         link = self.link(origin, target)
@@ -175,7 +186,7 @@
         return deliveries
 
     def _forward(self, rule: LinkRule, link: DirectedLink, datagram: Delivery) -> list[Delivery]:
-        """Return the datagram if it arrives at once; else put it under way."""
+        """Return the datagram if it arrives immediately; else add it to those in flight."""
         when = link.arrival_time(rule, self.now)
         delivery = datagram._replace(data=link.corrupted(rule, datagram.data))
         if when <= self.now:
@@ -189,7 +200,7 @@
         return []
 
     def total_counts(self) -> dict[str, int]:
-        """Return the counts of all links together."""
+        """Return the counters summed over all links."""
         total: Counter[str] = Counter()
         for link in self.links.values():
             total.update(link.counts)
--- a/finchcart/fault_injection/virtual_time/state_space.py
+++ b/finchcart/fault_injection/virtual_time/state_space.py
@@ -1,9 +1,9 @@
-"""The frame of a bounded exhaustive search: states that are to be entered, and those met before.
+"""Provides a bounded exhaustive search through the states of a simulation.
 
-Owns the order of the search, which states are entered and the wording of a breach. A simulation says what
-may come next, how it is carried out and by what a state is known again. A state met before with at least as
-much of its budget left is not entered again; no branch is cut for any other reason. States are held pickled,
-so that each choice is made from the same one.
+The search determines the order of exploration, which states are expanded and how a violation is reported.
+Subclasses define the choices in a state, their execution and the key that identifies equal states. A state
+is not expanded again if it was visited before with at least as much budget left; no branch is pruned for
+another reason. States are stored pickled, so that each choice starts from an unmodified copy.
 """
 
 import pickle
@@ -16,19 +16,22 @@
 StateT = TypeVar("StateT")
 ChoiceT = TypeVar("ChoiceT")
 
-Budget = tuple[int, ...]  # what is left, such as (steps, faults)
-NO_BOUND = 10**9  # states
+Budget = tuple[int, ...]  # remaining amounts, such as (steps, faults)
+NO_BOUND = 10**9  # more states than any search can reach
 
 
 class SearchResult(NamedTuple):
-    """How many states were met, and the first breach with what led to it, or None."""
+    """The number of counted states, and the first violation with the choices leading to it, or None.
+
+    A state that is reached again with more budget left is counted again.
+    """
 
     states: int
     breach: str | None
 
 
 class Branch(NamedTuple):
-    """A state that is to be entered, and the choices that led to it."""
+    """A state that is to be expanded, and the labels of the choices that led to it."""
 
     state: bytes  # pickled
     budget: Budget
@@ -36,7 +39,11 @@
 
 
 class StateSpaceSearch(ABC, Generic[StateT, ChoiceT]):
-    """A depth-first search; `share` (k, n) plays the k-th of n parts of the first choices."""
+    """A depth-first search.
+
+    A search can be divided among processes: with `share` (k, n), it explores only those first choices whose
+    number modulo n is k.
+    """
 
     def __init__(self, share: tuple[int, int] = (0, 1)) -> None:
         self.share = share
@@ -44,45 +51,45 @@
         self.stack: list[Branch] = []
         self.met: dict[Hashable, list[Budget]] = {}
 
-    # ---- what a search has to say
+    # ---- methods for subclasses
 
     @abstractmethod
     def choices(self, state: StateT, budget: Budget) -> Sequence[ChoiceT]:
-        """Return all that may come next; nothing where the search ends."""
+        """Return all choices in this state, or an empty sequence if the search ends here."""
 
     @abstractmethod
     def perform(self, state: StateT, choice: ChoiceT) -> None:
-        """Carry out a choice; raise an `InvariantError` where a property does not hold."""
+        """Apply a choice to the state; raise `InvariantError` if an invariant is violated."""
 
     @abstractmethod
     def label(self, state: StateT, choice: ChoiceT) -> str:
-        """Return what a path says of a choice that led to this state."""
+        """Return the text for a choice in the path of a report; `state` is the state after the choice."""
 
     @abstractmethod
     def budget_after(self, budget: Budget, choice: ChoiceT) -> Budget:
-        """Return what is left after a choice."""
+        """Return the budget that is left after a choice."""
 
     @abstractmethod
     def key(self, state: StateT) -> Hashable:
-        """Return by what a state is known again."""
+        """Return a key that is equal for states that the search treats as the same."""
 
     def is_in_share(self, number: int) -> bool:
-        """Whether the first choice of that number is in this search's part."""
+        """Return whether this search explores the first choice with this number."""
         part, parts = self.share
         return number % parts == part
 
     def extends_path(self, choice: ChoiceT) -> bool:
-        """Whether a path tells of this choice."""
+        """Return whether the path in a report includes this choice."""
         return True
 
     def is_final(self, budget: Budget) -> bool:
-        """Whether a state with this budget is counted, and not entered."""
+        """Return whether a state with this budget is counted but not expanded."""
         return False
 
     # ---- the search
 
     def explore(self, state: StateT, budget: Budget, most: int = NO_BOUND) -> SearchResult:
-        """Search from this state, up to the first breach or to about `most` states."""
+        """Search from this state until the first violation or until about `most` states were counted."""
         self.stack.append(Branch(pickle.dumps(state), budget, ()))
         while self.stack and self.count < most:
             breach = self._enter(self.stack.pop())
@@ -91,7 +98,7 @@
         return SearchResult(self.count, None)
 
     def _enter(self, branch: Branch) -> str | None:
-        """Try all that may come next; return the first breach with what led to it."""
+        """Apply each choice to a copy of the state; return the first violation with its path, or None."""
         choices = self.choices(pickle.loads(branch.state), branch.budget)
         for number, choice in enumerate(choices):
             if not branch.path and not self.is_in_share(number):
@@ -119,5 +126,5 @@
 
 
 def _covers(earlier: Budget, left: Budget) -> bool:
-    """Whether a budget is in no part smaller than another."""
+    """Return whether no amount of the earlier budget is smaller than in the other."""
     return all(before >= now for before, now in zip(earlier, left, strict=True))
