--- a/finchcart/fault_injection/virtual_time/driver.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -17,7 +17,7 @@
 from finchcart.fleet.inputs import DatagramReceived, Tick
 
 START_US = 1_000_000  # value of the simulated clock at the start of a simulation
-MAX_BUFFERED = 250  # datagrams for each stopped process; further ones are dropped
+MAX_BUFFERED_DATAGRAMS = 250  # datagrams for each stopped process; further ones are dropped
 
 
 class VirtualTime:
@@ -171,7 +171,7 @@
         if process.machine is None:
             return
         if process.stopped:
-            if isinstance(machine_input, DatagramReceived) and len(process.buffered) < MAX_BUFFERED:
+            if isinstance(machine_input, DatagramReceived) and len(process.buffered) < MAX_BUFFERED_DATAGRAMS:
                 process.buffered.append(machine_input)
             return
         self.last_fed = name
--- a/finchcart/fault_injection/virtual_time/simulated_network.py
+++ b/finchcart/fault_injection/virtual_time/simulated_network.py
@@ -72,36 +72,36 @@
         self.burst_until = 0
         self.counts = dict.fromkeys(COUNTS, 0)
 
-    def happens(self, probability: float) -> bool:
+    def draw_event(self, probability: float) -> bool:
         """Return True with this probability; a probability of 0 does not consume a random number."""
         return bool(probability) and self.random.random() < probability
 
-    def loses(self, rule: LinkRule, now: int) -> bool:
+    def draw_loss(self, rule: LinkRule, now: int) -> bool:
         """Return whether a datagram sent now is dropped, in a burst or independently; may start a burst."""
         if rule.burst and now >= self.burst_until and self.random.random() < rule.burst:
             self.burst_until = now + rule.burst_length
-        return now < self.burst_until or self.happens(rule.lose)
+        return now < self.burst_until or self.draw_event(rule.lose)
 
-    def copies(self, rule: LinkRule) -> int:
+    def draw_copy_count(self, rule: LinkRule) -> int:
         """Draw how many copies of a datagram are forwarded, 1 or 2, and count duplicates."""
-        if not self.happens(rule.double):
+        if not self.draw_event(rule.double):
             return 1
         self.counts["doubled"] += 1
         return 2
 
-    def arrival_time(self, rule: LinkRule, now: int) -> int:
+    def draw_arrival_time(self, rule: LinkRule, now: int) -> int:
         """Draw when a datagram sent now arrives, and count reordered ones."""
         when = now + rule.delay
         if rule.jitter:
             when += int(self.random.random() * rule.jitter)
-        if self.happens(rule.swap):
+        if self.draw_event(rule.swap):
             self.counts["swapped"] += 1
             when += rule.swap_by
         return when
 
     def corrupted(self, rule: LinkRule, data: bytes) -> bytes:
         """Return the datagram, with one byte changed if the rule's random draw says so, and count it."""
-        if not self.happens(rule.spoil):
+        if not self.draw_event(rule.spoil):
             return data
         self.counts["spoilt"] += 1
         position = int(self.random.random() * len(data))
@@ -178,16 +178,16 @@
         link.counts["taken"] += 1
         if rule.is_cut(self.now):
             link.counts["cut"] += 1
-        elif link.loses(rule, self.now):
+        elif link.draw_loss(rule, self.now):
             link.counts["lost"] += 1
         else:
-            for _ in range(link.copies(rule)):
+            for _ in range(link.draw_copy_count(rule)):
                 deliveries += self._forward(rule, link, Delivery(origin, target, data))
         return deliveries
 
     def _forward(self, rule: LinkRule, link: DirectedLink, datagram: Delivery) -> list[Delivery]:
         """Return the datagram if it arrives immediately; else add it to those in flight."""
-        when = link.arrival_time(rule, self.now)
+        when = link.draw_arrival_time(rule, self.now)
         delivery = datagram._replace(data=link.corrupted(rule, datagram.data))
         if when <= self.now:
             link.counts["delivered"] += 1
--- a/finchcart/fault_injection/virtual_time/state_space.py
+++ b/finchcart/fault_injection/virtual_time/state_space.py
@@ -49,7 +49,7 @@
         self.share = share
         self.count = 0
         self.stack: list[Branch] = []
-        self.met: dict[Hashable, list[Budget]] = {}
+        self.visited: dict[Hashable, list[Budget]] = {}
 
     # ---- methods for subclasses
 
@@ -113,10 +113,10 @@
 
     def _push(self, state: StateT, branch: Branch, choice: ChoiceT) -> None:
         left = self.budget_after(branch.budget, choice)
-        met = self.met.setdefault(self.key(state), [])
-        if any(_covers(earlier, left) for earlier in met):
+        budgets = self.visited.setdefault(self.key(state), [])
+        if any(_covers(earlier, left) for earlier in budgets):
             return
-        met.append(left)
+        budgets.append(left)
         self.count += 1
         if not self.is_final(left):
             path = branch.path
