--- a/finchcart/fault_injection/soak/__init__.py
+++ b/finchcart/fault_injection/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes as `run` starts them under faults of links, clocks, calls and signals, judged by records."""
+"""Soak tests: unmodified nodes under faults of links, clocks, system calls and signals."""
--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -1,8 +1,8 @@
-"""Each system call of a node, failed in each documented way, at each count in turn.
+"""Fails each system call of a node with each documented error, at the first call, the second call and so on.
 
-Owns the processes of a sweep. As SQLite does with allocations: the call with number 1, 2, 3, … fails, until a
-run ends in which none failed. It must never take for a fault of the node what the error itself says: a
-connection of a client's that is broken by its own error is not served.
+SQLite tests failures of memory allocation in the same way. Each node has its own simulated peers, and each
+node process is ended with its sweep. An RPC that fails only because the injected error broke its connection
+is not reported as a fault of the node.
 """
 
 import errno
@@ -30,13 +30,13 @@
 from finchcart.simulated_peers.store import SimulatedStore
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-METHODS = {"look-up": True, "book": False}  # whether their runs make a call
+METHODS = {"look-up": True, "book": False}  # method name -> whether its runs make a call
 READY_S = 10.0
-RPCS = 5  # on connections of their own, while a call fails
-MOST_COUNT = 20
+RPCS = 5  # sent under each fault, each on its own connection
+MOST_COUNT = 20  # default for the number of the last call that is failed
 WORK_S = 0.005
-LONG_AGO_S = 60.0
-# Errors that say of a connection that it is broken: what it carried from a client is lost with it.
+LONG_AGO_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
+# Errors that mean that the connection is broken; the requests in flight on the connection are then lost.
 BREAKING = {
     SystemCall.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
     SystemCall.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
@@ -44,7 +44,7 @@
 
 
 class CallFault(NamedTuple):
-    """One fault: this call fails with this errno at this count, and `times` in all."""
+    """One fault: `times` calls in a row fail with the errno `error`, starting at call number `count`."""
 
     call: SystemCall
     error: int
@@ -53,7 +53,7 @@
 
     @property
     def breaks_connections(self) -> bool:
-        """Whether the error says that a connection is broken."""
+        """Whether the error means that a connection is broken."""
         return self.error in BREAKING.get(self.call, ())
 
     def __str__(self) -> str:
@@ -61,7 +61,7 @@
 
 
 def all_faults(most_count: int = MOST_COUNT) -> list[CallFault]:
-    """Return a fault for each call, documented error and count."""
+    """Return a fault for each combination of call, documented error and call number."""
     return [
         CallFault(call, error, count)
         for call, errors in DOCUMENTED_ERRORS.items()
@@ -71,18 +71,18 @@
 
 
 class CallSweep:
-    """Starts nodes with the library loaded, beside peers of their own; lines tell what went wrong."""
+    """Checks nodes with the preloaded library, each with its own peers; returns a line for each problem."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         library = build_library(folder)
         if library is None:
-            raise RuntimeError("no C compiler")
+            raise RuntimeError("no C compiler found; it is needed to build the fault-injection library")
         self._library = library
         self._nodes = 0
 
     def play_start(self, fault: CallFault) -> list[str]:
-        """Fail the call while a node starts; it is to serve even so."""
+        """Inject the fault while a node starts, and check that the node serves RPCs nevertheless."""
         node = ShimmedNode(self._folder, self._library, self._next_name())
         try:
             node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
@@ -93,7 +93,7 @@
             node.end()
 
     def play_in_service(self, faults: Iterable[CallFault]) -> list[str]:
-        """Fail the calls of one node, one after the other, while it serves."""
+        """Inject the faults into one node, one after the other, while it serves RPCs."""
         found: list[str] = []
         node = ShimmedNode(self._folder, self._library, self._next_name())
         try:
@@ -113,7 +113,7 @@
         node.shim.stop_failing(fault.call)
         wrong = [outcome for outcome in outcomes if outcome != ClientOutcome.OK]
         if fault.breaks_connections or fault.call is SystemCall.CONNECT:
-            wrong = []  # the client's connection, or its run's only call, is the one that broke
+            wrong = []  # the fault broke the client's connection or the run's only call
         after = node.wait_until_serving()
         if after:
             return [f"in service, {fault}: {after}"]
@@ -125,7 +125,7 @@
 
 
 class ShimmedNode:
-    """A node with the library loaded, and its peers in this process."""
+    """A node process with the preloaded library; its simulated peers run in this process."""
 
     def __init__(self, folder: Path, library: Path, name: str) -> None:
         self.shim = ProcessShim(library, folder, name)
@@ -141,7 +141,7 @@
         SimulatedRegistry(addresses["roster"], on_change=lambda text: None)
 
     def start(self) -> None:
-        """Start the process as the deploy file does."""
+        """Start the process with the command that the deployment uses."""
         environment = {**os.environ, **CHILD_ENV, **self.shim.environment}
         environment["ROUTER_CONFIG"] = str(self._config_path)
         with self._log_path.open("wb") as log:
@@ -149,25 +149,25 @@
             self._process = subprocess.Popen(command, stderr=log, env=environment)
 
     def wait_until_serving(self) -> str:
-        """Return what is wrong, or nothing once an RPC is served."""
+        """Wait until the node serves an RPC; return an empty string, or a description of the problem."""
         end = time.monotonic() + READY_S
-        outcome = "not reached"
+        outcome = "no RPC was sent"
         while time.monotonic() < end:
             status = self._process.poll()
             if status is not None:
                 return f"ended with status {status}: {self._last_log_line()}"
             outcome = self.outcome_of_rpc()
             if outcome == ClientOutcome.OK:
-                return "" if "Traceback" not in self._log_path.read_text() else "a traceback in its log"
+                return "" if "Traceback" not in self._log_path.read_text() else "traceback in the node's log"
             time.sleep(0.02)
-        return f"does not serve: {outcome}"
+        return f"does not serve RPCs: {outcome}"
 
     def outcome_of_rpc(self) -> str:
-        """Return what became of one RPC on a connection of its own."""
+        """Send one RPC on a new connection and return its outcome, or why there is none."""
         try:
             client = Client(self._listen)
         except OSError as error:
-            return f"not connected: {error}"
+            return f"connection failed: {error}"
         try:
             sequence = client.submit("look-up", b"x" * 100)
             answer = client.answer()
@@ -181,10 +181,10 @@
 
     def _last_log_line(self) -> str:
         lines = self._log_path.read_text(errors="replace").splitlines()
-        return lines[-1] if lines else "nothing logged"
+        return lines[-1] if lines else "empty log"
 
     def end(self) -> None:
-        """End the process."""
+        """Kill the process if it is running."""
         if self._process and self._process.poll() is None:
             with suppress(OSError):
                 self._process.kill()
--- a/finchcart/fault_injection/soak/lost_requests.py
+++ b/finchcart/fault_injection/soak/lost_requests.py
@@ -1,6 +1,7 @@
-"""Why a request got no answer: the client's record held against the trace of the node's system calls.
+"""Classifies requests without an answer by comparing the client's records with the node's socket trace.
 
-Owns the causes by which a report counts lost requests. It must never excuse one: recorded_rules.py judges.
+A report counts lost requests by these causes. A cause does not excuse a lost request: recorded_rules.py alone
+decides whether a loss is a breach.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,11 +11,12 @@
 from finchcart.fault_injection.processes.socket_trace import AcceptedSocket
 from finchcart.fault_injection.soak.recording_client import ClientRpcRecord, ConnectionRecord
 
-CONNECT_SLACK_S = 5.0  # between a connection's end at the client and its acceptance: it may wait so long
+# A connection may wait this long in the accept backlog after the client opened it.
+CONNECT_SLACK_S = 5.0
 
 
 class LostCause(StrEnum):
-    """How far a request came."""
+    """How far the node processed a request that has no answer."""
 
     NEVER_READ = "never read"
     CLOSED_OVER = "closed over"  # the node closed its direction before it read the request
@@ -23,7 +25,7 @@
 
 
 class LostRequest(NamedTuple):
-    """How far a request came, and the moments that show it, on the monotonic clock."""
+    """The cause of a loss, and the times at the node that it follows from, on the monotonic clock."""
 
     cause: LostCause
     read_at: float | None
@@ -33,7 +35,10 @@
 def accepted_socket(
     connection: ConnectionRecord, sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> AcceptedSocket | None:
-    """Return the node's end of a client's connection, or None where no trace has it."""
+    """Return the trace of a client's connection at the node, or None if it was not traced.
+
+    Of connections from the same client port, the one accepted closest to the opening time is returned.
+    """
     candidates = [
         accepted
         for accepted in sockets.get(connection.port, ())
@@ -47,7 +52,7 @@
 def add_times_of_writing(
     records: Sequence[ClientRpcRecord], sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> None:
-    """Add to each answer when the node wrote it."""
+    """Set `written_at` of each answer to the time at which the node wrote the answer."""
     for record in records:
         accepted = accepted_socket(record.connection, sockets) if record.answers else None
         if accepted:
@@ -60,7 +65,7 @@
 def trace_lost_request(
     record: ClientRpcRecord, sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> LostRequest:
-    """Return how far a request without an answer came at the node."""
+    """Return how far the node processed a request without an answer."""
     accepted = accepted_socket(record.connection, sockets)
     if accepted is None:
         return LostRequest(LostCause.UNKNOWN, None, None)
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -1,7 +1,7 @@
-"""One node of a soak: its processes, one after the other, its worker pool, links and clients.
+"""Runs one node of a soak test with its worker pool, links and clients.
 
-Owns the processes of the node and what the run knows of each life. It must end every process that it started
-by its own id, whatever happens.
+A node has one process at a time; after a kill, a new process takes the place of the old one. This module
+records the lifetime of each process. It must end every process that it started, by process id, on errors too.
 """
 
 import copy
@@ -30,11 +30,11 @@
 
 READY_S = 10.0
 US_PER_S = 1_000_000
-LONG_AGO_S = 60.0
+LONG_AGO_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
 
 
 class SoakNode:
-    """One node of a run: its processes, one after the other, its worker pool, links and clients."""
+    """One node of a soak test: its successive processes, its worker pool, links and clients."""
 
     def __init__(self, plan: SoakPlan, name: str, folder: Path, shim: ProcessShim, store: tuple) -> None:
         self.plan = plan
@@ -108,10 +108,10 @@
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
         self._config_path.write_text(json.dumps({**tree, "name": self.name, **texts}))
 
-    # ---- Its processes
+    # ---- Processes
 
     def start(self, plant: str | None) -> None:
-        """Start a process of the node, and wait until it answers."""
+        """Start a process of the node, and wait until it answers a heartbeat."""
         module = "finchcart.fault_injection.soak.planted_defects" if plant else "finchcart"
         environment = {**os.environ, **CHILD_ENV, **self.shim.environment}
         environment |= {"ROUTER_CONFIG": str(self._config_path), "FINCHCART_PLANT": plant or ""}
@@ -123,7 +123,7 @@
         end = time.monotonic() + READY_S
         while not self._is_healthy():
             if self._process.poll() is not None or time.monotonic() > end:
-                self.problems.append(f"crash: {self.name} did not start: status {self._process.poll()}")
+                self.problems.append(f"crash: {self.name} did not start: exit status {self._process.poll()}")
                 return
             time.sleep(0.02)
 
@@ -141,24 +141,24 @@
 
     @property
     def pid(self) -> int | None:
-        """The id of the process that runs, or None."""
+        """The id of the running process, or None."""
         return self._process.pid if self._process and self._process.poll() is None else None
 
     def watch(self) -> None:
-        """Look at what the process uses."""
+        """Check the descriptors and the memory of the process against the configured limits."""
         pid = self.pid
         if pid is None:
             return
         with suppress(OSError, StopIteration):
             descriptors = sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir())
             if descriptors > self.plan.sockets:
-                self.problems.append(f"fall-over: {descriptors} descriptors of {self.plan.sockets}")
+                self.problems.append(f"fall-over: {descriptors} open descriptors, limit {self.plan.sockets}")
             _, peak_mb = cpu_and_peak_memory(pid)
             if peak_mb > self.plan.memory_mb:
-                self.problems.append(f"fall-over: {peak_mb:.0f} MB of {self.plan.memory_mb}")
+                self.problems.append(f"fall-over: {peak_mb:.0f} MB peak memory, limit {self.plan.memory_mb}")
 
     def pause(self, seconds: float) -> None:
-        """Stop the process for a while."""
+        """Suspend the process with SIGSTOP for this time."""
         began = time.monotonic()
         self._process.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
@@ -166,13 +166,13 @@
         self._pauses.append(Pause(began, time.monotonic()))
 
     def kill_outright(self) -> None:
-        """Kill the process with no notice."""
+        """Kill the process without a drain notice."""
         self._process.kill()
         self._process.wait()
         self._end_life(None, None, killed_outright=True)
 
     def leave(self) -> None:
-        """Tell the node to leave, and kill it at the earliest; it is to have ended before."""
+        """Send the drain notice, and check that the process ends before the earliest time of the kill."""
         told_at = time.monotonic()
         for number in self.plan.signals:
             with suppress(ProcessLookupError):
@@ -181,9 +181,9 @@
         try:
             status = self._process.wait(max(0.0, kill_at + SLACK_S - time.monotonic()))
             if status != 0:
-                self.problems.append(f"crash: {self.name} ended with status {status}")
+                self.problems.append(f"crash: {self.name} ended with exit status {status}")
         except subprocess.TimeoutExpired:
-            self.problems.append(f"lost: {self.name} had not ended by the kill")
+            self.problems.append(f"lost: {self.name} was still running at the time of the kill")
             self._process.kill()
             self._process.wait()
         self._end_life(told_at, kill_at, killed_outright=False)
@@ -194,7 +194,7 @@
         self.lives.append(life)
 
     def end(self) -> None:
-        """End the process, if one runs, and the relays."""
+        """Kill the process if it is running, and close the relays."""
         if self.pid is not None:
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
@@ -202,18 +202,18 @@
         for relay in (self.pool_relay, self.store_relay):
             relay.end()
 
-    # ---- What came of it
+    # ---- Results
 
     def records(self) -> list[ClientRpcRecord]:
         """Return the records of all clients."""
         return [record for client in self.clients for record in client.records]
 
     def sockets(self) -> dict[int, list[AcceptedSocket]]:
-        """Return the connections that its processes accepted, by the port of the client."""
+        """Return the traced connections that the node's processes accepted, by the client's port."""
         return read_trace(self._trace_path)
 
     def found(self, slack_s: float) -> list[str]:
-        """Return the broken rules of this node."""
+        """Return a line for each rule that this node broke."""
         plan = self.plan
         rules = Rules(
             plan.grace_s,
@@ -229,5 +229,5 @@
         add_times_of_writing(records, sockets)
         found += breaches(rules, self.lives, records, self.pool.history, sockets)
         if "Traceback" in self.log_path.read_text(errors="replace"):
-            found.append(f"crash: a traceback in the log of {self.name}")
+            found.append(f"crash: traceback in the log of {self.name}")
         return [f"{self.name}: {line}" for line in found]
--- a/finchcart/fault_injection/soak/plan.py
+++ b/finchcart/fault_injection/soak/plan.py
@@ -1,6 +1,6 @@
-"""What one seed of the soak does: settings, load, faults and signals, all drawn before it starts.
+"""Draws the plan of a soak test from its seed: settings, load, faults and signals.
 
-Owns the ranges that are drawn from. It must never depend on what happens in a run.
+The whole plan is drawn before the run starts and must not depend on anything that happens in the run.
 """
 
 import errno
@@ -15,8 +15,9 @@
 HOUR_S = 3600
 CLOCK_OFFSETS_S = (HOUR_S, -HOUR_S, 2, -2, 0.3, 0)
 FAULTS_BEGIN_S = 0.3
-LEAVE_AT_S = 2.4  # the notice to leave, after the load began
-CROWD_CLIENTS = 30  # of one node
+LEAVE_AT_S = 2.4  # time of the drain notice, from the start of the load
+CROWD_CLIENTS = 30  # clients of one node in a plan with many clients
+# The rule for the earliest kill, as in finchcart/limits.py.
 MOST_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
 SIGNAL_SERIES = (
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RandomCallFault:
-    """A part of one system call's uses that fails, or comes back short."""
+    """Makes one system call fail with a probability, or transfer at most `max_bytes` where `error` is 0."""
 
     call: SystemCall
     probability: float
@@ -57,14 +58,17 @@
 
 @dataclass(frozen=True)
 class NodeEvent:
-    """Something that is done to a node at a time after the load began, in seconds."""
+    """A fault of a node; `at` is in seconds from the start of the load.
+
+    `value` is the clock offset of a "clock" event and the duration of other events, in seconds.
+    """
 
     at: float
     kind: str  # "clock" or one of NODE_EVENTS
     value: float = 0.0
 
 
-# What happens to one node; a clock step is one of the machine, and of all nodes.
+# Faults that affect one node. A "clock" event is not listed, as it affects all nodes of the machine.
 NODE_EVENTS = (
     "pause",
     "pool restart",
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One run. Times are seconds."""
+    """The plan of one soak run. Times are in seconds."""
 
     seed: int
     nodes: int
@@ -94,24 +98,24 @@
     stop_s: float
     memory_mb: int
     sockets: int
-    clients: int  # of each node
+    clients: int  # per node
     load: ClientLoad
     pool_link: LinkFaults
     store_link: LinkFaults
     random_call_faults: tuple[RandomCallFault, ...]
     events: tuple[NodeEvent, ...]
-    stamps_follow: bool  # dispatchers' clocks step with the node's
+    stamps_follow: bool  # the clocks of dispatchers step together with the clocks of nodes
     signals: tuple[signal.Signals, ...]
 
     @property
     def earliest_kill_s(self) -> float:
-        """How soon after the notice the kill may come."""
+        """The shortest time from the drain notice to the kill."""
         longest_s = max(method.deadline_s for method in self.methods)
         return min(self.stop_s, min(longest_s, MOST_DEADLINE_S) + KILL_DELAY_S)
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """Return the plan of a seed; the same each time."""
+    """Return the plan of a seed; the same seed always gives the same plan."""
     random = Random(seed)
     deadline_s = random.choice((0.6, 0.8, 1.2, 2.0))
     is_crowd = random.random() < 0.3
@@ -164,7 +168,7 @@
 def _events(random: Random) -> tuple[NodeEvent, ...]:
     events = []
     if random.random() < 0.5:
-        begin = random.choice((FAULTS_BEGIN_S, 1.0, LEAVE_AT_S + 0.1))  # the last: within the grace
+        begin = random.choice((FAULTS_BEGIN_S, 1.0, LEAVE_AT_S + 0.1))  # the last is in the grace period
         offsets = random.sample(CLOCK_OFFSETS_S, random.randint(1, 3))
         events += [NodeEvent(begin + 0.3 * step, "clock", offset) for step, offset in enumerate(offsets)]
     for kind in random.sample(NODE_EVENTS, random.randint(0, 3)):
--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -1,7 +1,8 @@
-"""A node with a defect, to show that checks see it: `python -m` with this module's name.
+"""Runs a node with a deliberate defect, to test that the soak test detects the defect.
 
-Owns the defects, by the name in the environment variable FINCHCART_PLANT. It must never be started but by a
-run with faults: each defect breaks a rule.
+Start it with `python -m finchcart.fault_injection.soak.planted_defects`; the environment variable
+FINCHCART_PLANT names the defect. Only fault-injection runs may start it, since each defect breaks a rule of
+recorded_rules.py.
 """
 
 import os
@@ -18,11 +19,11 @@
 from finchcart.thrift.frontend import ThriftFrontend
 
 VARIABLE = "FINCHCART_PLANT"
-ANSWERS_PER_LOSS = 40
+ANSWERS_PER_LOSS = 40  # one of this many answers is dropped
 
 
 def lose_answers() -> None:
-    """Rule 1: some final answers are never sent."""
+    """Break rule 1: some final answers are never sent."""
     send = ThriftFrontend.send_final_answer
     sent = [0]
 
@@ -38,7 +39,7 @@
 
 
 def forget_keys() -> None:
-    """Rule 2: no RPC is known as a duplicate of another."""
+    """Break rule 2: the node recognises no RPC as a duplicate of another."""
 
     def entry_for(
         self: IdempotencyCache, key: tuple[str, str], index: int, digest: bytes, arrived_at: int
@@ -49,13 +50,13 @@
 
 
 def start_effects_again() -> None:
-    """Rule 2: every start is written again after a new connection, also of what has an effect."""
+    """Break rule 2: after a reconnection, every start of a run is sent again, also of non-idempotent runs."""
     run = WorkerPoolClient.run
     WorkerPoolClient.run = lambda self, rpc, idempotent: run(self, rpc, True)
 
 
 def serve_past_the_grace() -> None:
-    """Rule 3: the grace never ends."""
+    """Break rule 3: the grace period lasts until the termination deadline."""
     GracefulShutdown.end_grace = lambda self, now: None
     begin = GracefulShutdown.begin
 
@@ -67,7 +68,7 @@
 
 
 def forget_runs() -> None:
-    """Rule 4: a run whose start may have been read counts as stopped."""
+    """Break rule 4: an unconfirmed run, which the worker pool may have started, counts as ended."""
 
     def add(self: UnconfirmedRuns, rpc: object, limit_us: int, first_end: object = None) -> None:
         self._on_expired(rpc, first_end)
@@ -77,7 +78,7 @@
 
 
 def count_on_the_wall_clock() -> None:
-    """Spans: the node's time is the wall clock."""
+    """Measure durations on the wall clock, so that clock steps change them."""
     from finchcart import event_loop
     from finchcart.net import clock, connections, reader
 
@@ -90,7 +91,7 @@
 
 
 def count_on_a_late_kill() -> None:
-    """Let the node take `stop_ms` for the earliest kill."""
+    """Break rule 1: the node expects the kill only after `stop_ms`."""
     from finchcart import limits
 
     limits.KILL_DELAY_US = 1000 * limits.SECOND
@@ -108,7 +109,7 @@
 
 
 def main() -> None:
-    """Plant the defect, and run a node."""
+    """Install the defect and run a node."""
     DEFECTS[os.environ[VARIABLE]]()
     exit_process(run_node())
 
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -1,8 +1,13 @@
-"""The four rules, held against what clients, worker pool and store recorded, not against the node's word.
+"""Checks the four rules of a node against the records of clients, worker pool and store.
 
-An answer counts from when the node wrote it, by the trace of its system calls: a client of the run that is
-short of processor time reads it later, which is not put down to the node.
-Owns what a breach is. It must never ask the node, nor read its log for anything but a crash.
+1. Each request gets one correct answer in time ("lost", "refused", "changed").
+2. A request that is not idempotent takes effect at most once ("duplicate").
+3. After the grace period, a node starts no run of a request that arrives then ("drain").
+4. A node keeps its limits on running RPCs and memory ("fall-over").
+
+The node's own reports are not used, and its log is only searched for crashes. An answer counts from the time
+at which the node wrote it according to the socket trace, since a client of the test may read the answer
+later for lack of CPU time.
 """
 
 from collections import defaultdict
@@ -15,14 +20,17 @@
 from finchcart.simulated_peers.client import ClientOutcome
 from finchcart.simulated_peers.worker_pool import LoadSample, RunTiming, highest_mean
 
-SLACK_S = 0.05  # that each time limit of the protocol is longer on sockets
-CROSSING_S = 0.05  # a request that crosses an announced close by this is sent once more
-UNCOUNTED_S = 0.1  # memory counts from so long after a request was written, or from its run
+SLACK_S = 0.05  # added to each time limit for transmission over sockets
+# A request written at most this long before its client read the closing notice does not count as lost: the
+# protocol has dispatchers send such a request again.
+CROSSING_S = 0.05
+# The memory of a request is counted from this long after it was written, or from the start of its run.
+UNCOUNTED_S = 0.1
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The figures of the settings that the rules name."""
+    """The settings of the node that the rules depend on."""
 
     grace_s: float
     overload_factor: float
@@ -30,12 +38,12 @@
     cores: int
     memory_kb: float
     run_factor: float
-    lateness_s: float = 0.0  # of the records' own times
+    lateness_s: float = 0.0  # largest error of the recorded times
 
 
 @dataclass(frozen=True)
 class Pause:
-    """A time in which the node's process was stopped: it is not counted against it."""
+    """A period in which the node's process was suspended; it does not count towards time limits."""
 
     began: float
     ended: float
@@ -43,13 +51,13 @@
 
 @dataclass(frozen=True)
 class NodeLife:
-    """One process of a node, as the run knows it. Times are on the monotonic clock."""
+    """The lifetime of one process of a node. Times are on the monotonic clock."""
 
     began: float
-    told_at: float | None  # the first notice to leave
-    kill_at: float | None  # the kill, or the earliest that it could have come
+    told_at: float | None  # the first drain notice
+    kill_at: float | None  # the kill, or the earliest time at which it was possible
     ended_at: float
-    killed_outright: bool  # with no notice: what it held is no longer its duty
+    killed_outright: bool  # killed without notice; its open requests do not count as lost
     pauses: tuple[Pause, ...] = ()
 
 
@@ -60,7 +68,7 @@
     runs: Sequence[RunTiming],
     sockets: Mapping[int, Sequence[AcceptedSocket]] | None = None,
 ) -> list[str]:
-    """Return a line for each broken rule of one node; `sockets` is the trace of what it accepted."""
+    """Return a line for each breach by one node; `sockets` holds the traces of its accepted connections."""
     found = []
     found += _lost_and_late(rules, lives, records, sockets or {})
     found += _second_effects(lives, records, runs)
@@ -100,7 +108,7 @@
             given_at = record.answers[0].given_at
             due += _paused_s(life, record.written_at, given_at)
             if given_at > due and not life.killed_outright:
-                found.append(f"lost: {age} answered {given_at - due:.3f} s late")
+                found.append(f"lost: {age} was answered {given_at - due:.3f} s late")
         elif not (life.killed_outright or crossed):
             found.append(f"lost: {age}: {_loss_details(record, life, sockets)}")
     return found
@@ -128,7 +136,7 @@
 def _second_effects(
     lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
-    """Find what is not idempotent and took effect twice in a window and in the life of a process."""
+    """Find non-idempotent requests that took effect twice in a key window and in one process lifetime."""
     found = []
     by_name = {record.name: record for record in records}
     ran_by_effect: dict[tuple, list[ClientRpcRecord]] = defaultdict(list)
@@ -146,12 +154,12 @@
 
 
 def _wrong_answers(records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]) -> list[str]:
-    """Find rejections of what ran, and results that no run of that request made."""
+    """Find rejected requests that ran, and runs and results that do not match their request."""
     found = []
     started = {run.handle for run in runs}
     by_name = {record.name: record for record in records}
     for run in runs:
-        record = by_name.get(run.handle)  # None: its request was not written whole
+        record = by_name.get(run.handle)  # None if the request was not written completely
         if record and (run.method, run.body) != (record.method.name, record.body):
             found.append(f"changed: {run.handle} ran as {run.method} {run.body!r}")
     for record in records:
@@ -159,9 +167,9 @@
             if answer.outcome is ClientOutcome.REJECTED and record.name in started:
                 found.append(f"duplicate: {record.name} was rejected and ran")
             if answer.outcome is ClientOutcome.EXCEPTION:
-                found.append(f"refused: {record.name}, which is valid, got {answer.body!r}")
+                found.append(f"refused: {record.name} is valid but got the exception {answer.body!r}")
             if answer.outcome is ClientOutcome.OK and not answer.body.startswith(record.body.upper()):
-                found.append(f"changed: {record.name} was served {answer.body!r}")
+                found.append(f"changed: {record.name} got the wrong result {answer.body!r}")
     return found
 
 
@@ -174,9 +182,11 @@
         life = _life_of(lives, record.written_at)
         if life is None or life.told_at is None or record.name not in began:
             continue
-        sent_at = record.written_at  # after the last byte: the request is at most a little older
+        sent_at = record.written_at  # time after the last byte was written
         if sent_at > life.told_at + rules.grace_s + SLACK_S and began[record.name] > life.told_at:
-            found.append(f"drain: {record.name} ran, {sent_at - life.told_at:.3f} s after the notice")
+            found.append(
+                f"drain: {record.name} was sent {sent_at - life.told_at:.3f} s after the drain notice and ran"
+            )
     return found
 
 
@@ -192,7 +202,7 @@
     pauses = [pause for life in lives for pause in life.pauses]
     most_kb = highest_memory(rules, records, runs, pauses)
     if most_kb > rules.memory_kb:
-        found.append(f"fall-over: {most_kb:.0f} KB of {rules.memory_kb:.0f}")
+        found.append(f"fall-over: requests took {most_kb:.0f} KB, limit {rules.memory_kb:.0f}")
     return found
 
 
@@ -213,9 +223,10 @@
 def highest_memory(
     rules: Rules, records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming], pauses: Sequence[Pause] = ()
 ) -> float:
-    """Return the most memory that requests took at any moment, in kilobytes.
+    """Return the peak memory of all requests together, in kilobytes.
 
-    What is written to a stopped process counts once that goes on: the machine reads nothing then.
+    A request written to a suspended process counts from the end of the pause, since the process reads nothing
+    before.
     """
     by_name = {record.name: record for record in records}
     began = {run.handle: run.began for run in runs}
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -1,8 +1,7 @@
-"""Clients of a run with faults that keep a record of each RPC: when it was written, and every answer to it.
+"""Simulated dispatchers that record when each RPC was written and every answer to it.
 
-Owns the connections and the records. It must never judge: recorded_rules.py does. A client keeps to the
-protocol: it sends no new RPC on a connection that the node announced to close, and goes on with all others
-until they end.
+The records are checked by recorded_rules.py, not here. A client follows the protocol: after the node's
+closing notice on a connection it sends no new RPC there, and it waits for the answers to its open RPCs.
 """
 
 import random
@@ -21,26 +20,29 @@
 
 
 class MethodProfile(NamedTuple):
-    """One method, as clients use it."""
+    """The properties of a method that clients and checks need."""
 
     name: str
-    kind: str  # "read_like", "idempotency_key" or "non_idempotent", as the settings have it
+    kind: str  # value of `effect` in the settings: "read_like", "idempotency_key" or "non_idempotent"
     deadline_s: float
     window_s: float
 
 
 class RecordedAnswer(NamedTuple):
-    """An answer, and when its client read it."""
+    """An answer; `at` is the time at which the client read it."""
 
     at: float
     outcome: ClientOutcome
     body: bytes
-    stream_end: int = 0  # bytes of the connection up to the end of this answer
-    written_at: float | None = None  # by the node, as far as it was traced
+    stream_end: int = 0  # position of the end of the answer in the byte stream of the connection
+    written_at: float | None = None  # time at which the node wrote the answer, if that was traced
 
     @property
     def given_at(self) -> float:
-        """When the node gave it: a client that is short of processor time reads it later."""
+        """When the node wrote the answer or, if that was not traced, when the client read it.
+
+        The client may read the answer later than the node wrote it, for lack of CPU time.
+        """
         return self.at if self.written_at is None else min(self.at, self.written_at)
 
 
@@ -50,15 +52,15 @@
 
     node: str
     opened_at: float
-    port: int  # of the client's end
-    closing_at: float | None = None  # the node's notice that it will close was read
+    port: int  # local port of the client
+    closing_at: float | None = None  # time at which the client read the node's closing notice
     ended_at: float | None = None
     end_reason: str = ""
 
 
 @dataclass
 class ClientRpcRecord:
-    """One try of an RPC."""
+    """One attempt of an RPC and its answers."""
 
     name: str
     method: MethodProfile
@@ -67,22 +69,22 @@
     memory_kb: float
     written_at: float
     connection: ConnectionRecord
-    stream_end: int = 0  # bytes of the connection up to the end of this RPC
+    stream_end: int = 0  # position of the end of the request in the byte stream of the connection
     answers: list[RecordedAnswer] = field(default_factory=list)
 
 
 class ClientLoad(NamedTuple):
-    """How one client sends."""
+    """The load that one client generates."""
 
-    pause_s: float  # mean time between its RPCs
-    most_open: int
-    rest_part: float = 0.0  # of its RPCs after which it rests until the node ends the connection, or 1 s
+    pause_s: float  # mean time between RPCs
+    most_open: int  # limit on the open RPCs of the client
+    rest_part: float = 0.0  # probability that a pause of 1 s follows an RPC, so that the connection idles
 
 
 class RecordingClient:
-    """One dispatcher: a connection at a time to one node, and threads that write and read on it.
+    """One dispatcher: it has one connection at a time to one node, and one thread each to write and read.
 
-    `unix_time()` gives the time that RPCs are stamped with.
+    `unix_time()` returns the time stamp for RPCs.
     """
 
     def __init__(
@@ -107,15 +109,15 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending RPCs."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Send no more; answers still come."""
+        """Send no more RPCs; answers to open RPCs are still recorded."""
         self._stopped.set()
 
     def join(self, timeout_s: float) -> None:
-        """Wait until the last connection is over."""
+        """Wait until the last connection has ended, at most `timeout_s`."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
@@ -130,7 +132,7 @@
             self._use(client, connection)
 
     def _use(self, client: Client, connection: ConnectionRecord) -> None:
-        """Send on a connection until it is announced to close, ends, or the client is stopped."""
+        """Send RPCs on a connection until it ends, a closing notice arrives or the client is stopped."""
         open_rpcs: dict[int, ClientRpcRecord] = {}
         reader = threading.Thread(target=self._read, args=(client, connection, open_rpcs), daemon=True)
         reader.start()
@@ -144,7 +146,7 @@
         while open_rpcs and connection.ended_at is None and time.monotonic() < end:
             time.sleep(0.002)
         with suppress(OSError):
-            client.sock.shutdown(1)  # the node closes in its turn
+            client.sock.shutdown(1)  # SHUT_WR; the node then closes its direction
         reader.join(CLOSE_TIMEOUT_S)
         client.sock.close()
 
@@ -167,7 +169,7 @@
                 method.name, body, key, i=name, s=stamp, m=f"{memory_kb:.1f}", f=str(self._number % 1000)
             )
         except OSError:
-            del open_rpcs[sequence]  # it was not written whole
+            del open_rpcs[sequence]  # the request was not written completely
             return False
         record.written_at = time.monotonic()
         record.stream_end = client.submitted_bytes
@@ -175,7 +177,7 @@
         return True
 
     def _key_and_body(self, method: MethodProfile, name: str) -> tuple[str, bytes]:
-        """Return a new key, or that of an RPC that was sent not long ago, with its body."""
+        """Return a new key and body or, for a duplicate, those of a recent RPC."""
         earlier = [record for record in self.records[-8:] if record.key and record.method is method]
         if earlier and self._random.random() < 0.3:
             record = self._random.choice(earlier)
@@ -195,12 +197,12 @@
                     continue
                 record = open_rpcs.pop(answer.sequence, None)
                 if record is None:
-                    connection.end_reason = f"an answer to nothing: {answer.sequence}"
+                    connection.end_reason = f"answer without an open RPC: {answer.sequence}"
                     continue
                 received = RecordedAnswer(now, answer.outcome, answer.body, client.received_bytes)
                 record.answers.append(received)
         except (OSError, EOFError) as error:
             connection.end_reason = connection.end_reason or type(error).__name__
         except Exception as error:
-            connection.end_reason = f"unreadable: {error}"
+            connection.end_reason = f"unreadable answer: {error}"
         connection.ended_at = time.monotonic()
--- a/finchcart/fault_injection/soak/report.py
+++ b/finchcart/fault_injection/soak/report.py
@@ -1,6 +1,6 @@
-"""The soak and the sweep of system calls from the command line: what is played, and what is printed of it.
+"""Runs the soak test and the sweep of system calls for the command line, and prints their reports.
 
-Owns the text of both reports. It must never judge: a line of a report is a breach that a run found.
+This module only formats results: every breach in a report was found by a run.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 
 def play_and_report(seeds: Sequence[int], jobs: int, plant: str | None, out: str | None, echo: Echo) -> int:
-    """Play the seeds and print a report; return 1 where a rule broke."""
+    """Run the seeds and print a report; return 1 if a rule was broken, else 0."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(out or temporary)
@@ -28,13 +28,13 @@
     for line in report_lines(results):
         echo(line)
     load = f"{load_before:.1f} before, {os.getloadavg()[0]:.1f} after"
-    echo(f"--jobs {jobs} on {os.cpu_count()} cores, load of the machine {load}")
+    echo(f"--jobs {jobs} on {os.cpu_count()} cores, load average {load}")
     echo(f"{len(results)} seeds in {time.monotonic() - began:.0f} s")
     return 1 if any(result.breaches for result in results) else 0
 
 
 def report_lines(results: Sequence[SoakResult]) -> list[str]:
-    """Return the lines of a report: breaches, what was injected, and how close to the kill answers came."""
+    """Return the lines of a report: breaches, counters, and the shortest time from an answer to the kill."""
     lines = [f"seed {result.seed}: {line}" for result in results for line in result.breaches]
     counts: Counter[str] = Counter()
     for result in results:
@@ -43,15 +43,17 @@
     before_kill = [result.last_answer_before_kill_s for result in results]
     times = [time_s for time_s in before_kill if time_s is not None]
     if times:
-        lines.append(f"last answer before the kill: {min(times):.3f} s at the least, of {len(times)} seeds")
-    lines.append(f"lateness of the run itself: {max(result.lateness_s for result in results):.3f} s")
+        lines.append(f"last answer before the kill: at least {min(times):.3f} s, over {len(times)} seeds")
+    lines.append(
+        f"largest delay of the test's own threads: {max(result.lateness_s for result in results):.3f} s"
+    )
     broken = sum(1 for result in results if result.breaches)
     lines.append(f"seeds with a broken rule: {broken} of {len(results)}")
     return lines
 
 
 def sweep_and_report(start: bool, most_count: int, jobs: int, echo: Echo) -> int:
-    """Fail each call in each way at each count; print what went wrong, and return 1 where anything did."""
+    """Check each fault of a system call and print the problems; return 1 if there were any, else 0."""
     faults = all_faults(most_count)
     with tempfile.TemporaryDirectory() as temporary:
         parts = [faults[number::jobs] for number in range(jobs)]
@@ -60,7 +62,7 @@
         found = [line for lines in played for line in lines]
     for line in found:
         echo(line)
-    echo(f"{len(faults)} faults {'at the start' if start else 'in service'}, {len(found)} with a problem")
+    echo(f"{len(faults)} faults {'at the start' if start else 'in service'}, {len(found)} problems")
     return 1 if found else 0
 
 
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -1,8 +1,8 @@
-"""The soak: real nodes as `run` starts them, faults on all sides, and the four rules held against records.
+"""Runs the soak test: unmodified nodes under faults, with the four rules of recorded_rules.py checked.
 
-Owns the processes of one seed, and the peers, relays and clients beside them. It must end every process that
-it started by its own id, whatever happens, and never judge by a node's own word: recorded_rules.py judges by
-records.
+Each seed runs in a process of its own, with its nodes, peers, relays and clients. It must end every process
+that it started, by process id, on errors too. Breaches are found in the records of peers and clients and not
+in what a node reports about itself.
 """
 
 import json
@@ -27,22 +27,22 @@
 RESTART_AFTER_S = 0.2
 CLIENT_END_S = 4.0
 LATE_CLIENT_S = 0.1
-PLAY_LIMIT_S = 90.0  # of one seed, from its start
+PLAY_LIMIT_S = 90.0  # time limit for the run of one seed
 
 
 @dataclass
 class SoakResult:
-    """What came of one seed."""
+    """The result of the run of one seed."""
 
     seed: int
     breaches: list[str]
     counts: Counter = field(default_factory=Counter)
     last_answer_before_kill_s: float | None = None
-    lateness_s: float = 0.0  # of the run's own timer: how far its times can be off
+    lateness_s: float = 0.0  # largest delay of the test's own threads, which bounds the error of its times
 
 
 class LatenessWatch:
-    """Measures how late the run's own threads are: by so much its records can be."""
+    """Measures the largest delay of the test's own threads; recorded times may be wrong by as much."""
 
     def __init__(self) -> None:
         self.worst_s = 0.0
@@ -56,19 +56,19 @@
             self.worst_s = max(self.worst_s, time.monotonic() - before - WATCH_INTERVAL_S)
 
     def end(self) -> None:
-        """Measure no longer."""
+        """Stop measuring."""
         self._ended.set()
 
 
 class SoakRun:
-    """One plan. `plant`: the defect of planted_defects.py that the nodes are started with, or None."""
+    """The run of one plan. `plant` names the defect of planted_defects.py in the nodes, or is None."""
 
     def __init__(self, plan: SoakPlan, folder: Path, library: Path, plant: str | None = None) -> None:
         self.plan = plan
         self._plant = plant
         self._shim = ProcessShim(library, folder, f"shim{plan.seed}")
         self._store = SimulatedStore(unique_address(), self.plan.store_work_s)
-        self._store_load: list[tuple[float, float]] = []  # (time, call-seconds used so far)
+        self._store_load: list[tuple[float, float]] = []  # (time, total call-seconds used)
         self._nodes: list[SoakNode] = []
         self._folder = folder
         self._began = 0.0
@@ -76,7 +76,7 @@
         self._counts: Counter[str] = Counter()
 
     def play(self) -> SoakResult:
-        """Play the plan and return what came of it."""
+        """Run the plan and return its result."""
         lateness = LatenessWatch()
         try:
             self._play()
@@ -168,7 +168,7 @@
             for node in self._nodes:
                 node.watch()
 
-    # ---- What came of it
+    # ---- Results
 
     def _result(self, lateness_s: float) -> SoakResult:
         found = [line for node in self._nodes for line in node.found(lateness_s)]
@@ -188,7 +188,7 @@
         )
 
     def _store_overload(self) -> list[str]:
-        """Compare the mean of the calls in hand over any second with what all nodes together may use."""
+        """Check the mean number of concurrent calls over any second against the limit of all nodes."""
         limit = self.plan.calls_out * self.plan.nodes
         first = 0
         for at, used in self._store_load:
@@ -196,7 +196,9 @@
                 first += 1
             begin, used_before = self._store_load[first]
             if at - begin > 0.9 and (used - used_before) / (at - begin) > limit + 0.5:
-                return [f"fall-over: {(used - used_before) / (at - begin):.1f} calls in hand of {limit}"]
+                return [
+                    f"fall-over: {(used - used_before) / (at - begin):.1f} concurrent calls, limit {limit}"
+                ]
         return []
 
     def _count_faults(self) -> None:
@@ -219,32 +221,32 @@
 
 @dataclass
 class RunningSeed:
-    """A seed that is played by a process of its own."""
+    """A process that runs one seed."""
 
     process: subprocess.Popen
     result_path: Path
     ends_by: float  # on the monotonic clock
 
     def result(self, seed: int) -> SoakResult | None:
-        """Return what came of it, or None while it is played."""
+        """Return the result of the run, or None while it is in progress; enforce its time limit."""
         status = self.process.poll()
         if status is None and time.monotonic() < self.ends_by:
             return None
         if status is None:
             self.process.kill()
             self.process.wait()
-            return SoakResult(seed, [f"the run itself did not end in {PLAY_LIMIT_S:.0f} s"])
+            return SoakResult(seed, [f"the test process did not end within {PLAY_LIMIT_S:.0f} s"])
         if status != 0:
-            return SoakResult(seed, [f"the run itself failed with status {status}"])
+            return SoakResult(seed, [f"the test process failed with exit status {status}"])
         tree = json.loads(self.result_path.read_text(encoding="utf-8"))
         return SoakResult(**{**tree, "counts": Counter(tree["counts"])})
 
 
 def play_seeds(seeds: Sequence[int], folder: Path, jobs: int, plant: str | None = None) -> list[SoakResult]:
-    """Play seeds, `jobs` at once, each in a process of its own."""
+    """Run seeds, `jobs` at a time, each in a process of its own; return their results by seed."""
     library = build_library(folder)
     if library is None:
-        raise RuntimeError("no C compiler: the library of faults can't be built")
+        raise RuntimeError("no C compiler found; it is needed to build the fault-injection library")
     waiting = list(seeds)
     running: dict[int, RunningSeed] = {}
     results = []
@@ -262,7 +264,7 @@
 
 
 def _start_seed(seed: int, folder: Path, library: Path, plant: str | None) -> RunningSeed:
-    # A file and not a pipe: nobody reads while it is played, and many breaches are more than a pipe holds.
+    # The result goes to a file: a pipe is not read during the run and would fill up with many breaches.
     result_path = folder / f"result{seed}.json"
     command = [sys.executable, "-m", "finchcart.fault_injection.soak.run"]
     arguments = [str(seed), str(folder), str(library), str(result_path), plant or ""]
@@ -271,11 +273,11 @@
 
 
 def main() -> None:
-    """Play the seed that the arguments name, and write its result to the file that they name."""
+    """Run the seed given in the arguments, and write the result to the file given there."""
     seed, folder, library, result_path, plant = sys.argv[1:]
     result = SoakRun(draw_plan(int(seed)), Path(folder), Path(library), plant or None).play()
     Path(result_path).write_text(json.dumps(vars(result)), encoding="utf-8")
-    os._exit(0)  # threads of peers and clients are not waited for
+    os._exit(0)  # exit without waiting for the threads of peers and clients
 
 
 if __name__ == "__main__":
--- a/finchcart/fault_injection/soak/stream_relay.py
+++ b/finchcart/fault_injection/soak/stream_relay.py
@@ -1,7 +1,7 @@
-"""A relay for one TCP link on loopback that does to connections what networks do.
+"""Relays the TCP connections of one link on loopback and injects network faults into them.
 
-Owns its listening socket and the connections that pass through it. It must never look at what a connection
-carries, but where it is told to put rubbish into it, nor reach beyond loopback.
+The relay forwards the bytes without interpreting them; the only bytes of its own that it sends are garbage,
+where the faults demand this. It must not connect to addresses outside loopback.
 """
 
 import socket
@@ -17,32 +17,32 @@
 CHUNK_BYTES = 16 * 1024
 CONNECT_TIMEOUT_S = 1.0
 RUBBISH = b"\x00\xff\x13noise noise\r\n"
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: unsent bytes are thrown away, the peer sees a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: discards unsent bytes and sends a reset
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True)
 class LinkFaults:
-    """What happens to a link. Times are seconds; 0 or None: it does not happen."""
+    """The faults of a link. Times are in seconds; 0 or None disables a fault."""
 
-    cut_every: float | None = None  # mean time between the cuts of all connections, drawn anew for each
-    reset_part: float = 0.5  # of the cuts that reset, so that bytes under way are lost; others close
-    rubbish_part: float = 0.0  # of the cuts that put rubbish before the end, towards who connected
-    delay: float = 0.0  # of each piece towards who connected
-    small_pieces: bool = False  # a few bytes at a time, in both directions
+    cut_every: float | None = None  # mean time between cuts; a cut ends all connections of the link
+    reset_part: float = 0.5  # probability that a cut resets connections and loses bytes; others close them
+    rubbish_part: float = 0.0  # probability that a cut sends garbage to the client first
+    delay: float = 0.0  # delay of each chunk that is sent to the client
+    small_pieces: bool = False  # forward a few bytes at a time, in both directions
 
 
 class RelayedConnection:
-    """A connection on its way through the relay."""
+    """The two sockets of a connection that passes through the relay."""
 
     def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near  # towards who connected
-        self.far = far
+        self.near = near  # to the client
+        self.far = far  # to the server
         self.write_lock = threading.Lock()
 
     def cut(self, reset: bool, rubbish: bool) -> None:
-        """End it in both directions."""
+        """End the connection in both directions."""
         with suppress(OSError):
             if rubbish:
                 with self.write_lock:
@@ -55,15 +55,15 @@
 
 
 class StreamRelay:
-    """Passes connections at `address` on to `target()`, under `faults`, which may be replaced at any time.
+    """Forwards connections from `address` to `target()` under `faults`, which may be replaced at any time.
 
-    What is left to chance comes from `seed`. `counts` tells how often each kind of fault happened.
+    Random choices depend on `seed`. `counts` holds the number of faults of each kind.
     """
 
     def __init__(self, address: Address, target: Callable[[], Address], seed: int) -> None:
         self.faults = LinkFaults()
-        self.refuses = False  # connections are accepted and closed at once
-        self.is_silent = False  # connections are accepted, and nothing is passed on
+        self.refuses = False  # new connections are accepted and closed immediately
+        self.is_silent = False  # connections are accepted, but no bytes are forwarded
         self.counts: Counter[str] = Counter()
         self.address = address
         self._target = target
@@ -76,7 +76,7 @@
             threading.Thread(target=body, daemon=True).start()
 
     def end(self) -> None:
-        """Accept no more, and cut all connections."""
+        """Stop accepting connections and reset all open ones."""
         self._ended.set()
         with suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
@@ -84,7 +84,7 @@
         self.cut_all(reset=True)
 
     def cut_all(self, reset: bool, rubbish: bool = False) -> None:
-        """Cut every connection there is."""
+        """Cut all open connections."""
         with self._lock:
             connections = list(self._connections)
             self._connections.clear()
@@ -135,7 +135,7 @@
         far.close()
 
     def _copy(self, connection: RelayedConnection, source: socket.socket, target: socket.socket) -> None:
-        """Pass bytes on until the source ends; then the target is told that it did."""
+        """Forward bytes until the source ends, and then shut down the sending direction of the target."""
         with suppress(OSError):
             while data := source.recv(CHUNK_BYTES):
                 self._forward(connection, target, data)
--- a/tests/test_early_kill.py
+++ b/tests/test_early_kill.py
@@ -1,11 +1,11 @@
-"""The kill may come as early as the longest deadline (3 s at most) and 0.7 s after the notice to leave.
+"""Tests that a draining node ends before the earliest kill: the longest deadline (at most 3 s) plus 0.7 s.
 
-The failure. Users of a deployment with deadlines of 0.5 s lost requests at each release: the node counted on
-`stop_ms` and was killed 1.2 s after its notice, with requests in hand and connections that it had never
-announced to close, since their clients sent without a pause and they never idled.
+A deployment with deadlines of 0.5 s lost requests at each release. The node expected the kill after `stop_ms`
+but was killed 1.2 s after the drain notice, with open requests and with connections that it had never
+announced to close, since their clients sent without a pause and the connections never idled.
 
-The evidence. Clients that go on sending on open connections: requests with no answer at the kill, and no end
-of the process before it.
+The tests use clients that keep sending on open connections, and check that each request is answered and that
+the process ends before the kill.
 """
 
 import os
@@ -27,7 +27,7 @@
 
 
 def leave_under_load(testbed, signals=(signal.SIGTERM,), grace_s=0.3):
-    """Breaches, the process's status, and how long before the earliest kill it ended."""
+    """Drain a node under load; return breaches, exit status, records and the process's lifetime."""
     for service in testbed.config["settings"]["services"]:
         service |= {"deadline": int(DEADLINE_S * 1e6), "target": int(DEADLINE_S * 4e5)}
     testbed.config["settings"]["contract"]["stopSendingWithin"] = int(grace_s * 1e6)
@@ -59,25 +59,25 @@
     return breaches(rules, [life], records, testbed.pool.history), status, records, life
 
 
-def test_all_is_answered_and_the_node_has_ended_before_the_earliest_kill(testbed):
+def test_all_requests_are_answered_and_the_node_ends_before_the_earliest_kill(testbed):
     found, status, _, _ = leave_under_load(testbed)
     assert found == []
     assert status == 0
 
 
-def test_signals_in_series_change_nothing_of_that(testbed):
+def test_repeated_signals_do_not_delay_the_end_or_lose_requests(testbed):
     series = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
     found, status, _, _ = leave_under_load(testbed, series, grace_s=5.0)
     assert found == []
     assert status == 0
 
 
-def test_a_reload_before_the_handlers_stand_ends_nobody(testbed):
+def test_a_reload_signal_before_the_handlers_are_installed_does_not_end_the_process(testbed):
     testbed.start_peers()
     testbed.start_process()
-    # From the interpreter's start on; the shell before it ignores the signal once its first word is read.
+    # Wait for the interpreter: the shell before it ignores SIGHUP only after running its first command.
     wait_until(lambda: testbed.command_line().startswith(os.fsencode(sys.executable)))
-    for _ in range(60):  # through the first 0.3 s: handlers are not set for a part of them
+    for _ in range(60):  # covers the first 0.3 s, in part of which the signal handlers are not installed yet
         testbed.send_signals(signal.SIGHUP)
         time.sleep(0.005)
     assert testbed.process.poll() is None
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,7 @@
-"""The soak on a few seeds, and each planted defect found by it; `finchcart trial soak` plays more of them."""
+"""Tests that a sample of soak seeds breaks no rule, and that the soak test detects each planted defect.
+
+`finchcart trial soak` runs more seeds.
+"""
 
 from dataclasses import replace
 
@@ -19,11 +22,12 @@
 from finchcart.fault_injection.soak.stream_relay import LinkFaults
 from finchcart.simulated_peers.worker_pool import LoadSample
 
-# The last six are crowds; each broke a rule beside load at texts before.
+# The last six have many clients; each of them broke a rule on a loaded machine in earlier versions.
 SEEDS = (*range(1, 13), 402, 405, 409, 413, 425, 444)
 JOBS = 2
 HOUR_S = 3600
-# By defect: the rule that it breaks. One more, "started again", needs a crossing: in 4 of the first 12 seeds.
+# Defect -> class of the rule that it breaks. The defect "started again" is not listed: it shows only if a
+# connection ends between the start of a run and its confirmation, as in 4 of the first 12 seeds.
 BREAKS = {
     "lost": "lost",
     "duplicate": "duplicate",
@@ -32,7 +36,7 @@
     "clock": "refused",
     "early kill": "lost",
 }
-# Runs with effects that are long, on a machine that bears few, over a link that is cut all the time.
+# Long runs with effects, a low overload factor, and a link to the worker pool that is cut often.
 HARSH = replace(
     draw_plan(1),
     nodes=1,
@@ -56,7 +60,7 @@
     events=(NodeEvent(1.2, "clock", HOUR_S), NodeEvent(1.5, "clock", -HOUR_S)),
     stamps_follow=True,
 )
-# Short runs, most of which are served.
+# Short runs on an unbroken link, so that most RPCs are served.
 MILD = replace(
     HARSH, work_s=0.02, overload_factor=8.0, clients=6, load=ClientLoad(0.05, 6), pool_link=LinkFaults()
 )
@@ -65,7 +69,7 @@
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """What came of each seed, all of them played once, `JOBS` at a time."""
+    """The result of each seed; all seeds run once, `JOBS` at a time."""
     played = play_seeds(SEEDS, tmp_path_factory.mktemp("soak"), JOBS)
     return {result.seed: result for result in played}
 
@@ -75,11 +79,11 @@
     assert results[seed].breaches == []
 
 
-def test_a_third_of_the_seeds_or_more_are_crowds():
+def test_at_least_a_third_of_the_seeds_have_many_clients():
     assert 3 * sum(draw_plan(seed).clients == CROWD_CLIENTS for seed in SEEDS) >= len(SEEDS)
 
 
-def test_the_seeds_together_answer_many_rpcs(results):
+def test_the_seeds_together_get_many_answers(results):
     assert sum(result.counts["answered ok"] for result in results.values()) > 100
 
 
@@ -90,12 +94,12 @@
 
 
 @pytest.mark.parametrize("plan", [HARSH, MILD])
-def test_without_the_defects_no_rule_breaks_there(tmp_path, plan):
+def test_the_plans_for_the_defects_break_no_rule_without_a_defect(tmp_path, plan):
     result = SoakRun(plan, tmp_path, build_library(tmp_path)).play()
     assert result.breaches == [] and result.counts["answered ok"] > 5
 
 
-# What the library wrote of one connection: 100 bytes read, then the node's direction closed, then 100 more.
+# Trace of one connection as (event, value): accepted, 100 bytes read, shut down by the node, 100 bytes read.
 TRACED = ((1, 4000), (2, 100), (4, 1), (2, 100))
 
 
@@ -108,7 +112,7 @@
         (4001, 100, LostCause.UNKNOWN),
     ],
 )
-def test_a_lost_request_is_told_by_how_far_it_came(tmp_path, port, stream_end, cause):
+def test_a_lost_request_is_classified_by_how_far_the_node_processed_it(tmp_path, port, stream_end, cause):
     path = tmp_path / "sockets"
     events = [RECORD.pack(at, event, 7, value) for at, (event, value) in enumerate(TRACED)]
     path.write_bytes(b"".join(events) + b"half of a record"[: RECORD.size // 2])
@@ -122,6 +126,6 @@
     assert len({draw_plan(seed) for seed in SEEDS}) == len(SEEDS)
 
 
-def test_the_highest_mean_of_a_load():
+def test_highest_mean_of_a_load_depends_on_the_window():
     samples = [LoadSample(0.0, 0), LoadSample(1.0, 4), LoadSample(2.0, 0), LoadSample(5.0, 2)]
     assert highest_mean(samples, 1.0) == 4.0 and highest_mean(samples, 2.0) == 2.0
