--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -31,42 +31,42 @@
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
 METHODS = {"look-up": True, "book": False}  # method name -> whether its runs make a call
-READY_S = 10.0
-RPCS = 5  # sent under each fault, each on its own connection
-MOST_COUNT = 20  # default for the number of the last call that is failed
+READY_TIMEOUT_S = 10.0
+RPCS_PER_FAULT = 5  # sent under each fault, each on its own connection
+MAX_CALL_NUMBER = 20  # default for the number of the last call that is failed
 WORK_S = 0.005
-LONG_AGO_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
+POOL_AGE_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
 # Errors that mean that the connection is broken; the requests in flight on the connection are then lost.
-BREAKING = {
+CONNECTION_ERRORS = {
     SystemCall.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
     SystemCall.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
 }
 
 
 class CallFault(NamedTuple):
-    """One fault: `times` calls in a row fail with the errno `error`, starting at call number `count`."""
+    """One fault: `failures` calls in a row, from number `call_number` on, fail with the errno `error`."""
 
     call: SystemCall
     error: int
-    count: int
-    times: int = 1
+    call_number: int
+    failures: int = 1
 
     @property
     def breaks_connections(self) -> bool:
         """Whether the error means that a connection is broken."""
-        return self.error in BREAKING.get(self.call, ())
+        return self.error in CONNECTION_ERRORS.get(self.call, ())
 
     def __str__(self) -> str:
-        return f"{self.call.name.lower()} {self.count}+{self.times}: {os.strerror(self.error)}"
+        return f"{self.call.name.lower()} {self.call_number}+{self.failures}: {os.strerror(self.error)}"
 
 
-def all_faults(most_count: int = MOST_COUNT) -> list[CallFault]:
+def all_faults(max_call_number: int = MAX_CALL_NUMBER) -> list[CallFault]:
     """Return a fault for each combination of call, documented error and call number."""
     return [
-        CallFault(call, error, count)
+        CallFault(call, error, call_number)
         for call, errors in DOCUMENTED_ERRORS.items()
         for error in errors
-        for count in range(1, most_count + 1)
+        for call_number in range(1, max_call_number + 1)
     ]
 
 
@@ -81,18 +81,18 @@
         self._library = library
         self._nodes = 0
 
-    def play_start(self, fault: CallFault) -> list[str]:
+    def check_start(self, fault: CallFault) -> list[str]:
         """Inject the fault while a node starts, and check that the node serves RPCs nevertheless."""
         node = ShimmedNode(self._folder, self._library, self._next_name())
         try:
-            node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
+            node.shim.fail_at(fault.call, fault.call_number, fault.error, fault.failures)
             node.start()
             problem = node.wait_until_serving()
             return [f"start, {fault}: {problem}"] if problem else []
         finally:
             node.end()
 
-    def play_in_service(self, faults: Iterable[CallFault]) -> list[str]:
+    def check_in_service(self, faults: Iterable[CallFault]) -> list[str]:
         """Inject the faults into one node, one after the other, while it serves RPCs."""
         found: list[str] = []
         node = ShimmedNode(self._folder, self._library, self._next_name())
@@ -102,14 +102,14 @@
             if problem:
                 return [f"start: {problem}"]
             for fault in faults:
-                found += self._play_fault(node, fault)
+                found += self._check_fault(node, fault)
         finally:
             node.end()
         return found
 
-    def _play_fault(self, node: "ShimmedNode", fault: CallFault) -> list[str]:
-        node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
-        outcomes = [node.outcome_of_rpc() for _ in range(RPCS)]
+    def _check_fault(self, node: "ShimmedNode", fault: CallFault) -> list[str]:
+        node.shim.fail_at(fault.call, fault.call_number, fault.error, fault.failures)
+        outcomes = [node.outcome_of_rpc() for _ in range(RPCS_PER_FAULT)]
         node.shim.stop_failing(fault.call)
         wrong = [outcome for outcome in outcomes if outcome != ClientOutcome.OK]
         if fault.breaks_connections or fault.call is SystemCall.CONNECT:
@@ -136,7 +136,7 @@
         self._listen = addresses["listen"]
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
         self._config_path.write_text(json.dumps({**EXAMPLE_CONFIGURATION, "name": name, **texts}))
-        SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= LONG_AGO_S
+        SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= POOL_AGE_S
         SimulatedStore(addresses["store"])
         SimulatedRegistry(addresses["roster"], on_change=lambda text: None)
 
@@ -150,7 +150,7 @@
 
     def wait_until_serving(self) -> str:
         """Wait until the node serves an RPC; return an empty string, or a description of the problem."""
-        end = time.monotonic() + READY_S
+        end = time.monotonic() + READY_TIMEOUT_S
         outcome = "no RPC was sent"
         while time.monotonic() < end:
             status = self._process.poll()
--- a/finchcart/fault_injection/soak/lost_requests.py
+++ b/finchcart/fault_injection/soak/lost_requests.py
@@ -19,7 +19,7 @@
     """How far the node processed a request that has no answer."""
 
     NEVER_READ = "never read"
-    CLOSED_OVER = "closed over"  # the node closed its direction before it read the request
+    CLOSED_BEFORE_READ = "closed over"  # the node closed its direction before it read the request
     NOT_ANSWERED = "read and not answered"
     UNKNOWN = "not traced"
 
@@ -32,7 +32,7 @@
     closed_at: float | None
 
 
-def accepted_socket(
+def find_accepted_socket(
     connection: ConnectionRecord, sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> AcceptedSocket | None:
     """Return the trace of a client's connection at the node, or None if it was not traced.
@@ -49,12 +49,12 @@
     )
 
 
-def add_times_of_writing(
+def add_write_times(
     records: Sequence[ClientRpcRecord], sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> None:
     """Set `written_at` of each answer to the time at which the node wrote the answer."""
     for record in records:
-        accepted = accepted_socket(record.connection, sockets) if record.answers else None
+        accepted = find_accepted_socket(record.connection, sockets) if record.answers else None
         if accepted:
             record.answers = [
                 answer._replace(written_at=accepted.written_at(answer.stream_end))
@@ -66,13 +66,13 @@
     record: ClientRpcRecord, sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> LostRequest:
     """Return how far the node processed a request without an answer."""
-    accepted = accepted_socket(record.connection, sockets)
+    accepted = find_accepted_socket(record.connection, sockets)
     if accepted is None:
         return LostRequest(LostCause.UNKNOWN, None, None)
     read_at = accepted.read_at(record.stream_end)
     closed_at = accepted.closed_at
     if closed_at is not None and (read_at is None or read_at >= closed_at):
-        cause = LostCause.CLOSED_OVER
+        cause = LostCause.CLOSED_BEFORE_READ
     elif read_at is None:
         cause = LostCause.NEVER_READ
     else:
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -19,18 +19,24 @@
 from finchcart.fault_injection.processes.node_configuration import EXAMPLE_CONFIGURATION
 from finchcart.fault_injection.processes.process_shim import ProcessShim
 from finchcart.fault_injection.processes.socket_trace import TRACE_VARIABLE, AcceptedSocket, read_trace
-from finchcart.fault_injection.soak.lost_requests import add_times_of_writing
+from finchcart.fault_injection.soak.lost_requests import add_write_times
 from finchcart.fault_injection.soak.plan import SoakPlan
-from finchcart.fault_injection.soak.recorded_rules import SLACK_S, NodeLife, Pause, Rules, breaches
+from finchcart.fault_injection.soak.recorded_rules import (
+    SLACK_S,
+    Pause,
+    ProcessLifetime,
+    RuleLimits,
+    find_breaches,
+)
 from finchcart.fault_injection.soak.recording_client import ClientRpcRecord, RecordingClient
 from finchcart.fault_injection.soak.stream_relay import StreamRelay
 from finchcart.simulated_peers.client import Client
 from finchcart.simulated_peers.registry import SimulatedRegistry
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-READY_S = 10.0
+READY_TIMEOUT_S = 10.0
 US_PER_S = 1_000_000
-LONG_AGO_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
+POOL_AGE_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
 
 
 class SoakNode:
@@ -41,19 +47,19 @@
         self.name = name
         self.shim = shim
         self.listen = unique_address()
-        self.lives: list[NodeLife] = []
+        self.lifetimes: list[ProcessLifetime] = []
         self.problems: list[str] = []
         self.log_path = folder / f"{name}.log"
         self._trace_path = folder / f"{name}.sockets"
         self._config_path = folder / f"{name}.json"
-        self._life_began = 0.0
+        self._process_began = 0.0
         self._pauses: list[Pause] = []
         self._process: subprocess.Popen | None = None
         self._watched_pid = 0
         pool_address = unique_address()
-        with_call = {method.name: method.name == "look-up" for method in plan.methods}
-        self.pool = SimulatedWorkerPool(pool_address, with_call, plan.work_s, plan.cores)
-        self.pool.started -= LONG_AGO_S
+        makes_call = {method.name: method.name == "look-up" for method in plan.methods}
+        self.pool = SimulatedWorkerPool(pool_address, makes_call, plan.work_s, plan.cores)
+        self.pool.started -= POOL_AGE_S
         self.pool_relay = StreamRelay(unique_address(), lambda: pool_address, plan.seed)
         self.store_relay = StreamRelay(unique_address(), lambda: store, plan.seed + 1)
         self._write_config()
@@ -65,14 +71,14 @@
         ]
 
     def _unix_time(self) -> float:
-        return time.time() + (self.shim.clock_offset_s if self.plan.stamps_follow else 0.0)
+        return time.time() + (self.shim.clock_offset_s if self.plan.dispatcher_clocks_follow else 0.0)
 
     def _write_config(self) -> None:
         plan = self.plan
-        tree = copy.deepcopy(EXAMPLE_CONFIGURATION)
-        tree["stop_ms"] = plan.stop_s * 1000
-        tree["limits"] |= {"memory_mb": plan.memory_mb, "sockets": plan.sockets}
-        settings = tree["settings"]
+        config = copy.deepcopy(EXAMPLE_CONFIGURATION)
+        config["stop_ms"] = plan.stop_s * 1000
+        config["limits"] |= {"memory_mb": plan.memory_mb, "sockets": plan.sockets}
+        settings = config["settings"]
         settings["contract"] |= {
             "overloadFactor": plan.overload_factor,
             "stopSendingWithin": int(plan.grace_s * US_PER_S),
@@ -106,21 +112,21 @@
             "roster": registry,
         }
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
-        self._config_path.write_text(json.dumps({**tree, "name": self.name, **texts}))
+        self._config_path.write_text(json.dumps({**config, "name": self.name, **texts}))
 
     # ---- Processes
 
-    def start(self, plant: str | None) -> None:
+    def start(self, defect: str | None) -> None:
         """Start a process of the node, and wait until it answers a heartbeat."""
-        module = "finchcart.fault_injection.soak.planted_defects" if plant else "finchcart"
+        module = "finchcart.fault_injection.soak.planted_defects" if defect else "finchcart"
         environment = {**os.environ, **CHILD_ENV, **self.shim.environment}
-        environment |= {"ROUTER_CONFIG": str(self._config_path), "FINCHCART_PLANT": plant or ""}
+        environment |= {"ROUTER_CONFIG": str(self._config_path), "FINCHCART_PLANT": defect or ""}
         environment[TRACE_VARIABLE] = str(self._trace_path)
-        self._life_began = time.monotonic()
+        self._process_began = time.monotonic()
         self._pauses = []
         with self.log_path.open("ab") as log:
             self._process = subprocess.Popen([sys.executable, "-m", module], stderr=log, env=environment)
-        end = time.monotonic() + READY_S
+        end = time.monotonic() + READY_TIMEOUT_S
         while not self._is_healthy():
             if self._process.poll() is not None or time.monotonic() > end:
                 self.problems.append(f"crash: {self.name} did not start: exit status {self._process.poll()}")
@@ -144,7 +150,7 @@
         """The id of the running process, or None."""
         return self._process.pid if self._process and self._process.poll() is None else None
 
-    def watch(self) -> None:
+    def check_resources(self) -> None:
         """Check the descriptors and the memory of the process against the configured limits."""
         pid = self.pid
         if pid is None:
@@ -165,19 +171,19 @@
         self._process.send_signal(signal.SIGCONT)
         self._pauses.append(Pause(began, time.monotonic()))
 
-    def kill_outright(self) -> None:
+    def kill_without_notice(self) -> None:
         """Kill the process without a drain notice."""
         self._process.kill()
         self._process.wait()
-        self._end_life(None, None, killed_outright=True)
+        self._record_lifetime(None, None, killed_without_notice=True)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Send the drain notice, and check that the process ends before the earliest time of the kill."""
-        told_at = time.monotonic()
+        notice_at = time.monotonic()
         for number in self.plan.signals:
             with suppress(ProcessLookupError):
                 self._process.send_signal(number)
-        kill_at = told_at + self.plan.earliest_kill_s
+        kill_at = notice_at + self.plan.earliest_kill_s
         try:
             status = self._process.wait(max(0.0, kill_at + SLACK_S - time.monotonic()))
             if status != 0:
@@ -186,12 +192,16 @@
             self.problems.append(f"lost: {self.name} was still running at the time of the kill")
             self._process.kill()
             self._process.wait()
-        self._end_life(told_at, kill_at, killed_outright=False)
+        self._record_lifetime(notice_at, kill_at, killed_without_notice=False)
 
-    def _end_life(self, told_at: float | None, kill_at: float | None, killed_outright: bool) -> None:
+    def _record_lifetime(
+        self, notice_at: float | None, kill_at: float | None, killed_without_notice: bool
+    ) -> None:
         now = time.monotonic()
-        life = NodeLife(self._life_began, told_at, kill_at, now, killed_outright, tuple(self._pauses))
-        self.lives.append(life)
+        lifetime = ProcessLifetime(
+            self._process_began, notice_at, kill_at, now, killed_without_notice, tuple(self._pauses)
+        )
+        self.lifetimes.append(lifetime)
 
     def end(self) -> None:
         """Kill the process if it is running, and close the relays."""
@@ -212,10 +222,10 @@
         """Return the traced connections that the node's processes accepted, by the client's port."""
         return read_trace(self._trace_path)
 
-    def found(self, slack_s: float) -> list[str]:
+    def check_rules(self, slack_s: float) -> list[str]:
         """Return a line for each rule that this node broke."""
         plan = self.plan
-        rules = Rules(
+        rules = RuleLimits(
             plan.grace_s,
             plan.overload_factor,
             plan.overload_window_s,
@@ -226,8 +236,8 @@
         )
         found = [*dict.fromkeys(self.problems)]
         records, sockets = self.records(), self.sockets()
-        add_times_of_writing(records, sockets)
-        found += breaches(rules, self.lives, records, self.pool.history, sockets)
+        add_write_times(records, sockets)
+        found += find_breaches(rules, self.lifetimes, records, self.pool.history, sockets)
         if "Traceback" in self.log_path.read_text(errors="replace"):
             found.append(f"crash: traceback in the log of {self.name}")
         return [f"{self.name}: {line}" for line in found]
--- a/finchcart/fault_injection/soak/plan.py
+++ b/finchcart/fault_injection/soak/plan.py
@@ -15,10 +15,10 @@
 HOUR_S = 3600
 CLOCK_OFFSETS_S = (HOUR_S, -HOUR_S, 2, -2, 0.3, 0)
 FAULTS_BEGIN_S = 0.3
-LEAVE_AT_S = 2.4  # time of the drain notice, from the start of the load
-CROWD_CLIENTS = 30  # clients of one node in a plan with many clients
+NOTICE_AT_S = 2.4  # time of the drain notice, from the start of the load
+MANY_CLIENTS = 30  # clients of one node in a plan with many clients
 # The rule for the earliest kill, as in finchcart/limits.py.
-MOST_DEADLINE_S = 3.0
+MAX_COUNTED_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
 SIGNAL_SERIES = (
     (signal.SIGTERM,),
@@ -60,7 +60,7 @@
 class NodeEvent:
     """A fault of a node; `at` is in seconds from the start of the load.
 
-    `value` is the clock offset of a "clock" event and the duration of other events, in seconds.
+    `value` is in seconds: the offset of a "clock" event, else the duration, where the event has one.
     """
 
     at: float
@@ -104,21 +104,21 @@
     store_link: LinkFaults
     random_call_faults: tuple[RandomCallFault, ...]
     events: tuple[NodeEvent, ...]
-    stamps_follow: bool  # the clocks of dispatchers step together with the clocks of nodes
+    dispatcher_clocks_follow: bool  # the clocks of dispatchers step together with the clocks of nodes
     signals: tuple[signal.Signals, ...]
 
     @property
     def earliest_kill_s(self) -> float:
         """The shortest time from the drain notice to the kill."""
         longest_s = max(method.deadline_s for method in self.methods)
-        return min(self.stop_s, min(longest_s, MOST_DEADLINE_S) + KILL_DELAY_S)
+        return min(self.stop_s, min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S)
 
 
 def draw_plan(seed: int) -> SoakPlan:
     """Return the plan of a seed; the same seed always gives the same plan."""
     random = Random(seed)
     deadline_s = random.choice((0.6, 0.8, 1.2, 2.0))
-    is_crowd = random.random() < 0.3
+    has_many_clients = random.random() < 0.3
     plan = SoakPlan(
         seed=seed,
         nodes=random.choice((1, 2)),
@@ -135,13 +135,13 @@
         stop_s=3.2,
         memory_mb=random.choice((64, 96)),
         sockets=random.choice((128, 256)),
-        clients=CROWD_CLIENTS if is_crowd else random.randint(4, 10),
-        load=ClientLoad(0.02, 8) if is_crowd else ClientLoad(random.choice((0.01, 0.04)), 6, 0.02),
+        clients=MANY_CLIENTS if has_many_clients else random.randint(4, 10),
+        load=ClientLoad(0.02, 8) if has_many_clients else ClientLoad(random.choice((0.01, 0.04)), 6, 0.02),
         pool_link=_link_faults(random),
         store_link=_link_faults(random),
         random_call_faults=tuple(random.sample(RANDOM_CALL_FAULTS, random.randint(0, 4))),
         events=(),
-        stamps_follow=random.random() < 0.7,
+        dispatcher_clocks_follow=random.random() < 0.7,
         signals=random.choice(SIGNAL_SERIES),
     )
     return replace(plan, events=_events(random))
@@ -157,21 +157,21 @@
 
 def _link_faults(random: Random) -> LinkFaults:
     return LinkFaults(
-        cut_every=random.choice((None, 0.1, 0.3, 0.5)),
-        reset_part=random.choice((0.0, 0.5, 1.0)),
-        rubbish_part=random.choice((0.0, 0.5)),
-        delay=random.choice((0.0, 0.0, 0.03)),
-        small_pieces=random.random() < 0.2,
+        cut_interval_s=random.choice((None, 0.1, 0.3, 0.5)),
+        reset_probability=random.choice((0.0, 0.5, 1.0)),
+        garbage_probability=random.choice((0.0, 0.5)),
+        delay_s=random.choice((0.0, 0.0, 0.03)),
+        small_chunks=random.random() < 0.2,
     )
 
 
 def _events(random: Random) -> tuple[NodeEvent, ...]:
     events = []
     if random.random() < 0.5:
-        begin = random.choice((FAULTS_BEGIN_S, 1.0, LEAVE_AT_S + 0.1))  # the last is in the grace period
+        begin = random.choice((FAULTS_BEGIN_S, 1.0, NOTICE_AT_S + 0.1))  # the last is in the grace period
         offsets = random.sample(CLOCK_OFFSETS_S, random.randint(1, 3))
         events += [NodeEvent(begin + 0.3 * step, "clock", offset) for step, offset in enumerate(offsets)]
     for kind in random.sample(NODE_EVENTS, random.randint(0, 3)):
-        at = random.uniform(FAULTS_BEGIN_S, LEAVE_AT_S - 0.3)
+        at = random.uniform(FAULTS_BEGIN_S, NOTICE_AT_S - 0.3)
         events.append(NodeEvent(at, kind, random.uniform(0.2, 0.6)))
     return tuple(sorted(events, key=lambda event: event.at))
--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -18,7 +18,7 @@
 from finchcart.node_process import exit_process, run_node
 from finchcart.thrift.frontend import ThriftFrontend
 
-VARIABLE = "FINCHCART_PLANT"
+DEFECT_VARIABLE = "FINCHCART_PLANT"
 ANSWERS_PER_LOSS = 40  # one of this many answers is dropped
 
 
@@ -49,13 +49,13 @@
     IdempotencyCache.entry_for = entry_for
 
 
-def start_effects_again() -> None:
+def resend_starts() -> None:
     """Break rule 2: after a reconnection, every start of a run is sent again, also of non-idempotent runs."""
     run = WorkerPoolClient.run
     WorkerPoolClient.run = lambda self, rpc, idempotent: run(self, rpc, True)
 
 
-def serve_past_the_grace() -> None:
+def serve_after_grace_period() -> None:
     """Break rule 3: the grace period lasts until the termination deadline."""
     GracefulShutdown.end_grace = lambda self, now: None
     begin = GracefulShutdown.begin
@@ -77,7 +77,7 @@
     CommandJournal.confirm_before = lambda self, ticket: None
 
 
-def count_on_the_wall_clock() -> None:
+def use_wall_clock() -> None:
     """Measure durations on the wall clock, so that clock steps change them."""
     from finchcart import event_loop
     from finchcart.net import clock, connections, reader
@@ -90,7 +90,7 @@
     event_loop.read_clocks = lambda: clock.ClockReading(wall_clock(), wall_clock())
 
 
-def count_on_a_late_kill() -> None:
+def expect_late_kill() -> None:
     """Break rule 1: the node expects the kill only after `stop_ms`."""
     from finchcart import limits
 
@@ -100,17 +100,17 @@
 DEFECTS: dict[str, Callable[[], None]] = {
     "lost": lose_answers,
     "duplicate": forget_keys,
-    "started again": start_effects_again,
-    "drain": serve_past_the_grace,
+    "started again": resend_starts,
+    "drain": serve_after_grace_period,
     "fall-over": forget_runs,
-    "clock": count_on_the_wall_clock,
-    "early kill": count_on_a_late_kill,
+    "clock": use_wall_clock,
+    "early kill": expect_late_kill,
 }
 
 
 def main() -> None:
     """Install the defect and run a node."""
-    DEFECTS[os.environ[VARIABLE]]()
+    DEFECTS[os.environ[DEFECT_VARIABLE]]()
     exit_process(run_node())
 
 
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -1,7 +1,7 @@
 """Checks the four rules of a node against the records of clients, worker pool and store.
 
 1. Each request gets one correct answer in time ("lost", "refused", "changed").
-2. A request that is not idempotent takes effect at most once ("duplicate").
+2. A request that is not idempotent takes effect at most once in its key window ("duplicate").
 3. After the grace period, a node starts no run of a request that arrives then ("drain").
 4. A node keeps its limits on running RPCs and memory ("fall-over").
 
@@ -23,13 +23,13 @@
 SLACK_S = 0.05  # added to each time limit for transmission over sockets
 # A request written at most this long before its client read the closing notice does not count as lost: the
 # protocol has dispatchers send such a request again.
-CROSSING_S = 0.05
+CLOSE_RACE_S = 0.05
 # The memory of a request is counted from this long after it was written, or from the start of its run.
-UNCOUNTED_S = 0.1
+MEMORY_COUNT_DELAY_S = 0.1
 
 
 @dataclass(frozen=True)
-class Rules:
+class RuleLimits:
     """The settings of the node that the rules depend on."""
 
     grace_s: float
@@ -50,72 +50,72 @@
 
 
 @dataclass(frozen=True)
-class NodeLife:
+class ProcessLifetime:
     """The lifetime of one process of a node. Times are on the monotonic clock."""
 
     began: float
-    told_at: float | None  # the first drain notice
+    notice_at: float | None  # the first drain notice
     kill_at: float | None  # the kill, or the earliest time at which it was possible
     ended_at: float
-    killed_outright: bool  # killed without notice; its open requests do not count as lost
+    killed_without_notice: bool  # killed without notice; its open requests do not count as lost
     pauses: tuple[Pause, ...] = ()
 
 
-def breaches(
-    rules: Rules,
-    lives: Sequence[NodeLife],
+def find_breaches(
+    limits: RuleLimits,
+    lifetimes: Sequence[ProcessLifetime],
     records: Sequence[ClientRpcRecord],
     runs: Sequence[RunTiming],
     sockets: Mapping[int, Sequence[AcceptedSocket]] | None = None,
 ) -> list[str]:
     """Return a line for each breach by one node; `sockets` holds the traces of its accepted connections."""
     found = []
-    found += _lost_and_late(rules, lives, records, sockets or {})
-    found += _second_effects(lives, records, runs)
+    found += _lost_or_late_answers(limits, lifetimes, records, sockets or {})
+    found += _repeated_effects(lifetimes, records, runs)
     found += _wrong_answers(records, runs)
-    found += _runs_past_the_grace(rules, lives, records, runs)
-    found += _overload(rules, lives, records, runs)
+    found += _runs_after_grace_period(limits, lifetimes, records, runs)
+    found += _overload(limits, lifetimes, records, runs)
     return found
 
 
-def _life_of(lives: Sequence[NodeLife], at: float) -> NodeLife | None:
-    return next((life for life in reversed(lives) if life.began <= at), None)
+def _lifetime_at(lifetimes: Sequence[ProcessLifetime], at: float) -> ProcessLifetime | None:
+    return next((lifetime for lifetime in reversed(lifetimes) if lifetime.began <= at), None)
 
 
-def _paused_s(life: NodeLife, since: float, until: float) -> float:
-    return sum(max(0.0, min(until, each.ended) - max(since, each.began)) for each in life.pauses)
+def _paused_s(lifetime: ProcessLifetime, since: float, until: float) -> float:
+    return sum(max(0.0, min(until, pause.ended) - max(since, pause.began)) for pause in lifetime.pauses)
 
 
-def _lost_and_late(
-    rules: Rules,
-    lives: Sequence[NodeLife],
+def _lost_or_late_answers(
+    limits: RuleLimits,
+    lifetimes: Sequence[ProcessLifetime],
     records: Iterable[ClientRpcRecord],
     sockets: Mapping[int, Sequence[AcceptedSocket]],
 ) -> list[str]:
     found = []
     for record in records:
-        life = _life_of(lives, record.written_at)
-        if life is None or (life.kill_at is not None and record.written_at >= life.kill_at):
+        lifetime = _lifetime_at(lifetimes, record.written_at)
+        if lifetime is None or (lifetime.kill_at is not None and record.written_at >= lifetime.kill_at):
             continue
         connection = record.connection
         closing_at = connection.closing_at
-        crossed = closing_at is not None and record.written_at >= closing_at - CROSSING_S
-        age = f"{record.name} ({record.method.kind}) written at {record.written_at:.3f}"
+        close_race = closing_at is not None and record.written_at >= closing_at - CLOSE_RACE_S
+        description = f"{record.name} ({record.method.kind}) written at {record.written_at:.3f}"
         if len(record.answers) > 1:
-            found.append(f"duplicate: {age} has {len(record.answers)} answers")
+            found.append(f"duplicate: {description} has {len(record.answers)} answers")
         elif record.answers:
-            due = record.written_at + record.method.deadline_s + SLACK_S + rules.lateness_s
+            due = record.written_at + record.method.deadline_s + SLACK_S + limits.lateness_s
             given_at = record.answers[0].given_at
-            due += _paused_s(life, record.written_at, given_at)
-            if given_at > due and not life.killed_outright:
-                found.append(f"lost: {age} was answered {given_at - due:.3f} s late")
-        elif not (life.killed_outright or crossed):
-            found.append(f"lost: {age}: {_loss_details(record, life, sockets)}")
+            due += _paused_s(lifetime, record.written_at, given_at)
+            if given_at > due and not lifetime.killed_without_notice:
+                found.append(f"lost: {description} was answered {given_at - due:.3f} s late")
+        elif not (lifetime.killed_without_notice or close_race):
+            found.append(f"lost: {description}: {_loss_details(record, lifetime, sockets)}")
     return found
 
 
 def _loss_details(
-    record: ClientRpcRecord, life: NodeLife, sockets: Mapping[int, Sequence[AcceptedSocket]]
+    record: ClientRpcRecord, lifetime: ProcessLifetime, sockets: Mapping[int, Sequence[AcceptedSocket]]
 ) -> str:
     connection = record.connection
     lost = trace_lost_request(record, sockets)
@@ -125,16 +125,16 @@
         "closed by the node": lost.closed_at,
         "notice of the close read": connection.closing_at,
         f"ended ({connection.end_reason})": connection.ended_at,
-        "told": life.told_at,
-        "kill": life.kill_at,
-        "process ended": life.ended_at,
+        "told": lifetime.notice_at,
+        "kill": lifetime.kill_at,
+        "process ended": lifetime.ended_at,
     }
     known = (f"{name} {at:.3f}" for name, at in moments.items() if at is not None)
     return f"{lost.cause}: " + ", ".join(known)
 
 
-def _second_effects(
-    lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming]
+def _repeated_effects(
+    lifetimes: Sequence[ProcessLifetime], records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming]
 ) -> list[str]:
     """Find non-idempotent requests that took effect twice in a key window and in one process lifetime."""
     found = []
@@ -143,13 +143,13 @@
     for run in runs:
         record = by_name.get(run.handle)
         if record and record.method.kind != "read_like":
-            life = _life_of(lives, record.written_at)
-            ran_by_effect[id(life), record.method.name, record.key or record.name].append(record)
+            lifetime = _lifetime_at(lifetimes, record.written_at)
+            ran_by_effect[id(lifetime), record.method.name, record.key or record.name].append(record)
     for (_, method, key), ran in ran_by_effect.items():
         first = min(record.written_at for record in ran)
-        again = [each for each in ran if each.written_at <= first + ran[0].method.window_s]
-        if len(again) > 1:
-            found.append(f"duplicate: {method} {key} took effect {len(again)} times")
+        repeated = [each for each in ran if each.written_at <= first + ran[0].method.window_s]
+        if len(repeated) > 1:
+            found.append(f"duplicate: {method} {key} took effect {len(repeated)} times")
     return found
 
 
@@ -173,36 +173,47 @@
     return found
 
 
-def _runs_past_the_grace(
-    rules: Rules, lives: Sequence[NodeLife], records: Iterable[ClientRpcRecord], runs: Iterable[RunTiming]
+def _runs_after_grace_period(
+    limits: RuleLimits,
+    lifetimes: Sequence[ProcessLifetime],
+    records: Iterable[ClientRpcRecord],
+    runs: Iterable[RunTiming],
 ) -> list[str]:
     began = {run.handle: run.began for run in runs}
     found = []
     for record in records:
-        life = _life_of(lives, record.written_at)
-        if life is None or life.told_at is None or record.name not in began:
+        lifetime = _lifetime_at(lifetimes, record.written_at)
+        if lifetime is None or lifetime.notice_at is None or record.name not in began:
             continue
         sent_at = record.written_at  # time after the last byte was written
-        if sent_at > life.told_at + rules.grace_s + SLACK_S and began[record.name] > life.told_at:
+        if (
+            sent_at > lifetime.notice_at + limits.grace_s + SLACK_S
+            and began[record.name] > lifetime.notice_at
+        ):
             found.append(
-                f"drain: {record.name} was sent {sent_at - life.told_at:.3f} s after the drain notice and ran"
+                f"drain: {record.name}, sent {sent_at - lifetime.notice_at:.3f} s after the drain notice, ran"
             )
     return found
 
 
 def _overload(
-    rules: Rules, lives: Sequence[NodeLife], records: Sequence[ClientRpcRecord], runs: Sequence[RunTiming]
+    limits: RuleLimits,
+    lifetimes: Sequence[ProcessLifetime],
+    records: Sequence[ClientRpcRecord],
+    runs: Sequence[RunTiming],
 ) -> list[str]:
     found = []
     on_cores = highest_mean(
-        _load_samples(span for run in runs for span in run.spans_on_cores()), rules.overload_window_s
+        _load_samples(span for run in runs for span in run.spans_on_cores()), limits.overload_window_s
     )
-    if on_cores > rules.overload_factor * rules.cores:
-        found.append(f"fall-over: {on_cores:.1f} runs on {rules.cores} cores, factor {rules.overload_factor}")
-    pauses = [pause for life in lives for pause in life.pauses]
-    most_kb = highest_memory(rules, records, runs, pauses)
-    if most_kb > rules.memory_kb:
-        found.append(f"fall-over: requests took {most_kb:.0f} KB, limit {rules.memory_kb:.0f}")
+    if on_cores > limits.overload_factor * limits.cores:
+        found.append(
+            f"fall-over: {on_cores:.1f} runs on {limits.cores} cores, factor {limits.overload_factor}"
+        )
+    pauses = [pause for lifetime in lifetimes for pause in lifetime.pauses]
+    peak_kb = highest_memory(limits, records, runs, pauses)
+    if peak_kb > limits.memory_kb:
+        found.append(f"fall-over: requests took {peak_kb:.0f} KB, limit {limits.memory_kb:.0f}")
     return found
 
 
@@ -221,7 +232,10 @@
 
 
 def highest_memory(
-    rules: Rules, records: Iterable[ClientRpcRecord], runs: Sequence[RunTiming], pauses: Sequence[Pause] = ()
+    limits: RuleLimits,
+    records: Iterable[ClientRpcRecord],
+    runs: Sequence[RunTiming],
+    pauses: Sequence[Pause] = (),
 ) -> float:
     """Return the peak memory of all requests together, in kilobytes.
 
@@ -234,19 +248,21 @@
     for record in by_name.values():
         written_at = record.written_at
         for pause in pauses:
-            if pause.began <= written_at + UNCOUNTED_S and written_at <= pause.ended:
+            if pause.began <= written_at + MEMORY_COUNT_DELAY_S and written_at <= pause.ended:
                 written_at = pause.ended
-        counted_from = min(written_at + UNCOUNTED_S + rules.lateness_s, began.get(record.name, float("inf")))
+        counted_from = min(
+            written_at + MEMORY_COUNT_DELAY_S + limits.lateness_s, began.get(record.name, float("inf"))
+        )
         ended = record.answers[0].given_at if record.answers else record.connection.ended_at
         if ended is not None and ended > counted_from:
             changes += [(counted_from, record.memory_kb), (ended, -record.memory_kb)]
     for run in runs:
         record = by_name.get(run.handle)
         if record and run.ended is not None:
-            extra = record.memory_kb * (rules.run_factor - 1)
+            extra = record.memory_kb * (limits.run_factor - 1)
             changes += [(run.began, extra), (run.ended, -extra)]
-    most = used = 0.0
+    peak = used = 0.0
     for _, change in sorted(changes):
         used += change
-        most = max(most, used)
-    return most
+        peak = max(peak, used)
+    return peak
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -77,8 +77,8 @@
     """The load that one client generates."""
 
     pause_s: float  # mean time between RPCs
-    most_open: int  # limit on the open RPCs of the client
-    rest_part: float = 0.0  # probability that a pause of 1 s follows an RPC, so that the connection idles
+    max_open: int  # limit on the open RPCs of the client
+    rest_probability: float = 0.0  # probability of a pause of 1 s after an RPC; the connection then idles
 
 
 class RecordingClient:
@@ -129,18 +129,18 @@
                 continue
             connection = ConnectionRecord(self._node, time.monotonic(), client.sock.getsockname()[1])
             self.connections.append(connection)
-            self._use(client, connection)
+            self._send_on(client, connection)
 
-    def _use(self, client: Client, connection: ConnectionRecord) -> None:
+    def _send_on(self, client: Client, connection: ConnectionRecord) -> None:
         """Send RPCs on a connection until it ends, a closing notice arrives or the client is stopped."""
         open_rpcs: dict[int, ClientRpcRecord] = {}
         reader = threading.Thread(target=self._read, args=(client, connection, open_rpcs), daemon=True)
         reader.start()
         while connection.ended_at is None and connection.closing_at is None and not self._stopped.is_set():
-            if len(open_rpcs) < self._load.most_open and not self._submit(client, connection, open_rpcs):
+            if len(open_rpcs) < self._load.max_open and not self._submit(client, connection, open_rpcs):
                 break
             pause_s = self._random.expovariate(1 / self._load.pause_s)
-            self._stopped.wait(1.0 if self._random.random() < self._load.rest_part else pause_s)
+            self._stopped.wait(1.0 if self._random.random() < self._load.rest_probability else pause_s)
         longest_s = max(method.deadline_s for method in self._methods)
         end = time.monotonic() + longest_s + 1.0
         while open_rpcs and connection.ended_at is None and time.monotonic() < end:
--- a/finchcart/fault_injection/soak/report.py
+++ b/finchcart/fault_injection/soak/report.py
@@ -12,19 +12,19 @@
 from pathlib import Path
 
 from finchcart.fault_injection.soak.call_sweep import CallFault, CallSweep, all_faults
-from finchcart.fault_injection.soak.run import SoakResult, play_seeds
+from finchcart.fault_injection.soak.run import SoakResult, run_seeds
 
 Echo = Callable[[str], None]
 
 
-def play_and_report(seeds: Sequence[int], jobs: int, plant: str | None, out: str | None, echo: Echo) -> int:
+def play_and_report(seeds: Sequence[int], jobs: int, defect: str | None, out: str | None, echo: Echo) -> int:
     """Run the seeds and print a report; return 1 if a rule was broken, else 0."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(out or temporary)
         folder.mkdir(parents=True, exist_ok=True)
         load_before = os.getloadavg()[0]
-        results = play_seeds(seeds, folder, jobs, plant)
+        results = run_seeds(seeds, folder, jobs, defect)
     for line in report_lines(results):
         echo(line)
     load = f"{load_before:.1f} before, {os.getloadavg()[0]:.1f} after"
@@ -52,25 +52,25 @@
     return lines
 
 
-def sweep_and_report(start: bool, most_count: int, jobs: int, echo: Echo) -> int:
+def sweep_and_report(start: bool, max_call_number: int, jobs: int, echo: Echo) -> int:
     """Check each fault of a system call and print the problems; return 1 if there were any, else 0."""
-    faults = all_faults(most_count)
+    faults = all_faults(max_call_number)
     with tempfile.TemporaryDirectory() as temporary:
         parts = [faults[number::jobs] for number in range(jobs)]
         with ThreadPoolExecutor(jobs) as pool:
-            played = pool.map(lambda part: _play_part(Path(temporary), part, start), enumerate(parts))
-        found = [line for lines in played for line in lines]
+            checked = pool.map(lambda part: _check_faults(Path(temporary), part, start), enumerate(parts))
+        found = [line for lines in checked for line in lines]
     for line in found:
         echo(line)
     echo(f"{len(faults)} faults {'at the start' if start else 'in service'}, {len(found)} problems")
     return 1 if found else 0
 
 
-def _play_part(folder: Path, numbered: tuple[int, Sequence[CallFault]], start: bool) -> list[str]:
+def _check_faults(folder: Path, numbered: tuple[int, Sequence[CallFault]], start: bool) -> list[str]:
     number, faults = numbered
     own = folder / str(number)
     own.mkdir()
     sweep = CallSweep(own)
     if not start:
-        return sweep.play_in_service(faults)
-    return [line for fault in faults for line in sweep.play_start(fault)]
+        return sweep.check_in_service(faults)
+    return [line for fault in faults for line in sweep.check_start(fault)]
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -20,14 +20,14 @@
 from finchcart.fault_injection.processes.process_shim import ProcessShim, build_library
 from finchcart.fault_injection.soak.lost_requests import LostCause
 from finchcart.fault_injection.soak.node import SoakNode
-from finchcart.fault_injection.soak.plan import LEAVE_AT_S, NodeEvent, SoakPlan, draw_plan
+from finchcart.fault_injection.soak.plan import NOTICE_AT_S, NodeEvent, SoakPlan, draw_plan
 from finchcart.simulated_peers.store import SimulatedStore
 
 WATCH_INTERVAL_S = 0.02
-RESTART_AFTER_S = 0.2
-CLIENT_END_S = 4.0
-LATE_CLIENT_S = 0.1
-PLAY_LIMIT_S = 90.0  # time limit for the run of one seed
+RESTART_DELAY_S = 0.2
+CLIENT_END_TIMEOUT_S = 4.0
+LATE_READ_S = 0.1
+SEED_TIMEOUT_S = 90.0  # time limit for the run of one seed
 
 
 @dataclass
@@ -61,11 +61,11 @@
 
 
 class SoakRun:
-    """The run of one plan. `plant` names the defect of planted_defects.py in the nodes, or is None."""
+    """The run of one plan. `defect` names the defect of planted_defects.py in the nodes, or is None."""
 
-    def __init__(self, plan: SoakPlan, folder: Path, library: Path, plant: str | None = None) -> None:
+    def __init__(self, plan: SoakPlan, folder: Path, library: Path, defect: str | None = None) -> None:
         self.plan = plan
-        self._plant = plant
+        self._defect = defect
         self._shim = ProcessShim(library, folder, f"shim{plan.seed}")
         self._store = SimulatedStore(unique_address(), self.plan.store_work_s)
         self._store_load: list[tuple[float, float]] = []  # (time, total call-seconds used)
@@ -75,11 +75,11 @@
         self._ended = threading.Event()
         self._counts: Counter[str] = Counter()
 
-    def play(self) -> SoakResult:
+    def run(self) -> SoakResult:
         """Run the plan and return its result."""
         lateness = LatenessWatch()
         try:
-            self._play()
+            self._run_plan()
         finally:
             self._ended.set()
             for node in self._nodes:
@@ -87,13 +87,13 @@
             lateness.end()
         return self._result(lateness.worst_s)
 
-    def _play(self) -> None:
+    def _run_plan(self) -> None:
         plan = self.plan
         store_address = self._store.listener.getsockname()
         for number in range(plan.nodes):
             name = f"s{plan.seed}n{number}"
             self._nodes.append(SoakNode(plan, name, self._folder, self._shim, store_address))
-        self._each_node(lambda node: node.start(self._plant))
+        self._for_each_node(lambda node: node.start(self._defect))
         self._began = time.monotonic()
         threading.Thread(target=self._watch, daemon=True).start()
         for node in self._nodes:
@@ -106,18 +106,18 @@
                 self._shim.fail_randomly(fault.call, fault.probability, fault.error, plan.seed)
             else:
                 self._shim.shorten_randomly(fault.call, fault.probability, fault.max_bytes, plan.seed)
-        threading.Thread(target=self._play_clock, daemon=True).start()
-        self._each_node(self._play_node)
+        threading.Thread(target=self._apply_clock_events, daemon=True).start()
+        self._for_each_node(self._apply_node_events)
         for node in self._nodes:
             for client in node.clients:
                 client.stop()
-        end = time.monotonic() + CLIENT_END_S
+        end = time.monotonic() + CLIENT_END_TIMEOUT_S
         for node in self._nodes:
             for client in node.clients:
                 client.join(max(0.0, end - time.monotonic()))
 
-    def _each_node(self, act: object) -> None:
-        threads = [threading.Thread(target=act, args=(node,)) for node in self._nodes]
+    def _for_each_node(self, action: object) -> None:
+        threads = [threading.Thread(target=action, args=(node,)) for node in self._nodes]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -126,32 +126,32 @@
     def _wait_until(self, at: float) -> None:
         self._ended.wait(max(0.0, self._began + at - time.monotonic()))
 
-    def _play_clock(self) -> None:
+    def _apply_clock_events(self) -> None:
         for event in self.plan.events:
             if event.kind == "clock":
                 self._wait_until(event.at)
                 self._shim.set_clock_offset(event.value)
                 self._counts["clock step"] += 1
 
-    def _play_node(self, node: SoakNode) -> None:
+    def _apply_node_events(self, node: SoakNode) -> None:
         for event in self.plan.events:
             if event.kind != "clock" and node.pid is not None:
                 self._wait_until(event.at)
-                self._play_event(node, event)
-        self._wait_until(LEAVE_AT_S)
+                self._apply_event(node, event)
+        self._wait_until(NOTICE_AT_S)
         if node.pid is not None:
-            node.leave()
+            node.shut_down()
 
-    def _play_event(self, node: SoakNode, event: NodeEvent) -> None:
+    def _apply_event(self, node: SoakNode, event: NodeEvent) -> None:
         self._counts[event.kind] += 1
         if event.kind == "pause":
             node.pause(event.value)
         elif event.kind == "pool restart":
             node.pool.restart()
         elif event.kind == "node killed":
-            node.kill_outright()
-            time.sleep(RESTART_AFTER_S)
-            node.start(self._plant)
+            node.kill_without_notice()
+            time.sleep(RESTART_DELAY_S)
+            node.start(self._defect)
         elif event.kind == "store refuses":
             node.store_relay.refuses = True
             time.sleep(event.value)
@@ -166,21 +166,21 @@
         while not self._ended.wait(WATCH_INTERVAL_S):
             self._store_load.append((time.monotonic(), self._store.truth()["used"]))
             for node in self._nodes:
-                node.watch()
+                node.check_resources()
 
     # ---- Results
 
     def _result(self, lateness_s: float) -> SoakResult:
-        found = [line for node in self._nodes for line in node.found(lateness_s)]
+        found = [line for node in self._nodes for line in node.check_rules(lateness_s)]
         found += self._store_overload()
         self._count_faults()
         for cause in LostCause:
             self._counts[f"lost: {cause}"] += sum(f": {cause}: " in line for line in found)
         before_kill = [
-            life.kill_at - max(answers)
+            lifetime.kill_at - max(answers)
             for node in self._nodes
-            for life in node.lives
-            if life.kill_at is not None
+            for lifetime in node.lifetimes
+            if lifetime.kill_at is not None
             and (answers := [a.at for record in node.records() for a in record.answers])
         ]
         return SoakResult(
@@ -210,7 +210,7 @@
             for record in node.records():
                 counts["RPCs"] += 1
                 counts["answers read 0.1 s late by their client"] += any(
-                    answer.at - answer.given_at > LATE_CLIENT_S for answer in record.answers
+                    answer.at - answer.given_at > LATE_READ_S for answer in record.answers
                 )
                 counts[f"answered {record.answers[0].outcome}" if record.answers else "no answer"] += 1
             counts["runs"] += len(node.pool.history)
@@ -235,14 +235,14 @@
         if status is None:
             self.process.kill()
             self.process.wait()
-            return SoakResult(seed, [f"the test process did not end within {PLAY_LIMIT_S:.0f} s"])
+            return SoakResult(seed, [f"the test process did not end within {SEED_TIMEOUT_S:.0f} s"])
         if status != 0:
             return SoakResult(seed, [f"the test process failed with exit status {status}"])
         tree = json.loads(self.result_path.read_text(encoding="utf-8"))
         return SoakResult(**{**tree, "counts": Counter(tree["counts"])})
 
 
-def play_seeds(seeds: Sequence[int], folder: Path, jobs: int, plant: str | None = None) -> list[SoakResult]:
+def run_seeds(seeds: Sequence[int], folder: Path, jobs: int, defect: str | None = None) -> list[SoakResult]:
     """Run seeds, `jobs` at a time, each in a process of its own; return their results by seed."""
     library = build_library(folder)
     if library is None:
@@ -253,9 +253,9 @@
     while waiting or running:
         while waiting and len(running) < jobs:
             seed = waiting.pop(0)
-            running[seed] = _start_seed(seed, folder, library, plant)
-        for seed, play in list(running.items()):
-            result = play.result(seed)
+            running[seed] = _start_seed(seed, folder, library, defect)
+        for seed, running_seed in list(running.items()):
+            result = running_seed.result(seed)
             if result is not None:
                 del running[seed]
                 results.append(result)
@@ -263,19 +263,19 @@
     return sorted(results, key=lambda result: result.seed)
 
 
-def _start_seed(seed: int, folder: Path, library: Path, plant: str | None) -> RunningSeed:
+def _start_seed(seed: int, folder: Path, library: Path, defect: str | None) -> RunningSeed:
     # The result goes to a file: a pipe is not read during the run and would fill up with many breaches.
     result_path = folder / f"result{seed}.json"
     command = [sys.executable, "-m", "finchcart.fault_injection.soak.run"]
-    arguments = [str(seed), str(folder), str(library), str(result_path), plant or ""]
+    arguments = [str(seed), str(folder), str(library), str(result_path), defect or ""]
     process = subprocess.Popen([*command, *arguments])
-    return RunningSeed(process, result_path, time.monotonic() + PLAY_LIMIT_S)
+    return RunningSeed(process, result_path, time.monotonic() + SEED_TIMEOUT_S)
 
 
 def main() -> None:
     """Run the seed given in the arguments, and write the result to the file given there."""
-    seed, folder, library, result_path, plant = sys.argv[1:]
-    result = SoakRun(draw_plan(int(seed)), Path(folder), Path(library), plant or None).play()
+    seed, folder, library, result_path, defect = sys.argv[1:]
+    result = SoakRun(draw_plan(int(seed)), Path(folder), Path(library), defect or None).run()
     Path(result_path).write_text(json.dumps(vars(result)), encoding="utf-8")
     os._exit(0)  # exit without waiting for the threads of peers and clients
 
--- a/finchcart/fault_injection/soak/stream_relay.py
+++ b/finchcart/fault_injection/soak/stream_relay.py
@@ -16,7 +16,7 @@
 
 CHUNK_BYTES = 16 * 1024
 CONNECT_TIMEOUT_S = 1.0
-RUBBISH = b"\x00\xff\x13noise noise\r\n"
+GARBAGE = b"\x00\xff\x13noise noise\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: discards unsent bytes and sends a reset
 
 Address = tuple[str, int]
@@ -26,28 +26,28 @@
 class LinkFaults:
     """The faults of a link. Times are in seconds; 0 or None disables a fault."""
 
-    cut_every: float | None = None  # mean time between cuts; a cut ends all connections of the link
-    reset_part: float = 0.5  # probability that a cut resets connections and loses bytes; others close them
-    rubbish_part: float = 0.0  # probability that a cut sends garbage to the client first
-    delay: float = 0.0  # delay of each chunk that is sent to the client
-    small_pieces: bool = False  # forward a few bytes at a time, in both directions
+    cut_interval_s: float | None = None  # mean time between cuts; a cut ends all connections of the link
+    reset_probability: float = 0.5  # a cut resets connections and so loses bytes; other cuts close them
+    garbage_probability: float = 0.0  # a cut first sends garbage to the client
+    delay_s: float = 0.0  # delay of each chunk that is sent to the client
+    small_chunks: bool = False  # forward a few bytes at a time, in both directions
 
 
 class RelayedConnection:
     """The two sockets of a connection that passes through the relay."""
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near  # to the client
-        self.far = far  # to the server
+    def __init__(self, client: socket.socket, server: socket.socket) -> None:
+        self.client = client
+        self.server = server
         self.write_lock = threading.Lock()
 
-    def cut(self, reset: bool, rubbish: bool) -> None:
+    def cut(self, reset: bool, garbage: bool) -> None:
         """End the connection in both directions."""
         with suppress(OSError):
-            if rubbish:
+            if garbage:
                 with self.write_lock:
-                    self.near.sendall(RUBBISH)
-        for sock in (self.near, self.far):
+                    self.client.sendall(GARBAGE)
+        for sock in (self.client, self.server):
             with suppress(OSError):
                 if reset:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -72,7 +72,7 @@
         self._lock = threading.Lock()
         self._ended = threading.Event()
         self._listener = socket.create_server(address)
-        for body in (self._accept_connections, self._cut_now_and_then):
+        for body in (self._accept_connections, self._cut_repeatedly):
             threading.Thread(target=body, daemon=True).start()
 
     def end(self) -> None:
@@ -83,56 +83,56 @@
         self._listener.close()
         self.cut_all(reset=True)
 
-    def cut_all(self, reset: bool, rubbish: bool = False) -> None:
+    def cut_all(self, reset: bool, garbage: bool = False) -> None:
         """Cut all open connections."""
         with self._lock:
             connections = list(self._connections)
             self._connections.clear()
         for connection in connections:
-            self.counts["rubbish" if rubbish else "reset" if reset else "close"] += 1
-            connection.cut(reset, rubbish)
+            self.counts["rubbish" if garbage else "reset" if reset else "close"] += 1
+            connection.cut(reset, garbage)
 
-    def _cut_now_and_then(self) -> None:
+    def _cut_repeatedly(self) -> None:
         while not self._ended.is_set():
-            mean_s = self.faults.cut_every
+            mean_s = self.faults.cut_interval_s
             self._ended.wait(self._random.uniform(0.5, 1.5) * mean_s if mean_s else 0.05)
             faults = self.faults
-            if faults.cut_every:
-                reset = self._random.random() < faults.reset_part
-                self.cut_all(reset, self._random.random() < faults.rubbish_part)
+            if faults.cut_interval_s:
+                reset = self._random.random() < faults.reset_probability
+                self.cut_all(reset, self._random.random() < faults.garbage_probability)
 
     def _accept_connections(self) -> None:
         while not self._ended.is_set():
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self._pass_on, args=(near,), daemon=True).start()
+            threading.Thread(target=self._relay_connection, args=(client,), daemon=True).start()
 
-    def _pass_on(self, near: socket.socket) -> None:
+    def _relay_connection(self, client: socket.socket) -> None:
         if self.refuses:
             self.counts["refused"] += 1
-            near.close()
+            client.close()
             return
         try:
-            far = socket.create_connection(self._target(), CONNECT_TIMEOUT_S)
-            far.settimeout(None)
+            server = socket.create_connection(self._target(), CONNECT_TIMEOUT_S)
+            server.settimeout(None)
         except OSError:
-            near.close()
+            client.close()
             return
-        for sock in (near, far):
+        for sock in (client, server):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = RelayedConnection(near, far)
+        connection = RelayedConnection(client, server)
         with self._lock:
             self._connections.add(connection)
-        backwards = threading.Thread(target=self._copy, args=(connection, far, near), daemon=True)
+        backwards = threading.Thread(target=self._copy, args=(connection, server, client), daemon=True)
         backwards.start()
-        self._copy(connection, near, far)
+        self._copy(connection, client, server)
         backwards.join()
         with self._lock:
             self._connections.discard(connection)
-        near.close()
-        far.close()
+        client.close()
+        server.close()
 
     def _copy(self, connection: RelayedConnection, source: socket.socket, target: socket.socket) -> None:
         """Forward bytes until the source ends, and then shut down the sending direction of the target."""
@@ -146,9 +146,9 @@
         faults = self.faults
         while self.is_silent and not self._ended.is_set():
             time.sleep(0.01)
-        if faults.delay and target is connection.near:
-            time.sleep(faults.delay)
-        size = 7 if faults.small_pieces else len(data)
+        if faults.delay_s and target is connection.client:
+            time.sleep(faults.delay_s)
+        size = 7 if faults.small_chunks else len(data)
         for start in range(0, len(data), size):
             with connection.write_lock:
                 target.sendall(data[start : start + size])
--- a/tests/test_early_kill.py
+++ b/tests/test_early_kill.py
@@ -13,7 +13,7 @@
 import sys
 import time
 
-from finchcart.fault_injection.soak.recorded_rules import NodeLife, Rules, breaches
+from finchcart.fault_injection.soak.recorded_rules import ProcessLifetime, RuleLimits, find_breaches
 from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile, RecordingClient
 from tests.node_testbed import wait_until
 
@@ -40,7 +40,7 @@
     for client in clients:
         client.start()
     time.sleep(0.5)
-    told_at = time.monotonic()
+    notice_at = time.monotonic()
     testbed.send_signals(*signals)
     try:
         status = testbed.process.wait(EARLIEST_KILL_S)
@@ -53,10 +53,12 @@
     for client in clients:
         client.join(3)
     records = [record for client in clients for record in client.records]
-    rules = Rules(grace_s, 8.0, 3.0, 4, 1e6, 8.0)
-    life = NodeLife(began, told_at, told_at + EARLIEST_KILL_S, ended_at, killed_outright=False)
+    rules = RuleLimits(grace_s, 8.0, 3.0, 4, 1e6, 8.0)
+    lifetime = ProcessLifetime(
+        began, notice_at, notice_at + EARLIEST_KILL_S, ended_at, killed_without_notice=False
+    )
     assert len(records) > 200
-    return breaches(rules, [life], records, testbed.pool.history), status, records, life
+    return find_breaches(rules, [lifetime], records, testbed.pool.history), status, records, lifetime
 
 
 def test_all_requests_are_answered_and_the_node_ends_before_the_earliest_kill(testbed):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 from finchcart.fault_injection.processes.process_shim import build_library
 from finchcart.fault_injection.processes.socket_trace import RECORD, read_trace
 from finchcart.fault_injection.soak.lost_requests import LostCause, trace_lost_request
-from finchcart.fault_injection.soak.plan import CROWD_CLIENTS, NodeEvent, draw_plan
+from finchcart.fault_injection.soak.plan import MANY_CLIENTS, NodeEvent, draw_plan
 from finchcart.fault_injection.soak.recorded_rules import highest_mean
 from finchcart.fault_injection.soak.recording_client import (
     ClientLoad,
@@ -18,7 +18,7 @@
     ConnectionRecord,
     MethodProfile,
 )
-from finchcart.fault_injection.soak.run import SoakRun, play_seeds
+from finchcart.fault_injection.soak.run import SoakRun, run_seeds
 from finchcart.fault_injection.soak.stream_relay import LinkFaults
 from finchcart.simulated_peers.worker_pool import LoadSample
 
@@ -54,11 +54,11 @@
     grace_s=0.2,
     clients=8,
     load=ClientLoad(0.02, 6),
-    pool_link=LinkFaults(cut_every=0.1, reset_part=0.0),
+    pool_link=LinkFaults(cut_interval_s=0.1, reset_probability=0.0),
     store_link=LinkFaults(),
     random_call_faults=(),
     events=(NodeEvent(1.2, "clock", HOUR_S), NodeEvent(1.5, "clock", -HOUR_S)),
-    stamps_follow=True,
+    dispatcher_clocks_follow=True,
 )
 # Short runs on an unbroken link, so that most RPCs are served.
 MILD = replace(
@@ -70,8 +70,8 @@
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
     """The result of each seed; all seeds run once, `JOBS` at a time."""
-    played = play_seeds(SEEDS, tmp_path_factory.mktemp("soak"), JOBS)
-    return {result.seed: result for result in played}
+    soak_results = run_seeds(SEEDS, tmp_path_factory.mktemp("soak"), JOBS)
+    return {result.seed: result for result in soak_results}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -80,7 +80,7 @@
 
 
 def test_at_least_a_third_of_the_seeds_have_many_clients():
-    assert 3 * sum(draw_plan(seed).clients == CROWD_CLIENTS for seed in SEEDS) >= len(SEEDS)
+    assert 3 * sum(draw_plan(seed).clients == MANY_CLIENTS for seed in SEEDS) >= len(SEEDS)
 
 
 def test_the_seeds_together_get_many_answers(results):
@@ -89,13 +89,13 @@
 
 @pytest.mark.parametrize("defect", BREAKS)
 def test_a_planted_defect_is_found(tmp_path, defect):
-    result = SoakRun(PLANS.get(defect, MILD), tmp_path, build_library(tmp_path), defect).play()
+    result = SoakRun(PLANS.get(defect, MILD), tmp_path, build_library(tmp_path), defect).run()
     assert any(f": {BREAKS[defect]}: " in line for line in result.breaches)
 
 
 @pytest.mark.parametrize("plan", [HARSH, MILD])
 def test_the_plans_for_the_defects_break_no_rule_without_a_defect(tmp_path, plan):
-    result = SoakRun(plan, tmp_path, build_library(tmp_path)).play()
+    result = SoakRun(plan, tmp_path, build_library(tmp_path)).run()
     assert result.breaches == [] and result.counts["answered ok"] > 5
 
 
@@ -107,8 +107,8 @@
     "port, stream_end, cause",
     [
         (4000, 100, LostCause.NOT_ANSWERED),
-        (4000, 200, LostCause.CLOSED_OVER),
-        (4000, 300, LostCause.CLOSED_OVER),
+        (4000, 200, LostCause.CLOSED_BEFORE_READ),
+        (4000, 300, LostCause.CLOSED_BEFORE_READ),
         (4001, 100, LostCause.UNKNOWN),
     ],
 )
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -40,13 +40,13 @@
 
 def test_a_node_starts_despite_transient_errors_of_system_calls(tmp_path):
     sweep = CallSweep(tmp_path)
-    assert [line for fault in START_FAULTS for line in sweep.play_start(fault)] == []
+    assert [line for fault in START_FAULTS for line in sweep.check_start(fault)] == []
 
 
 def test_transient_errors_of_system_calls_in_service_lose_no_request(tmp_path):
     """Runs a seeded sample; `finchcart trial calls` runs every combination of call, error and count."""
     faults = random.Random(7).sample(all_faults(), SAMPLE_SIZE)
-    assert CallSweep(tmp_path).play_in_service(faults) == []
+    assert CallSweep(tmp_path).check_in_service(faults) == []
 
 
 class SocketWithFailingTcpInfo:
