--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -35,7 +35,7 @@
 RPCS_PER_FAULT = 5  # sent under each fault, each on its own connection
 MAX_CALL_NUMBER = 20  # default for the number of the last call that is failed
 WORK_S = 0.005
-POOL_AGE_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
+POOL_AGE_S = 60.0  # a worker pool this much older than the node was not started together with it
 # Errors that mean that the connection is broken; the requests in flight on the connection are then lost.
 CONNECTION_ERRORS = {
     SystemCall.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
--- a/finchcart/fault_injection/soak/node.py
+++ b/finchcart/fault_injection/soak/node.py
@@ -36,7 +36,7 @@
 
 READY_TIMEOUT_S = 10.0
 US_PER_S = 1_000_000
-POOL_AGE_S = 60.0  # age of the worker pool at the start, so that it does not count as restarted
+POOL_AGE_S = 60.0  # a worker pool this much older than the node was not started together with it
 
 
 class SoakNode:
--- a/finchcart/fault_injection/soak/recorded_rules.py
+++ b/finchcart/fault_injection/soak/recorded_rules.py
@@ -57,7 +57,7 @@
     notice_at: float | None  # the first drain notice
     kill_at: float | None  # the kill, or the earliest time at which it was possible
     ended_at: float
-    killed_without_notice: bool  # killed without notice; its open requests do not count as lost
+    killed_without_notice: bool  # if true, its open requests do not count as lost
     pauses: tuple[Pause, ...] = ()
 
 
@@ -185,7 +185,7 @@
         lifetime = _lifetime_at(lifetimes, record.written_at)
         if lifetime is None or lifetime.notice_at is None or record.name not in began:
             continue
-        sent_at = record.written_at  # time after the last byte was written
+        sent_at = record.written_at  # taken after the last byte was written, so not too early
         if (
             sent_at > lifetime.notice_at + limits.grace_s + SLACK_S
             and began[record.name] > lifetime.notice_at
--- a/finchcart/fault_injection/soak/recording_client.py
+++ b/finchcart/fault_injection/soak/recording_client.py
@@ -76,7 +76,7 @@
 class ClientLoad(NamedTuple):
     """The load that one client generates."""
 
-    pause_s: float  # mean time between RPCs
+    mean_interval_s: float  # between RPCs
     max_open: int  # limit on the open RPCs of the client
     rest_probability: float = 0.0  # probability of a pause of 1 s after an RPC; the connection then idles
 
@@ -129,9 +129,9 @@
                 continue
             connection = ConnectionRecord(self._node, time.monotonic(), client.sock.getsockname()[1])
             self.connections.append(connection)
-            self._send_on(client, connection)
+            self._send_rpcs(client, connection)
 
-    def _send_on(self, client: Client, connection: ConnectionRecord) -> None:
+    def _send_rpcs(self, client: Client, connection: ConnectionRecord) -> None:
         """Send RPCs on a connection until it ends, a closing notice arrives or the client is stopped."""
         open_rpcs: dict[int, ClientRpcRecord] = {}
         reader = threading.Thread(target=self._read, args=(client, connection, open_rpcs), daemon=True)
@@ -139,7 +139,7 @@
         while connection.ended_at is None and connection.closing_at is None and not self._stopped.is_set():
             if len(open_rpcs) < self._load.max_open and not self._submit(client, connection, open_rpcs):
                 break
-            pause_s = self._random.expovariate(1 / self._load.pause_s)
+            pause_s = self._random.expovariate(1 / self._load.mean_interval_s)
             self._stopped.wait(1.0 if self._random.random() < self._load.rest_probability else pause_s)
         longest_s = max(method.deadline_s for method in self._methods)
         end = time.monotonic() + longest_s + 1.0
--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -225,7 +225,7 @@
 
     process: subprocess.Popen
     result_path: Path
-    ends_by: float  # on the monotonic clock
+    ends_by: float  # time limit on the monotonic clock
 
     def result(self, seed: int) -> SoakResult | None:
         """Return the result of the run, or None while it is in progress; enforce its time limit."""
--- a/finchcart/fault_injection/soak/stream_relay.py
+++ b/finchcart/fault_injection/soak/stream_relay.py
@@ -26,7 +26,7 @@
 class LinkFaults:
     """The faults of a link. Times are in seconds; 0 or None disables a fault."""
 
-    cut_interval_s: float | None = None  # mean time between cuts; a cut ends all connections of the link
+    cut_interval_s: float | None = None  # mean of the random time between cuts; a cut ends all connections
     reset_probability: float = 0.5  # a cut resets connections and so loses bytes; other cuts close them
     garbage_probability: float = 0.0  # a cut first sends garbage to the client
     delay_s: float = 0.0  # delay of each chunk that is sent to the client
