--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -71,7 +71,7 @@
         # name -> until when its links may be too few, or it may be held for dead
         self.disturbed: dict[str, int] = {}
         self.duplicated: str | None = None  # whose name runs twice
-        self.rows: dict[tuple[str, int], dict] = {}  # (name, life) -> id -> the row it held last
+        self.rows: dict[tuple[str, int], dict] = {}  # (name, generation) -> id -> the row it held last
 
     def play(self) -> str:
         """Return the digest of all that happened; `InvariantError` where something did not hold."""
@@ -147,7 +147,7 @@
     def _check_rows(self, name: str, member: Member) -> None:
         """Rows only ever grow newer, and were written by their owner."""
         processes = self.fleet.processes
-        rows = self.rows.setdefault((name, processes[name].life), {})
+        rows = self.rows.setdefault((name, processes[name].generation), {})
         for other, known in member.known_members.items():
             before = rows.get(other)
             row = known.record
--- a/finchcart/fault_injection/membership/simulation.py
+++ b/finchcart/fault_injection/membership/simulation.py
@@ -61,7 +61,7 @@
 
     def start(self, name: str, wall_clock_offset_ms: int = 0, member_name: str | None = None) -> None:
         """Start a process, under another member's name if one is given."""
-        process = self.begin_life(name)
+        process = self.reset_process(name)
         seeds = [other.address for other in list(self.processes.values())[: self.seed_members]]
         process.machine = self.make(
             member_name or name,
@@ -69,12 +69,12 @@
             process.address,
             seeds,
             self.config,
-            Random(f"{self.seed} {name} {process.life}"),
+            Random(f"{self.seed} {name} {process.generation}"),
             WALL_CLOCK_MS + self.now // 1000 + wall_clock_offset_ms,
             self.now,
         )
         first_tick = self.now + self.random.randrange(self.config.tick)
-        self.schedule(first_tick, self.tick, name, process.life)
+        self.schedule(first_tick, self.tick, name, process.generation)
 
     def tick_interval(self, process: MemberProcess) -> int:
         """Return the time to the next tick: longer by chance for a starved process."""
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -146,7 +146,9 @@
         if kind == QuotaFault.STOP:
             name = self.random.choice(running)
             self.stop(name)
-            self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, self.processes[name].life)
+            self.schedule(
+                self._seconds_from_now(1, 30), self._resume_generation, name, self.processes[name].generation
+            )
         elif kind == QuotaFault.KILL:
             name = self.random.choice(running)
             self.kill(name)
@@ -161,7 +163,7 @@
         if not process.machine or process.stopped:
             return
         self.stop_before_write(name)
-        self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, process.life)
+        self.schedule(self._seconds_from_now(1, 30), self._resume_generation, name, process.generation)
         if kind == QuotaFault.NAME_ELSEWHERE:
             self.schedule(self.now + SECOND, self._start_elsewhere, name)
 
@@ -194,7 +196,7 @@
             self.schedule(until, self._start_again, leader)
         else:
             self.stop(leader)
-            self.schedule(until, self._resume_life, leader, self.processes[leader].life)
+            self.schedule(until, self._resume_generation, leader, self.processes[leader].generation)
 
     def _change_nodes(self, kind: QuotaFault) -> None:
         if kind == QuotaFault.DEMAND:
@@ -233,9 +235,9 @@
         if reset:
             self.schedule(until, self._set_rule, pairs, 0, reset, None)
 
-    def _resume_life(self, name: str, life: int) -> None:
+    def _resume_generation(self, name: str, generation: int) -> None:
         process = self.processes[name]
-        if process.life == life and process.stopped:
+        if process.generation == generation and process.stopped:
             self.resume(name)
 
     def _restart(self, name: str, after: int) -> None:
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -102,10 +102,10 @@
 
     def start(self, name: str) -> None:
         """Start the process of that name."""
-        process = self.begin_life(name)
+        process = self.reset_process(name)
         process.pending_call = None
         own_time = self.clock(process)
-        random = Random(f"{self.seed} {name} {process.life}")
+        random = Random(f"{self.seed} {name} {process.generation}")
         if process.is_node:
             process.limiter = self._make_limiter()
             process.limiter.now_us = own_time
@@ -114,7 +114,7 @@
             process.machine = self.factories.planner(
                 process.address, FLEET_NAME, self.quota, random, own_time
             )
-        self.schedule(self.now + self.random.randrange(TICK_US), self.tick, name, process.life)
+        self.schedule(self.now + self.random.randrange(TICK_US), self.tick, name, process.generation)
 
     def _make_limiter(self) -> CallConcurrencyLimiter | RateLimiter:
         kind = RateLimiter if self.is_rate else CallConcurrencyLimiter
--- a/finchcart/fault_injection/virtual_time/driver.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -79,7 +79,7 @@
     stopped: bool = False
     buffered: list[tuple] = field(default_factory=list)  # datagrams received while the process is stopped
     # Incremented by each start and kill, so that timers of an earlier process are ignored.
-    life: int = 0
+    generation: int = 0
 
     @cached_property
     def endpoint(self) -> tuple[str, int]:
@@ -124,20 +124,20 @@
 
     # ---- process control
 
-    def begin_life(self, name: str) -> ProcessT:
+    def reset_process(self, name: str) -> ProcessT:
         """Discard the state of the previous process of this name.
 
         The caller sets the state machine of the new process.
         """
         process = self.processes[name]
-        process.life += 1
+        process.generation += 1
         process.stopped = False
         process.buffered = []
         return process
 
     def kill(self, name: str) -> None:
         """Kill the process without notice."""
-        self.begin_life(name).machine = None
+        self.reset_process(name).machine = None
 
     def stop(self, name: str) -> None:
         """Suspend the process, as SIGSTOP does."""
@@ -153,14 +153,14 @@
             self.feed(name, machine_input)
         self.feed(name, Tick())
 
-    def tick(self, name: str, life: int) -> None:
+    def tick(self, name: str, generation: int) -> None:
         """Pass a tick to the process and schedule the next, unless it was replaced or killed."""
         process = self.processes[name]
-        if process.life != life:
+        if process.generation != generation:
             return
         self.feed(name, Tick())
         self.after_tick(process)
-        self.schedule(self.now + self.tick_interval(process), self.tick, name, life)
+        self.schedule(self.now + self.tick_interval(process), self.tick, name, generation)
 
     def feed(self, name: str, machine_input: tuple) -> None:
         """Pass an input to a process's state machine and perform the resulting effects.
