--- a/finchcart/fault_injection/consensus/simulation.py
+++ b/finchcart/fault_injection/consensus/simulation.py
@@ -182,7 +182,7 @@
 
     def after_step(self, _: object) -> None:
         """Check that no gossip entry is taken to be younger than it is, and the bounds of every table."""
-        name = self.last_fed
+        name = self.last_active_name
         member = self.processes[name].machine if name else None
         if member is None:
             return
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -117,7 +117,7 @@
 
     def check_invariants(self, fleet: MembershipSimulation) -> None:
         """Check the bounds and the rows of the member that acted last."""
-        name = fleet.last_fed
+        name = fleet.last_active_name
         if name is None or name not in NAMES:
             return
         member = fleet.processes[name].machine
--- a/finchcart/fault_injection/virtual_time/driver.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -98,7 +98,7 @@
         super().__init__(seed, latency)
         self.processes: dict[str, ProcessT] = {}
         self.names_by_address: dict[str, str] = {}
-        self.last_fed: str | None = None  # name of the process that handled the last input
+        self.last_active_name: str | None = None  # the process that handled the last input
 
     def add_process(self, process: ProcessT) -> None:
         """Register a process that is not running yet."""
@@ -174,7 +174,7 @@
             if isinstance(machine_input, DatagramReceived) and len(process.buffered) < MAX_BUFFERED_DATAGRAMS:
                 process.buffered.append(machine_input)
             return
-        self.last_fed = name
+        self.last_active_name = name
         for effect in process.machine.reduce(self.clock(process), machine_input):
             if not isinstance(effect, SendDatagram):
                 self.handle_effect(process, effect)
