--- a/finchcart/fault_injection/soak/call_sweep.py
+++ b/finchcart/fault_injection/soak/call_sweep.py
@@ -1,8 +1,8 @@
-"""Each system call of a node, failed in each documented way, at each count in turn.
+"""Fails each system call of a node with each documented error, at the first call, the second call and so on.
 
-Owns the processes of a sweep. As SQLite does with allocations: the call with number 1, 2, 3, … fails, until a
-run ends in which none failed. It must never take for a fault of the node what the error itself says: a
-connection of a client's that is broken by its own error is not served.
+SQLite tests failures of memory allocation in the same way. Each node has its own simulated peers, and each
+node process is ended with its sweep. An RPC that fails only because the injected error broke its connection
+is not reported as a fault of the node.
 """
 
 import errno
@@ -17,12 +17,12 @@
 from typing import NamedTuple
 
 from finchcart.fault_injection.processes.child_processes import CHILD_ENV
-from finchcart.fault_injection.processes.loopback_addresses import own_address
-from finchcart.fault_injection.processes.node_configuration import EXAMPLE
+from finchcart.fault_injection.processes.loopback_addresses import unique_address
+from finchcart.fault_injection.processes.node_configuration import EXAMPLE_CONFIGURATION
 from finchcart.fault_injection.processes.process_shim import (
     DOCUMENTED_ERRORS,
-    Call,
     ProcessShim,
+    SystemCall,
     build_library,
 )
 from finchcart.simulated_peers.client import Client, ClientOutcome
@@ -30,70 +30,70 @@
 from finchcart.simulated_peers.store import SimulatedStore
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-METHODS = {"look-up": True, "book": False}  # whether their runs make a call
-READY_S = 10.0
-RPCS = 5  # on connections of their own, while a call fails
-MOST_COUNT = 20
+METHODS = {"look-up": True, "book": False}  # method name -> whether its runs make a call
+READY_TIMEOUT_S = 10.0
+RPCS_PER_FAULT = 5  # sent under each fault, each on its own connection
+MAX_CALL_NUMBER = 20  # default for the number of the last call that is failed
 WORK_S = 0.005
-LONG_AGO_S = 60.0
-# Errors that say of a connection that it is broken: what it carried from a client is lost with it.
-BREAKING = {
-    Call.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
-    Call.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
+POOL_AGE_S = 60.0  # a worker pool this much older than the node was not started together with it
+# Errors that mean that the connection is broken; the requests in flight on the connection are then lost.
+CONNECTION_ERRORS = {
+    SystemCall.RECV: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
+    SystemCall.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
 }
 
 
 class CallFault(NamedTuple):
-    """One fault: this call fails with this errno at this count, and `times` in all."""
+    """One fault: `failures` calls in a row, from number `call_number` on, fail with the errno `error`."""
 
-    call: Call
+    call: SystemCall
     error: int
-    count: int
-    times: int = 1
+    call_number: int
+    failures: int = 1
 
     @property
     def breaks_connections(self) -> bool:
-        """Whether the error says that a connection is broken."""
-        return self.error in BREAKING.get(self.call, ())
+        """Whether the error means that a connection is broken."""
+        return self.error in CONNECTION_ERRORS.get(self.call, ())
 
     def __str__(self) -> str:
-        return f"{self.call.name.lower()} {self.count}+{self.times}: {os.strerror(self.error)}"
+        return f"{self.call.name.lower()} {self.call_number}+{self.failures}: {os.strerror(self.error)}"
 
 
-def all_faults(most_count: int = MOST_COUNT) -> list[CallFault]:
-    """Return a fault for each call, documented error and count."""
+def all_faults(max_call_number: int = MAX_CALL_NUMBER) -> list[CallFault]:
+    """Return a fault for each combination of call, documented error and call number."""
     return [
-        CallFault(call, error, count)
+        CallFault(call, error, call_number)
         for call, errors in DOCUMENTED_ERRORS.items()
         for error in errors
-        for count in range(1, most_count + 1)
+        for call_number in range(1, max_call_number + 1)
     ]
 
 
 class CallSweep:
-    """Starts nodes with the library loaded, beside peers of their own; lines tell what went wrong."""
+    """Checks nodes with the preloaded library, each with its own peers; returns a line for each problem."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         library = build_library(folder)
         if library is None:
-            raise RuntimeError("no C compiler")
+            raise RuntimeError("no C compiler found; it is needed to build the fault-injection library")
         self._library = library
         self._nodes = 0
 
-    def play_start(self, fault: CallFault) -> list[str]:
-        """Fail the call while a node starts; it is to serve even so."""
+    def check_start(self, fault: CallFault) -> list[str]:
+        """Inject the fault while a node starts, and check that the node serves RPCs nevertheless."""
         node = ShimmedNode(self._folder, self._library, self._next_name())
         try:
-            node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
+            node.shim.fail_at(fault.call, fault.call_number, fault.error, fault.failures)
             node.start()
             problem = node.wait_until_serving()
             return [f"start, {fault}: {problem}"] if problem else []
         finally:
             node.end()
 
-    def play_in_service(self, faults: Iterable[CallFault]) -> list[str]:
-        """Fail the calls of one node, one after the other, while it serves."""
+    def check_in_service(self, faults: Iterable[CallFault]) -> list[str]:
+        """Inject the faults into one node, one after the other, while it serves RPCs."""
         found: list[str] = []
         node = ShimmedNode(self._folder, self._library, self._next_name())
         try:
@@ -102,18 +102,18 @@
             if problem:
                 return [f"start: {problem}"]
             for fault in faults:
-                found += self._play_fault(node, fault)
+                found += self._check_fault(node, fault)
         finally:
             node.end()
         return found
 
-    def _play_fault(self, node: "ShimmedNode", fault: CallFault) -> list[str]:
-        node.shim.fail_at(fault.call, fault.count, fault.error, fault.times)
-        outcomes = [node.outcome_of_rpc() for _ in range(RPCS)]
+    def _check_fault(self, node: "ShimmedNode", fault: CallFault) -> list[str]:
+        node.shim.fail_at(fault.call, fault.call_number, fault.error, fault.failures)
+        outcomes = [node.outcome_of_rpc() for _ in range(RPCS_PER_FAULT)]
         node.shim.stop_failing(fault.call)
         wrong = [outcome for outcome in outcomes if outcome != ClientOutcome.OK]
-        if fault.breaks_connections or fault.call is Call.CONNECT:
-            wrong = []  # the client's connection, or its run's only call, is the one that broke
+        if fault.breaks_connections or fault.call is SystemCall.CONNECT:
+            wrong = []  # the fault broke the client's connection or the run's only call
         after = node.wait_until_serving()
         if after:
             return [f"in service, {fault}: {after}"]
@@ -125,23 +125,23 @@
 
 
 class ShimmedNode:
-    """A node with the library loaded, and its peers in this process."""
+    """A node process with the preloaded library; its simulated peers run in this process."""
 
     def __init__(self, folder: Path, library: Path, name: str) -> None:
         self.shim = ProcessShim(library, folder, name)
         self._log_path = folder / f"{name}.log"
         self._config_path = folder / f"{name}.json"
         self._process: subprocess.Popen | None = None
-        addresses = {party: own_address() for party in ("listen", "pool", "store", "roster")}
+        addresses = {party: unique_address() for party in ("listen", "pool", "store", "roster")}
         self._listen = addresses["listen"]
         texts = {party: f"{host}:{port}" for party, (host, port) in addresses.items()}
-        self._config_path.write_text(json.dumps({**EXAMPLE, "name": name, **texts}))
-        SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= LONG_AGO_S
+        self._config_path.write_text(json.dumps({**EXAMPLE_CONFIGURATION, "name": name, **texts}))
+        SimulatedWorkerPool(addresses["pool"], METHODS, WORK_S).started -= POOL_AGE_S
         SimulatedStore(addresses["store"])
         SimulatedRegistry(addresses["roster"], on_change=lambda text: None)
 
     def start(self) -> None:
-        """Start the process as the deploy file does."""
+        """Start the process with the command that the deployment uses."""
         environment = {**os.environ, **CHILD_ENV, **self.shim.environment}
         environment["ROUTER_CONFIG"] = str(self._config_path)
         with self._log_path.open("wb") as log:
@@ -149,25 +149,25 @@
             self._process = subprocess.Popen(command, stderr=log, env=environment)
 
     def wait_until_serving(self) -> str:
-        """Return what is wrong, or nothing once an RPC is served."""
-        end = time.monotonic() + READY_S
-        outcome = "not reached"
+        """Wait until the node serves an RPC; return an empty string, or a description of the problem."""
+        end = time.monotonic() + READY_TIMEOUT_S
+        outcome = "no RPC was sent"
         while time.monotonic() < end:
             status = self._process.poll()
             if status is not None:
                 return f"ended with status {status}: {self._last_log_line()}"
             outcome = self.outcome_of_rpc()
             if outcome == ClientOutcome.OK:
-                return "" if "Traceback" not in self._log_path.read_text() else "a traceback in its log"
+                return "" if "Traceback" not in self._log_path.read_text() else "traceback in the node's log"
             time.sleep(0.02)
-        return f"does not serve: {outcome}"
+        return f"does not serve RPCs: {outcome}"
 
     def outcome_of_rpc(self) -> str:
-        """Return what became of one RPC on a connection of its own."""
+        """Send one RPC on a new connection and return its outcome, or why there is none."""
         try:
             client = Client(self._listen)
         except OSError as error:
-            return f"not connected: {error}"
+            return f"connection failed: {error}"
         try:
             sequence = client.submit("look-up", b"x" * 100)
             answer = client.answer()
@@ -181,10 +181,10 @@
 
     def _last_log_line(self) -> str:
         lines = self._log_path.read_text(errors="replace").splitlines()
-        return lines[-1] if lines else "nothing logged"
+        return lines[-1] if lines else "empty log"
 
     def end(self) -> None:
-        """End the process."""
+        """Kill the process if it is running."""
         if self._process and self._process.poll() is None:
             with suppress(OSError):
                 self._process.kill()
--- a/finchcart/fault_injection/soak/plan.py
+++ b/finchcart/fault_injection/soak/plan.py
@@ -1,6 +1,6 @@
-"""What one seed of the soak does: settings, load, faults and signals, all drawn before it starts.
+"""Draws the plan of a soak test from its seed: settings, load, faults and signals.
 
-Owns the ranges that are drawn from. It must never depend on what happens in a run.
+The whole plan is drawn before the run starts and must not depend on anything that happens in the run.
 """
 
 import errno
@@ -8,16 +8,17 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from finchcart.fault_injection.processes.process_shim import Call
+from finchcart.fault_injection.processes.process_shim import SystemCall
 from finchcart.fault_injection.soak.recording_client import ClientLoad, MethodProfile
 from finchcart.fault_injection.soak.stream_relay import LinkFaults
 
 HOUR_S = 3600
 CLOCK_OFFSETS_S = (HOUR_S, -HOUR_S, 2, -2, 0.3, 0)
 FAULTS_BEGIN_S = 0.3
-LEAVE_AT_S = 2.4  # the notice to leave, after the load began
-CROWD_CLIENTS = 30  # of one node
-MOST_DEADLINE_S = 3.0
+NOTICE_AT_S = 2.4  # time of the drain notice, from the start of the load
+MANY_CLIENTS = 30  # clients of one node in a plan with many clients
+# The rule for the earliest kill, as in finchcart/limits.py.
+MAX_COUNTED_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
 SIGNAL_SERIES = (
     (signal.SIGTERM,),
@@ -28,43 +29,46 @@
 
 
 @dataclass(frozen=True)
-class CallChance:
-    """A part of one system call's uses that fails, or comes back short."""
+class RandomCallFault:
+    """Makes one system call fail with a probability, or transfer at most `max_bytes` where `error` is 0."""
 
-    call: Call
-    part: float
+    call: SystemCall
+    probability: float
     error: int = 0
-    most_bytes: int = 0
-
-
-CALL_CHANCES = (
-    CallChance(Call.RECV, 0.05, errno.EINTR),
-    CallChance(Call.RECV, 0.2, most_bytes=3),
-    CallChance(Call.RECV, 0.01, errno.ENOMEM),
-    CallChance(Call.SEND, 0.2, most_bytes=5),
-    CallChance(Call.SEND, 0.02, errno.ENOBUFS),
-    CallChance(Call.SENDTO, 0.3, errno.ENETUNREACH),
-    CallChance(Call.SETSOCKOPT, 0.1, errno.ENOBUFS),
-    CallChance(Call.ACCEPT, 0.2, errno.ECONNABORTED),
-    CallChance(Call.ACCEPT, 0.1, errno.ENFILE),
-    CallChance(Call.SOCKET, 0.1, errno.ENFILE),
-    CallChance(Call.CONNECT, 0.1, errno.ENETUNREACH),
-    CallChance(Call.CONNECT, 0.1, errno.EADDRNOTAVAIL),
-    CallChance(Call.THREAD, 0.05, errno.EAGAIN),
-    CallChance(Call.WRITE, 1.0, errno.ENOSPC),
+    max_bytes: int = 0
+
+
+RANDOM_CALL_FAULTS = (
+    RandomCallFault(SystemCall.RECV, 0.05, errno.EINTR),
+    RandomCallFault(SystemCall.RECV, 0.2, max_bytes=3),
+    RandomCallFault(SystemCall.RECV, 0.01, errno.ENOMEM),
+    RandomCallFault(SystemCall.SEND, 0.2, max_bytes=5),
+    RandomCallFault(SystemCall.SEND, 0.02, errno.ENOBUFS),
+    RandomCallFault(SystemCall.SENDTO, 0.3, errno.ENETUNREACH),
+    RandomCallFault(SystemCall.SETSOCKOPT, 0.1, errno.ENOBUFS),
+    RandomCallFault(SystemCall.ACCEPT, 0.2, errno.ECONNABORTED),
+    RandomCallFault(SystemCall.ACCEPT, 0.1, errno.ENFILE),
+    RandomCallFault(SystemCall.SOCKET, 0.1, errno.ENFILE),
+    RandomCallFault(SystemCall.CONNECT, 0.1, errno.ENETUNREACH),
+    RandomCallFault(SystemCall.CONNECT, 0.1, errno.EADDRNOTAVAIL),
+    RandomCallFault(SystemCall.THREAD, 0.05, errno.EAGAIN),
+    RandomCallFault(SystemCall.WRITE, 1.0, errno.ENOSPC),
 )
 
 
 @dataclass(frozen=True)
 class NodeEvent:
-    """Something that is done to a node at a time after the load began, in seconds."""
+    """A fault of a node; `at` is in seconds from the start of the load.
+
+    `value` is in seconds: the offset of a "clock" event, else the duration, where the event has one.
+    """
 
     at: float
     kind: str  # "clock" or one of NODE_EVENTS
     value: float = 0.0
 
 
-# What happens to one node; a clock step is one of the machine, and of all nodes.
+# Faults that affect one node. A "clock" event is not listed, as it affects all nodes of the machine.
 NODE_EVENTS = (
     "pause",
     "pool restart",
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One run. Times are seconds."""
+    """The plan of one soak run. Times are in seconds."""
 
     seed: int
     nodes: int
@@ -94,27 +98,27 @@
     stop_s: float
     memory_mb: int
     sockets: int
-    clients: int  # of each node
+    clients: int  # per node
     load: ClientLoad
     pool_link: LinkFaults
     store_link: LinkFaults
-    call_chances: tuple[CallChance, ...]
+    random_call_faults: tuple[RandomCallFault, ...]
     events: tuple[NodeEvent, ...]
-    stamps_follow: bool  # dispatchers' clocks step with the node's
+    dispatcher_clocks_follow: bool  # the clocks of dispatchers step together with the clocks of nodes
     signals: tuple[signal.Signals, ...]
 
     @property
     def earliest_kill_s(self) -> float:
-        """How soon after the notice the kill may come."""
+        """The shortest time from the drain notice to the kill."""
         longest_s = max(method.deadline_s for method in self.methods)
-        return min(self.stop_s, min(longest_s, MOST_DEADLINE_S) + KILL_DELAY_S)
+        return min(self.stop_s, min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S)
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """Return the plan of a seed; the same each time."""
+    """Return the plan of a seed; the same seed always gives the same plan."""
     random = Random(seed)
     deadline_s = random.choice((0.6, 0.8, 1.2, 2.0))
-    is_crowd = random.random() < 0.3
+    has_many_clients = random.random() < 0.3
     plan = SoakPlan(
         seed=seed,
         nodes=random.choice((1, 2)),
@@ -131,13 +135,13 @@
         stop_s=3.2,
         memory_mb=random.choice((64, 96)),
         sockets=random.choice((128, 256)),
-        clients=CROWD_CLIENTS if is_crowd else random.randint(4, 10),
-        load=ClientLoad(0.02, 8) if is_crowd else ClientLoad(random.choice((0.01, 0.04)), 6, 0.02),
+        clients=MANY_CLIENTS if has_many_clients else random.randint(4, 10),
+        load=ClientLoad(0.02, 8) if has_many_clients else ClientLoad(random.choice((0.01, 0.04)), 6, 0.02),
         pool_link=_link_faults(random),
         store_link=_link_faults(random),
-        call_chances=tuple(random.sample(CALL_CHANCES, random.randint(0, 4))),
+        random_call_faults=tuple(random.sample(RANDOM_CALL_FAULTS, random.randint(0, 4))),
         events=(),
-        stamps_follow=random.random() < 0.7,
+        dispatcher_clocks_follow=random.random() < 0.7,
         signals=random.choice(SIGNAL_SERIES),
     )
     return replace(plan, events=_events(random))
@@ -153,21 +157,21 @@
 
 def _link_faults(random: Random) -> LinkFaults:
     return LinkFaults(
-        cut_every=random.choice((None, 0.1, 0.3, 0.5)),
-        reset_part=random.choice((0.0, 0.5, 1.0)),
-        rubbish_part=random.choice((0.0, 0.5)),
-        delay=random.choice((0.0, 0.0, 0.03)),
-        small_pieces=random.random() < 0.2,
+        cut_interval_s=random.choice((None, 0.1, 0.3, 0.5)),
+        reset_probability=random.choice((0.0, 0.5, 1.0)),
+        garbage_probability=random.choice((0.0, 0.5)),
+        delay_s=random.choice((0.0, 0.0, 0.03)),
+        small_chunks=random.random() < 0.2,
     )
 
 
 def _events(random: Random) -> tuple[NodeEvent, ...]:
     events = []
     if random.random() < 0.5:
-        begin = random.choice((FAULTS_BEGIN_S, 1.0, LEAVE_AT_S + 0.1))  # the last: within the grace
+        begin = random.choice((FAULTS_BEGIN_S, 1.0, NOTICE_AT_S + 0.1))  # the last is in the grace period
         offsets = random.sample(CLOCK_OFFSETS_S, random.randint(1, 3))
         events += [NodeEvent(begin + 0.3 * step, "clock", offset) for step, offset in enumerate(offsets)]
     for kind in random.sample(NODE_EVENTS, random.randint(0, 3)):
-        at = random.uniform(FAULTS_BEGIN_S, LEAVE_AT_S - 0.3)
+        at = random.uniform(FAULTS_BEGIN_S, NOTICE_AT_S - 0.3)
         events.append(NodeEvent(at, kind, random.uniform(0.2, 0.6)))
     return tuple(sorted(events, key=lambda event: event.at))
--- a/finchcart/fault_injection/soak/planted_defects.py
+++ b/finchcart/fault_injection/soak/planted_defects.py
@@ -1,7 +1,8 @@
-"""A node with a defect, to show that checks see it: `python -m` with this module's name.
+"""Runs a node with a deliberate defect, to test that the soak test detects the defect.
 
-Owns the defects, by the name in the environment variable FINCHCART_PLANT. It must never be started but by a
-run with faults: each defect breaks a rule.
+Start it with `python -m finchcart.fault_injection.soak.planted_defects`; the environment variable
+FINCHCART_PLANT names the defect. Only fault-injection runs may start it, since each defect breaks a rule of
+recorded_rules.py.
 """
 
 import os
@@ -17,12 +18,12 @@
 from finchcart.node_process import exit_process, run_node
 from finchcart.thrift.frontend import ThriftFrontend
 
-VARIABLE = "FINCHCART_PLANT"
-ANSWERS_PER_LOSS = 40
+DEFECT_VARIABLE = "FINCHCART_PLANT"
+ANSWERS_PER_LOSS = 40  # one of this many answers is dropped
 
 
 def lose_answers() -> None:
-    """Rule 1: some final answers are never sent."""
+    """Break rule 1: some final answers are never sent."""
     send = ThriftFrontend.send_final_answer
     sent = [0]
 
@@ -38,7 +39,7 @@
 
 
 def forget_keys() -> None:
-    """Rule 2: no RPC is known as a duplicate of another."""
+    """Break rule 2: the node recognises no RPC as a duplicate of another."""
 
     def entry_for(
         self: IdempotencyCache, key: tuple[str, str], index: int, digest: bytes, arrived_at: int
@@ -48,14 +49,14 @@
     IdempotencyCache.entry_for = entry_for
 
 
-def start_effects_again() -> None:
-    """Rule 2: every start is written again after a new connection, also of what has an effect."""
+def resend_starts() -> None:
+    """Break rule 2: after a reconnection, every start of a run is sent again, also of non-idempotent runs."""
     run = WorkerPoolClient.run
     WorkerPoolClient.run = lambda self, rpc, idempotent: run(self, rpc, True)
 
 
-def serve_past_the_grace() -> None:
-    """Rule 3: the grace never ends."""
+def serve_after_grace_period() -> None:
+    """Break rule 3: the grace period lasts until the termination deadline."""
     GracefulShutdown.end_grace = lambda self, now: None
     begin = GracefulShutdown.begin
 
@@ -67,7 +68,7 @@
 
 
 def forget_runs() -> None:
-    """Rule 4: a run whose start may have been read counts as stopped."""
+    """Break rule 4: an unconfirmed run, which the worker pool may have started, counts as ended."""
 
     def add(self: UnconfirmedRuns, rpc: object, limit_us: int, first_end: object = None) -> None:
         self._on_expired(rpc, first_end)
@@ -76,8 +77,8 @@
     CommandJournal.confirm_before = lambda self, ticket: None
 
 
-def count_on_the_wall_clock() -> None:
-    """Spans: the node's time is the wall clock."""
+def use_wall_clock() -> None:
+    """Measure durations on the wall clock, so that clock steps change them."""
     from finchcart import event_loop
     from finchcart.net import clock, connections, reader
 
@@ -89,8 +90,8 @@
     event_loop.read_clocks = lambda: clock.ClockReading(wall_clock(), wall_clock())
 
 
-def count_on_a_late_kill() -> None:
-    """Let the node take `stop_ms` for the earliest kill."""
+def expect_late_kill() -> None:
+    """Break rule 1: the node expects the kill only after `stop_ms`."""
     from finchcart import limits
 
     limits.KILL_DELAY_US = 1000 * limits.SECOND
@@ -99,17 +100,17 @@
 DEFECTS: dict[str, Callable[[], None]] = {
     "lost": lose_answers,
     "duplicate": forget_keys,
-    "started again": start_effects_again,
-    "drain": serve_past_the_grace,
+    "started again": resend_starts,
+    "drain": serve_after_grace_period,
     "fall-over": forget_runs,
-    "clock": count_on_the_wall_clock,
-    "early kill": count_on_a_late_kill,
+    "clock": use_wall_clock,
+    "early kill": expect_late_kill,
 }
 
 
 def main() -> None:
-    """Plant the defect, and run a node."""
-    DEFECTS[os.environ[VARIABLE]]()
+    """Install the defect and run a node."""
+    DEFECTS[os.environ[DEFECT_VARIABLE]]()
     exit_process(run_node())
 
 
