--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -1,6 +1,6 @@
 """The election of the leading planner: leases by majority, without a disk.
 
-Owns this planner's candidature; its votes are those of acceptor.py. It must never send anything
+Owns this planner's candidacy; its votes are those of acceptor.py. It must never send anything
 itself: messages are collected in `outbox`. `now` is the boot clock in whole microseconds.
 
 The protocol is PaxosLease (M. Trencseni, A. Gazso and H. Reinhardt, "PaxosLease: Diskless Paxos for Leases",
@@ -39,7 +39,7 @@
     message: ElectionMessage
 
 
-class Candidature:
+class Candidacy:
     """A proposer's attempt to be elected: first promises are counted, then votes."""
 
     def __init__(self, ballot: Ballot) -> None:
@@ -76,8 +76,8 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.acceptor = Acceptor(quota, now)
-        self.candidature: Candidature | None = None
-        self.next_candidature_at = now + quota.startup_quiet_period + random.randrange(quota.election_retry)
+        self.candidacy: Candidacy | None = None
+        self.next_candidacy_at = now + quota.startup_quiet_period + random.randrange(quota.election_retry)
         self.highest_term = 0  # that was observed
         self.is_leader = False
         self.term = 0
@@ -117,74 +117,74 @@
 
     def on_tick(self, now: int) -> None:
         """Stand for election, or renew the own lease."""
-        if now < self.next_candidature_at:
+        if now < self.next_candidacy_at:
             return
         if self.is_leader:
             if now >= self.leads_until - self.quota.leader_lease_duration // 2:
-                self.next_candidature_at = now + self.quota.election_retry
+                self.next_candidacy_at = now + self.quota.election_retry
                 self.campaign(now)
         elif self.acceptor.may_vote(now):
-            self._delay_candidature(now)
+            self._delay_candidacy(now)
             if self.acceptor.current_lease(now) is None:
                 self.campaign(now)
 
     def step_down(self, now: int) -> None:
         """Give up leadership."""
         self.is_leader = False
-        self.candidature = None
-        self._delay_candidature(now)
+        self.candidacy = None
+        self._delay_candidacy(now)
 
-    def _delay_candidature(self, now: int) -> None:
+    def _delay_candidacy(self, now: int) -> None:
         retry = self.quota.election_retry
-        self.next_candidature_at = now + self.random.randrange(retry, 2 * retry)
+        self.next_candidacy_at = now + self.random.randrange(retry, 2 * retry)
 
     # ---- proposer
 
     @property
     def quorum(self) -> int:
-        """The number of promises or votes that a candidature needs, the own included."""
+        """The number of promises or votes that a candidacy needs, the own included."""
         return leases.quorum(len(self.others) + 1)
 
     def campaign(self, now: int) -> None:
         """Prepare a ballot greater than any observed."""
         self.highest_term += 1
         ballot = Ballot(self.highest_term, self.session)
-        self.candidature = Candidature(ballot)
+        self.candidacy = Candidacy(ballot)
         prepare = Prepare(ballot, self.timing_digest)
         self._broadcast(prepare)
         self.on_prepare(now, self.own_address, prepare)
 
     def on_promise(self, now: int, sender: HostPort, promise: Promise) -> None:
         """Count a promise; with a majority of them the lease is proposed."""
-        candidature = self.candidature
-        if candidature is None or promise.ballot != candidature.ballot or candidature.proposed_at is not None:
+        candidacy = self.candidacy
+        if candidacy is None or promise.ballot != candidacy.ballot or candidacy.proposed_at is not None:
             return
         if promise.accepted is not None and promise.accepted.owner != self.session:
             return  # the lease of another is not over at that acceptor: its vote is not free
-        candidature.voters.add(sender)
-        if len(candidature.voters) >= self.quorum:
-            candidature.propose(now)
-            propose = Propose(candidature.ballot, self.session)
+        candidacy.voters.add(sender)
+        if len(candidacy.voters) >= self.quorum:
+            candidacy.propose(now)
+            propose = Propose(candidacy.ballot, self.session)
             self._broadcast(propose)
             self.on_propose(now, self.own_address, propose)
 
     def on_accept(self, now: int, sender: HostPort, accept: Accept) -> None:
         """Count a vote; with a majority of them the lease is owned."""
-        candidature = self.candidature
-        if candidature is None or accept.ballot != candidature.ballot or candidature.proposed_at is None:
+        candidacy = self.candidacy
+        if candidacy is None or accept.ballot != candidacy.ballot or candidacy.proposed_at is None:
             return
-        candidature.voters.add(sender)
-        if len(candidature.voters) >= self.quorum:
-            self.candidature = None
-            until = candidature.proposed_at + self.quota.leader_lease_duration
+        candidacy.voters.add(sender)
+        if len(candidacy.voters) >= self.quorum:
+            self.candidacy = None
+            until = candidacy.proposed_at + self.quota.leader_lease_duration
             if now < until:
-                self.lead(candidature.ballot, until)
+                self.lead(candidacy.ballot, until)
 
     def on_reject(self, now: int, sender: HostPort, reject: Reject) -> None:
-        """Abandon the candidature: a greater ballot is known."""
+        """Abandon the candidacy: a greater ballot is known."""
         self.observe_term(reject.promised.number)
-        if self.candidature is not None and reject.ballot == self.candidature.ballot:
-            self.candidature = None
+        if self.candidacy is not None and reject.ballot == self.candidacy.ballot:
+            self.candidacy = None
 
     def lead(self, ballot: Ballot, until: int) -> None:
         """Own the lease; a renewal keeps the term."""
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -127,7 +127,7 @@
 
     @property
     def election_retry(self) -> int:
-        """The microseconds between two candidatures, at least."""
+        """The microseconds between two candidacies, at least."""
         return self.leader_lease_duration // ELECTION_RETRIES
 
     def fallback_bound(self) -> int:
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -20,7 +20,7 @@
 
 
 class Ballot(NamedTuple):
-    """Orders the candidatures of planners: no two are alike. The number of an elected ballot is the term."""
+    """Orders the candidacies of planners: no two are alike. The number of an elected ballot is the term."""
 
     number: Unsigned53
     session: Unsigned64  # of the proposer's process
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -36,7 +36,7 @@
     leader = started(factories)
     now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
     leader.reduce(now, Tick())
-    ballot = leader.election.candidature.ballot
+    ballot = leader.election.candidacy.ballot
     leader.reduce(now + 1, got(messages.Promise(ballot, None)))
     leader.reduce(now + 2 + accept_late, got(messages.Accept(ballot)))
     return leader, now + 1
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -47,7 +47,7 @@
 
 def votes_at_once_after_its_start(self, address, quota, random, now):
     LeaderElection.__init__(self, address, quota, random, now)
-    self.acceptor.votes_from = self.next_candidature_at = now
+    self.acceptor.votes_from = self.next_candidacy_at = now
 
 
 def grants_at_once(self, term, now):
@@ -59,8 +59,8 @@
 
 
 def lease_counts_from_its_last_vote(self, now, sender, accept):
-    if self.candidature is not None:
-        self.candidature.proposed_at = now
+    if self.candidacy is not None:
+        self.candidacy.proposed_at = now
     LeaderElection.on_accept(self, now, sender, accept)
 
 
