--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -59,7 +59,7 @@
         """Return what may be used of it beyond the floor."""
         return self.amount if self.is_active(now) else 0
 
-    def reason_against(
+    def rejection_reason(
         self, now: int, lease_id: LeaseId, lease: LimitLease, request: PendingRequest
     ) -> str | None:
         """Return why a lease is not taken in place of this one; None where it is.
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -191,18 +191,18 @@
             raise MessageRejectedError("not requested any more")
         self.answered_at = self.now
         for lease in grant.leases:
-            reason = self._reason_against(LeaseId(grant.term, lease.number), lease, request)
+            reason = self._rejection_reason(LeaseId(grant.term, lease.number), lease, request)
             if reason:
                 self.count(reason)
             else:
                 self._take(LeaseId(grant.term, lease.number), lease, request)
 
-    def _reason_against(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
+    def _rejection_reason(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
         """Return why a lease is not taken; None where it is."""
         held = self.held.get(lease.limit)
         if held is None:
             return "of an unknown limit"
-        return held.reason_against(self.now, lease_id, lease, request)
+        return held.rejection_reason(self.now, lease_id, lease, request)
 
     def _take(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> None:
         held = self.held[lease.limit]
