--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -83,7 +83,7 @@
             return "of what was held before"
         return None
 
-    def take(self, lease_id: LeaseId, lease: LimitLease, requested_at: int) -> None:
+    def replace(self, lease_id: LeaseId, lease: LimitLease, requested_at: int) -> None:
         """Hold a newer lease."""
         self.id = lease_id
         self.amount = lease.amount
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -195,7 +195,7 @@
             if reason:
                 self.count(reason)
             else:
-                self._take(LeaseId(grant.term, lease.number), lease, request)
+                self._accept_lease(LeaseId(grant.term, lease.number), lease, request)
 
     def _rejection_reason(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
         """Return why a lease is not taken; None where it is."""
@@ -204,11 +204,11 @@
             return "of an unknown limit"
         return held.rejection_reason(self.now, lease_id, lease, request)
 
-    def _take(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> None:
+    def _accept_lease(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> None:
         held = self.held[lease.limit]
         if lease_id.term > held.id.term:
             self.log(f"limit {lease.limit}: term {lease_id.term}", limit=lease.limit, term=lease_id.term)
-        held.take(lease_id, lease, request.sent_at)
+        held.replace(lease_id, lease, request.sent_at)
         if held.handed_out is not None and held.amount < held.handed_out.amount:
             # Reports soon what it has now, so that another may have the rest.
             self._request_soon()
