--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -48,7 +48,7 @@
         self.demand = 0  # beyond the floor
         self.priority_demand = 0
         self.fleet_amount = limit.amount  # as the planner has it
-        self.handed_out: Allowance | None = None
+        self.last_emitted: Allowance | None = None
         self.is_at_floor = True
 
     def is_active(self, now: int) -> bool:
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -209,7 +209,7 @@
         if lease_id.term > held.id.term:
             self.log(f"limit {lease.limit}: term {lease_id.term}", limit=lease.limit, term=lease_id.term)
         held.replace(lease_id, lease, request.sent_at)
-        if held.handed_out is not None and held.amount < held.handed_out.amount:
+        if held.last_emitted is not None and held.amount < held.last_emitted.amount:
             # Reports soon what it has now, so that another may have the rest.
             self._request_soon()
         self.update_allowance(held)
@@ -219,8 +219,8 @@
         if not held.is_active(self.now):
             held.amount = 0
         allowance = Allowance(held.limit.floor, held.amount, held.expires_at)
-        if allowance != held.handed_out:
-            held.handed_out = allowance
+        if allowance != held.last_emitted:
+            held.last_emitted = allowance
             self.effects.append(LimitAllowance(held.limit.name, *allowance))
         is_at_floor = not held.is_active(self.now)
         if is_at_floor != held.is_at_floor:
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -77,8 +77,8 @@
         self.demand = 0
         self.published: deque[PublishedDemand] = deque()  # the youngest last
         self.amount = limit.floor
-        self.handed_out: int | None = None
-        self.handed_out_at = 0
+        self.last_emitted: int | None = None
+        self.last_emitted_at = 0
 
     def publish(self, now: int, keep_for: int) -> None:
         """Record that the present demand is published; forget what is older than `keep_for` microseconds."""
@@ -146,10 +146,10 @@
     def _allowances(self, now: int, allocation: LocalAllocation) -> Iterable[LimitAllowance]:
         """Yield the allowance, where it is new or has to be renewed."""
         amount = allocation.amount
-        if amount == allocation.handed_out and now - allocation.handed_out_at < RENEWAL_INTERVAL_US:
+        if amount == allocation.last_emitted and now - allocation.last_emitted_at < RENEWAL_INTERVAL_US:
             return
-        allocation.handed_out = amount
-        allocation.handed_out_at = now
+        allocation.last_emitted = amount
+        allocation.last_emitted_at = now
         floor = min(amount, allocation.limit.floor)
         until = now + ALLOWANCE_DURATION_US
         yield LimitAllowance(allocation.limit.name, floor, amount - floor, until)
