--- a/finchcart/quota/allocation_targets.py
+++ b/finchcart/quota/allocation_targets.py
@@ -1,7 +1,8 @@
-"""What each holder is to have of each limit in the end, by its demand.
+"""Target allocations: the amount of each limit that each lease holder is to reach, computed from its demand.
 
-Owns the targets, computed anew now and then as one request changes them little. It must never grant anything:
-allocator.py approaches the targets step by step. Times are microseconds on the boot clock.
+The module owns the targets. It computes all of them together and keeps them for `TARGETS_LIFETIME_US`, since
+a single request changes them little. It must not grant leases: allocator.py approaches the targets step by
+step. Times are microseconds on the boot clock.
 """
 
 from collections.abc import Mapping
@@ -11,14 +12,14 @@
 from finchcart.quota.holder_records import HolderKey, HolderRecord, LimitRecord
 from finchcart.quota.limits import Limit, QuotaConfig
 
-TARGETS_LIFETIME_US = 50 * MS  # until targets are computed anew
-NO_DEMAND = LimitRecord()  # of a holder that has not reported any for a limit
+TARGETS_LIFETIME_US = 50 * MS  # the targets are recomputed after this time
+NO_DEMAND = LimitRecord()  # stands for a limit of which a holder has not reported any demand
 
 Holders = Mapping[HolderKey, HolderRecord]
 
 
 class AllocationTargets:
-    """Bounded by the holders and limits that there are.
+    """The targets of all holders; there is one target for each holder and limit.
 
     Arguments:
         quota: the configuration.
@@ -30,12 +31,12 @@
         self._computed_at = 0
 
     def set_config(self, quota: QuotaConfig) -> None:
-        """Take a new configuration."""
+        """Replace the configuration; the next call of `target` recomputes the targets."""
         self.quota = quota
         self._computed_at = 0
 
     def target(self, now: int, limit: Limit, key: HolderKey, holders: Holders) -> int:
-        """Return what a holder is to have of a limit in the end."""
+        """Return the amount of a limit, beyond the floor, that a holder is to reach."""
         is_stale = now - self._computed_at >= TARGETS_LIFETIME_US
         if is_stale or key not in self._by_limit.get(limit.name, ()):
             self._by_limit = {each.name: self._shares(each, holders) for each in self.quota.strict_limits}
@@ -43,7 +44,7 @@
         return self._by_limit[limit.name].get(key, 0)
 
     def _shares(self, limit: Limit, holders: Holders) -> dict[HolderKey, int]:
-        """Return the fair shares of all holders; a part is kept free for new ones."""
+        """Return the fair share of each holder; a reserve is kept free for new holders."""
         shareable = limit.shareable(self.quota.max_processes)
         records = {key: holder.limits.get(limit.name, NO_DEMAND) for key, holder in holders.items()}
         demands = {
@@ -58,6 +59,7 @@
         shares = prioritized_shares(shareable - reserve, demands, priority_demands, weights)
         if demanded >= shareable:
             return shares
-        # All demand is met: half of the rest is spread, so that a jump of demand finds something at once.
+        # All demand is met. Half of what remains is divided evenly, so that a holder whose demand suddenly
+        # rises can use a part of it before its next request.
         spare = (shareable - demanded) // (2 * max(1, len(demands)))
         return {key: share + spare for key, share in shares.items()}
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -1,16 +1,18 @@
-"""The allocator of the leading planner: which leases it granted to whom, and what it grants next.
+"""The allocator of the leading planner: records the leases that it granted and decides what to grant next.
 
-Owns the records of the lease holders and the leases granted in this term. It must never grant what another
-lease may still use, nor know how a leader is elected. `now` is the boot clock in whole microseconds.
+The module owns the records of the lease holders and the leases granted in the present term. It must not
+grant an amount that the holder of another lease may still use, and it doesn't know how a leader is elected.
+`now` is the boot clock in whole microseconds.
 
-Why a strict limit is never exceeded: the leader counts a lease from after its answer, widened, the holder
-from before its request (see finchcart/fleet/leases.py). Where a holder may have one of several leases, the
-greatest counts until the holder reports which it has, or they expire. A new leader waits for the longest
-lease; until then it only renews what a holder reports to have. So holders together never use more than what
-is counted here.
+Why a strict limit is never exceeded: the leader counts the duration of a lease from its answer and widens it
+for clock drift, while the holder counts the duration from before its request (see finchcart/fleet/leases.py).
+A holder may have any of the leases that the leader granted it. Until the holder reports which one it has, or
+the leases expire, the greatest of them counts. A new leader knows nothing of the leases of earlier terms: for
+the longest duration of a lease, it only renews what a holder reports to have. So all holders together never
+use more than the amount that the allocator counts.
 
-Bounds: `max_holders` records, `MAX_GRANTED` leases of a limit in each; a record ends with its last lease,
-once its holder requests nothing any more.
+Bounds: `max_holders` records, each with at most `MAX_GRANTED` leases of a limit. A record is removed
+when its last lease has expired and its holder has stopped sending requests.
 """
 
 from finchcart.fleet.message_endpoint import MessageRejectedError
@@ -19,11 +21,11 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
-MAX_GRANTED = 8  # leases of a limit at one holder: no more until it reports which it has
+MAX_GRANTED = 8  # at one holder, which gets no more until it reports which lease it has
 
 
 class Allocator:
-    """Grants leases while its planner leads.
+    """The leases that a planner grants while it leads.
 
     Arguments:
         quota: the configuration.
@@ -38,29 +40,29 @@
         self.targets = AllocationTargets(quota)
 
     def set_config(self, quota: QuotaConfig) -> None:
-        """Take a new configuration."""
+        """Replace the configuration."""
         self.quota = quota
         self.targets.set_config(quota)
 
     def begin_term(self, term: int, now: int) -> None:
-        """Lead from now on, without records."""
+        """Begin to grant leases in a new term, without records of earlier terms."""
         self.term = term
         self.leads_since = now
         self.holders = {}
         self.last_number = 0
 
     def end_term(self) -> None:
-        """Drop all records: this planner does not lead any more."""
+        """Drop all records, as this planner no longer leads."""
         self.holders = {}
 
     # ---- holders
 
     def register(self, now: int, request: LeaseRequest) -> HolderRecord:
-        """Return the record of a request's holder.
+        """Return the record of the holder that sent a request; create the record for a new holder.
 
         Raises:
-            MessageRejectedError: the table of holders is full, or the request is a copy or was overtaken by a
-                later one.
+            MessageRejectedError: the table of holders is full, or the request is a duplicate or arrived after
+                a later one.
         """
         key = HolderKey(request.node, request.session)
         holder = self.holders.get(key)
@@ -76,7 +78,7 @@
         return holder
 
     def expire(self, now: int) -> None:
-        """Drop expired leases, and holders that have none and request nothing any more."""
+        """Drop expired leases, and holders that have no lease and have stopped sending requests."""
         for key, holder in list(self.holders.items()):
             for record in holder.limits.values():
                 record.expire(now)
@@ -85,14 +87,14 @@
                 del self.holders[key]
 
     def committed(self, holder: HolderRecord, limit: str) -> int:
-        """Return the most that a holder may use of a limit beyond its floor."""
+        """Return the greatest amount of a limit that a holder may use beyond its floor."""
         record = holder.limits.get(limit)
         if record is None:
             return 0
         return max((lease.amount for lease in record.granted), default=0)
 
     def granted_total(self, limit: str) -> int:
-        """Return what all holders may use of a limit beyond their floors."""
+        """Return the amount of a limit that all holders together may use beyond their floors."""
         return sum(self.committed(holder, limit) for holder in self.holders.values())
 
     def lease_count(self, limit: str) -> int:
@@ -105,17 +107,17 @@
     def renew(
         self, now: int, limit: Limit, holder: HolderRecord, request: LeaseRequest, line: LimitDemand
     ) -> LimitLease | None:
-        """Take what a holder reports of a limit and grant it a lease.
+        """Record what a holder reports of a limit, and grant the holder a lease.
 
         Arguments:
             now: microseconds on the boot clock.
-            limit: the limit as this planner has it.
+            limit: the limit in this planner's configuration.
             holder: the record that `register` returned.
             request: the whole request.
             line: what the request reports of the limit.
 
         Returns:
-            The new lease; None where the holder may have too many already.
+            The new lease, or None if the holder may have `MAX_GRANTED` leases already.
         """
         record = holder.limits.setdefault(limit.name, LimitRecord())
         self._end_unused(now, holder, record, request, line)
@@ -131,7 +133,7 @@
     def _end_unused(
         self, now: int, holder: HolderRecord, record: LimitRecord, request: LeaseRequest, line: LimitDemand
     ) -> None:
-        """End the leases that the holder cannot use any more, by what it reports to have."""
+        """Drop the leases that the holder can no longer use, according to its report."""
         committed = self.committed(holder, line.limit)
         record.expire(now)
         held_number = line.number if line.term == self.term else None
@@ -146,14 +148,14 @@
         ]
         for lease in record.granted:
             if lease.number == held_number:
-                # The amount of that lease, or what is still in use of a greater one.
+                # The holder reports the amount of that lease, or more if it still uses more of an older one.
                 lease.amount = min(line.in_use, committed)
 
     def _take_demand(
         self, limit: Limit, holder: HolderRecord, record: LimitRecord, line: LimitDemand
     ) -> None:
-        # The greater of the last two reports counts, but for a holder that leaves: else allocations would
-        # oscillate between two holders whose demand alternates.
+        # The greater of the last two reported demands counts. Otherwise allocations would oscillate between
+        # two holders whose demand alternates. Of a holder that is leaving, the last report alone counts.
         previous = record.reported_demand
         record.reported_demand = line.demand
         record.demand = line.demand if holder.is_leaving else max(line.demand, previous)
@@ -164,11 +166,12 @@
     # ---- amounts
 
     def _amount(self, now: int, limit: Limit, key: HolderKey, line: LimitDemand) -> int:
-        """Return what of a limit a holder may use beyond its floor."""
+        """Return the amount of a limit to grant a holder beyond its floor."""
         shareable = limit.shareable(self.quota.max_processes)
         committed = self.committed(self.holders[key], limit.name)
         if now < self.leads_since + self.quota.takeover_wait:
-            # Others may have all the rest from an earlier term: what this one has is renewed, and no more.
+            # Other holders may still have leases of the whole rest from an earlier term. The lease of this
+            # holder is renewed for the amount that it has, but not increased.
             held = line.in_use if line.term < self.term else committed
             return min(held, shareable)
         step = max(1, int(shareable * self.quota.max_step))
@@ -177,7 +180,7 @@
         return min(target, committed + max(0, min(free, step)))
 
     def _committed_total(self, limit: Limit) -> int:
-        """Return what all holders may use, with the part of their floors that was not set aside."""
+        """Return what all holders may use, and the part of their floors that exceeds the configured floor."""
         extra_floors = sum(
             holder.limits[limit.name].extra_floor
             for holder in self.holders.values()
--- a/finchcart/quota/effects.py
+++ b/finchcart/quota/effects.py
@@ -1,20 +1,20 @@
-"""The effect of lease holders and local limits, besides those of finchcart/fleet/effects.py.
+"""The effect that lease holders and loose limits emit, besides the effects of finchcart/fleet/effects.py.
 
-Owns its type alone.
+The module contains its type alone.
 """
 
 from typing import NamedTuple
 
 
 class LimitAllowance(NamedTuple):
-    """What this process may use of a limit from now on: its floor, and `amount` beyond it."""
+    """What this process may use of a limit from now on: the floor, and `amount` beyond it until a time."""
 
     limit: str
-    floor: int | None  # None: the limit does not exist any more
+    floor: int | None  # None: the limit was removed from the configuration
     amount: int
     until: int  # microseconds on the boot clock
 
     @classmethod
     def removed(cls, limit: str) -> "LimitAllowance":
-        """Return the effect for a limit that is not in the configuration any more."""
+        """Return the effect for a limit that was removed from the configuration."""
         return cls(limit, floor=None, amount=0, until=0)
--- a/finchcart/quota/fair_share.py
+++ b/finchcart/quota/fair_share.py
@@ -1,6 +1,7 @@
-"""Fair shares: the max-min fair division of a limit by demand, the more important demand first.
+"""Max-min fair division of a limit by demand, optionally with the more important demand first.
 
-Pure functions. It must never know leases or time: allocation_targets.py and local_limits.py give the demands.
+The functions are pure. They must not depend on leases or time: allocation_targets.py and local_limits.py
+provide the demands.
 """
 
 from collections.abc import Hashable, Mapping
@@ -14,17 +15,18 @@
 ) -> dict[Name, int]:
     """Divide `amount` max-min fairly.
 
-    Nobody gets more than its demand, and nobody less than another with more, in proportion to its weight; the
-    method is progressive filling (Bertsekas and Gallager, Data Networks, section 6.5). What is left over by
-    rounding goes to the greatest fractions, in the order of names where these are alike.
+    No share exceeds its demand. The shares of the demands that are not met are in proportion to their
+    weights, and no other share is greater in that proportion. The method is progressive filling (Bertsekas
+    and Gallager, Data Networks, section 6.5). Shares are whole numbers. The remainder of rounding goes to the
+    shares with the greatest fractions, and in the order of their names where fractions are equal.
 
     Arguments:
-        amount: to divide; a negative one counts as 0.
-        demands: name -> its demand.
-        weights: name -> its weight, 1 where there is none.
+        amount: the amount to divide; a negative amount counts as 0.
+        demands: name -> demand.
+        weights: name -> weight; a name without a weight has the weight 1.
 
     Returns:
-        name -> a whole part, for each name of `demands`.
+        name -> share, for each name of `demands`.
     """
     weights = weights or {}
     shares = dict.fromkeys(demands, 0)
@@ -37,7 +39,7 @@
         if not met:
             shares.update(_rounded(remaining, quotas))
             break
-        # Those whose demand is met in full leave the rest of their quota to the others.
+        # A demand that is below its quota is met in full; the rest of that quota is divided among the others.
         for name in met:
             shares[name] = unmet.pop(name)
             remaining -= shares[name]
@@ -45,7 +47,7 @@
 
 
 def _rounded(amount: int, quotas: Mapping[Name, float]) -> dict[Name, int]:
-    """Whole parts of `amount` by the largest remainder."""
+    """Round quotas to whole shares that add up to `amount`, by the largest remainder method."""
     shares = {name: int(quota) for name, quota in quotas.items()}
     remainder = amount - sum(shares.values())
     by_fraction = sorted(quotas, key=lambda name: (shares[name] - quotas[name], name))
@@ -60,16 +62,16 @@
     priority_demands: Mapping[Name, int],
     weights: Mapping[Name, float] | None = None,
 ) -> dict[Name, int]:
-    """Divide `amount` as `max_min_shares` does, what matters more before any of the rest.
+    """Divide `amount` as `max_min_shares` does, first by the priority demands and then by the rest.
 
     Arguments:
-        amount: to divide.
-        demands: name -> its whole demand.
-        priority_demands: name -> the part of that which matters more.
-        weights: name -> its weight, 1 where there is none.
+        amount: the amount to divide.
+        demands: name -> whole demand.
+        priority_demands: name -> the part of the whole demand that is more important.
+        weights: name -> weight; a name without a weight has the weight 1.
 
     Returns:
-        name -> a whole part, for each name of `demands`.
+        name -> share, for each name of `demands`.
     """
     first = {name: min(priority_demands.get(name, 0), demand) for name, demand in demands.items()}
     shares = max_min_shares(amount, first, weights)
--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -1,7 +1,7 @@
-"""The lease of one limit, as its holder keeps it.
+"""The lease of one limit as its holder keeps it, with the holder's usage and demand of that limit.
 
-Owns what is held, in use and demanded of the limit, and which leases are newer. It must never send anything.
-Times are microseconds on the boot clock.
+The module decides whether a granted lease replaces the one that is held. It must not send messages. Times are
+microseconds on the boot clock.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class LeaseId(NamedTuple):
-    """Identifies a lease of one limit; the higher is the newer."""
+    """Identifies a lease of one limit; of two leases, the one with the greater id is the newer."""
 
     term: int
     number: int
@@ -21,7 +21,7 @@
 
 
 class Allowance(NamedTuple):
-    """What of a limit may be used, as it was emitted last."""
+    """What the node may use of a limit until a time, as the lease holder last emitted it."""
 
     floor: int
     amount: int
@@ -29,14 +29,14 @@
 
 
 class PendingRequest(NamedTuple):
-    """A request whose answer is still taken."""
+    """A request whose answer the holder still accepts."""
 
     sent_at: int
-    held: dict[str, LeaseId]  # limit -> the lease that was held when it was sent
+    held: dict[str, LeaseId]  # limit -> the lease that was held when the request was sent
 
 
 class HeldLease:
-    """The lease of one limit."""
+    """The lease of one limit at this node, with the node's usage and demand."""
 
     def __init__(self, limit: Limit) -> None:
         self.limit = limit
@@ -47,28 +47,28 @@
         self.in_use = 0  # beyond the floor
         self.demand = 0  # beyond the floor
         self.priority_demand = 0
-        self.fleet_amount = limit.amount  # as the planner has it
+        self.fleet_amount = limit.amount  # as the planner last stated it
         self.last_emitted: Allowance | None = None
         self.is_at_floor = True
 
     def is_active(self, now: int) -> bool:
-        """Whether it may be used."""
+        """Return whether the lease has not expired."""
         return now < self.expires_at
 
     def active_amount(self, now: int) -> int:
-        """Return what may be used of it beyond the floor."""
+        """Return the amount that may be used beyond the floor."""
         return self.amount if self.is_active(now) else 0
 
     def rejection_reason(
         self, now: int, lease_id: LeaseId, lease: LimitLease, request: PendingRequest
     ) -> str | None:
-        """Return why a lease is not taken in place of this one; None where it is.
+        """Return why a granted lease must not replace the held one, or None if it may.
 
         Arguments:
             now: microseconds on the boot clock.
-            lease_id: of the lease.
-            lease: as it was granted.
-            request: that it answers.
+            lease_id: the id of the granted lease.
+            lease: the granted lease.
+            request: the request that the grant answers.
         """
         if lease_id.term < self.id.term:
             return "of an earlier term"
@@ -78,13 +78,13 @@
             return "expired when it came"
         has_grown = lease.amount > self.active_amount(now)
         if lease_id.term > self.id.term and has_grown and request.held.get(lease.limit) != self.id:
-            # A new leader took a late request for what is held now: meanwhile the earlier leader may have
-            # given the difference to another.
+            # The new leader renewed the lease that a delayed request reported. The holder has replaced that
+            # lease since, and the earlier leader may have granted the difference to another holder.
             return "of what was held before"
         return None
 
     def replace(self, lease_id: LeaseId, lease: LimitLease, requested_at: int) -> None:
-        """Hold a newer lease."""
+        """Replace the held lease with a newer one."""
         self.id = lease_id
         self.amount = lease.amount
         self.expires_at = requested_at + lease.duration_us
@@ -92,14 +92,14 @@
         self.fleet_amount = lease.fleet_amount
 
     def give_back(self) -> None:
-        """Hold nothing and demand nothing any more."""
+        """Drop the lease, the usage and the demand."""
         self.amount = 0
         self.expires_at = 0
         self.in_use = 0
         self.demand = 0
 
     def report(self, now: int) -> LimitDemand:
-        """Return what is reported to the planner."""
+        """Return what the holder reports to the planner."""
         is_active = self.is_active(now)
         return LimitDemand(
             limit=self.limit.name,
--- a/finchcart/quota/holder_records.py
+++ b/finchcart/quota/holder_records.py
@@ -1,13 +1,13 @@
 """The records of the leading planner: what it knows of each lease holder, and the leases that it granted.
 
-Owns the types alone: allocator.py keeps the records. Times are microseconds on the boot clock.
+The module contains the types alone; allocator.py keeps the records. Times are microseconds on the boot clock.
 """
 
 from typing import NamedTuple
 
 
 class HolderKey(NamedTuple):
-    """Names one process of a node: a restarted one is another."""
+    """Identifies one process of a node; after a restart the node is a new holder."""
 
     node: str
     session: int
@@ -20,29 +20,29 @@
 
     def __init__(self, number: int, sequence: int, amount: int, expires_at: int) -> None:
         self.number = number
-        self.sequence = sequence  # of the request that it answered
+        self.sequence = sequence  # of the request that the lease answered
         self.amount = amount
         self.expires_at = expires_at
 
 
 class LimitRecord:
-    """What is known of one limit at one holder."""
+    """The demand that one holder reported of one limit, and the leases of it that the holder may have."""
 
     def __init__(self) -> None:
         self.granted: list[GrantedLease] = []
         self.demand = 0
-        self.reported_demand = 0  # by the last request; `demand` may be that of the one before
+        self.reported_demand = 0  # in the last request; `demand` may be from the request before it
         self.priority_demand = 0
         self.weight = 1.0
-        self.extra_floor = 0  # beyond the floor that the configuration sets aside
+        self.extra_floor = 0  # part of the holder's floor beyond the floor in the planner's configuration
 
     def expire(self, now: int) -> None:
-        """Drop the leases that are over."""
+        """Drop the leases that have expired."""
         self.granted = [lease for lease in self.granted if lease.expires_at > now]
 
 
 class HolderRecord:
-    """What is known of one process of a node."""
+    """What the leading planner knows of one lease holder."""
 
     def __init__(self) -> None:
         self.limits: dict[str, LimitRecord] = {}
--- a/finchcart/quota/inputs.py
+++ b/finchcart/quota/inputs.py
@@ -1,6 +1,6 @@
-"""The inputs of lease holders, planners and local limits, besides those of finchcart/fleet/inputs.py.
+"""The inputs of lease holders, planners and loose limits, besides the inputs of finchcart/fleet/inputs.py.
 
-Owns their types alone.
+The module contains their types alone.
 """
 
 from typing import NamedTuple
@@ -9,18 +9,18 @@
 
 
 class UsageReported(NamedTuple):
-    """What this node uses and demands of a limit.
+    """The node's usage and demand of a limit.
 
-    Of a strict limit both are beyond its floor, of a loose one in all.
+    Of a strict limit, both are counted beyond the floor; of a loose limit, both include it.
     """
 
     limit: str
     in_use: int
     demand: int
-    priority_demand: int = 0  # the part of `demand` that matters more than the rest
+    priority_demand: int = 0  # the part of `demand` that is more important than the rest
 
 
 class QuotaConfigChanged(NamedTuple):
-    """The settings were read again."""
+    """The settings file was read again."""
 
     config: QuotaConfig
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -1,16 +1,19 @@
-"""The election of the leading planner: leases by majority, without a disk.
+"""The election of the leading planner: leader leases by majority vote, without storage on disk.
 
-Owns this planner's candidacy; its votes are those of acceptor.py. It must never send anything
-itself: messages are collected in `outbox`. `now` is the boot clock in whole microseconds.
+The module owns this planner's candidacy; the planner's vote belongs to acceptor.py. It must not send messages
+itself: it collects them in `outbox`. `now` is the boot clock in whole microseconds.
 
 The protocol is PaxosLease (M. Trencseni, A. Gazso and H. Reinhardt, "PaxosLease: Diskless Paxos for Leases",
-2012): a proposer prepares a ballot at the acceptors, and where a majority promises it and knows of no other
-owner's lease, proposes the lease to them; it owns the lease once a majority accepted. Why no two planners
-lead at the same time: an acceptor counts the lease from after its vote, widened, the owner from before it
-proposed (see finchcart/fleet/leases.py); two majorities share an acceptor; and an acceptor that starts is
-quiet until any lease that it may have voted for is over.
+2012). A proposer prepares a ballot at the acceptors. If a majority of them promises the ballot and knows of
+no unexpired lease of another owner, the proposer proposes its lease to them, and it owns the lease once a
+majority has accepted.
 
-Bounds: a vote for each planner.
+Why no two planners lead at the same time: an acceptor counts the duration of the lease from its vote and
+widens it for clock drift, while the owner counts the duration from before it proposed (see
+finchcart/fleet/leases.py). Any two majorities have an acceptor in common. An acceptor that starts doesn't
+answer until any lease that an earlier process at its address may have voted for has expired.
+
+Bounds: one vote for each planner.
 """
 
 from random import Random
@@ -40,15 +43,15 @@
 
 
 class Candidacy:
-    """A proposer's attempt to be elected: first promises are counted, then votes."""
+    """A proposer's attempt to be elected, which counts promises first and votes after them."""
 
     def __init__(self, ballot: Ballot) -> None:
         self.ballot = ballot
-        self.proposed_at: int | None = None  # None: promises are counted
+        self.proposed_at: int | None = None  # None while promises are counted
         self.voters: set[HostPort] = set()
 
     def propose(self, now: int) -> None:
-        """Count votes from here on; the lease counts from before it is proposed."""
+        """Begin to count votes; the duration of the lease counts from now, before it is proposed."""
         self.proposed_at = now
         self.voters = set()
 
@@ -57,15 +60,15 @@
     """A planner's part in the election: proposer and acceptor.
 
     Arguments:
-        address: this planner's, as the configuration names it.
+        address: the address of this planner, as the configuration names it.
         quota: the configuration.
-        random: of this process alone.
-        now: microseconds on the boot clock.
+        random: the random generator, seeded differently in each process.
+        now: time of the start, in microseconds on the boot clock.
 
     Attributes:
-        is_leader: whether this planner has the lease; looked at after each step.
-        term: the number of the ballot by which it was elected.
-        outbox: messages to be sent, taken by `drain`.
+        is_leader: whether this planner owns the leader lease; the planner checks it after each step.
+        term: the number of the ballot with which this planner was elected.
+        outbox: messages to send; `drain` removes them.
     """
 
     def __init__(self, address: str, quota: QuotaConfig, random: Random, now: int) -> None:
@@ -78,7 +81,7 @@
         self.acceptor = Acceptor(quota, now)
         self.candidacy: Candidacy | None = None
         self.next_candidacy_at = now + quota.startup_quiet_period + random.randrange(quota.election_retry)
-        self.highest_term = 0  # that was observed
+        self.highest_term = 0  # highest number of a ballot or term in any message
         self.is_leader = False
         self.term = 0
         self.leads_until = 0
@@ -88,35 +91,35 @@
         self.outbox: list[Outgoing] = []
 
     def set_config(self, quota: QuotaConfig) -> None:
-        """Take a new configuration; the planners are those of the start."""
+        """Replace the configuration; the planners stay those of the start."""
         self.quota = quota
         self.acceptor.quota = quota
         self.timing_digest = name_hash(quota.timing_text())
 
     def drain(self) -> list[Outgoing]:
-        """Return the messages collected since the last call."""
+        """Return and remove the messages collected since the last call."""
         outgoing = self.outbox
         self.outbox = []
         return outgoing
 
     def leader(self, now: int) -> str:
-        """Return the address of the planner that leads, as far as known, or an empty text."""
+        """Return the address of the leading planner, or an empty string if no leader is known."""
         if self.is_leader:
             return self.address
         return self.other_leader if now < self.other_leader_until else ""
 
     def observe_term(self, term: int) -> None:
-        """Continue from a term that a message names: all planners may have been restarted since."""
+        """Note a term in use, so that a later candidacy exceeds it even if all planners were restarted."""
         self.highest_term = max(self.highest_term, term)
 
     # ---- time
 
     def has_expired(self, now: int) -> bool:
-        """Whether this planner leads by a lease that is over."""
+        """Return whether this planner still leads although its lease has expired."""
         return self.is_leader and now >= self.leads_until
 
     def on_tick(self, now: int) -> None:
-        """Stand for election, or renew the own lease."""
+        """Start a candidacy if no leader is known, or renew this planner's lease."""
         if now < self.next_candidacy_at:
             return
         if self.is_leader:
@@ -129,7 +132,7 @@
                 self.campaign(now)
 
     def step_down(self, now: int) -> None:
-        """Give up leadership."""
+        """Give up leadership and any candidacy."""
         self.is_leader = False
         self.candidacy = None
         self._delay_candidacy(now)
@@ -142,11 +145,11 @@
 
     @property
     def quorum(self) -> int:
-        """The number of promises or votes that a candidacy needs, the own included."""
+        """The number of promises or votes that a candidacy needs, including this planner's own."""
         return leases.quorum(len(self.others) + 1)
 
     def campaign(self, now: int) -> None:
-        """Prepare a ballot greater than any observed."""
+        """Start a candidacy with a ballot greater than any that was observed."""
         self.highest_term += 1
         ballot = Ballot(self.highest_term, self.session)
         self.candidacy = Candidacy(ballot)
@@ -155,12 +158,12 @@
         self.on_prepare(now, self.own_address, prepare)
 
     def on_promise(self, now: int, sender: HostPort, promise: Promise) -> None:
-        """Count a promise; with a majority of them the lease is proposed."""
+        """Count a promise, and propose the lease once a majority has promised."""
         candidacy = self.candidacy
         if candidacy is None or promise.ballot != candidacy.ballot or candidacy.proposed_at is not None:
             return
         if promise.accepted is not None and promise.accepted.owner != self.session:
-            return  # the lease of another is not over at that acceptor: its vote is not free
+            return  # that acceptor has voted for another planner's lease, which has not expired
         candidacy.voters.add(sender)
         if len(candidacy.voters) >= self.quorum:
             candidacy.propose(now)
@@ -169,7 +172,7 @@
             self.on_propose(now, self.own_address, propose)
 
     def on_accept(self, now: int, sender: HostPort, accept: Accept) -> None:
-        """Count a vote; with a majority of them the lease is owned."""
+        """Count a vote, and own the lease once a majority has voted for it."""
         candidacy = self.candidacy
         if candidacy is None or accept.ballot != candidacy.ballot or candidacy.proposed_at is None:
             return
@@ -181,13 +184,13 @@
                 self.lead(candidacy.ballot, until)
 
     def on_reject(self, now: int, sender: HostPort, reject: Reject) -> None:
-        """Abandon the candidacy: a greater ballot is known."""
+        """Abandon the candidacy, as an acceptor has promised a greater ballot."""
         self.observe_term(reject.promised.number)
         if self.candidacy is not None and reject.ballot == self.candidacy.ballot:
             self.candidacy = None
 
     def lead(self, ballot: Ballot, until: int) -> None:
-        """Own the lease; a renewal keeps the term."""
+        """Own the lease until a time; the renewal of a lease keeps the term."""
         self.leads_until = until
         if not self.is_leader:
             self.is_leader = True
@@ -196,7 +199,7 @@
     # ---- acceptor
 
     def on_prepare(self, now: int, sender: HostPort, prepare: Prepare) -> None:
-        """Answer a proposer; raises `MessageRejectedError` where its durations differ."""
+        """Answer a proposer; raise `MessageRejectedError` if its timing configuration differs."""
         if prepare.timing_digest != self.timing_digest:
             raise MessageRejectedError("other times in its settings")
         if not self.acceptor.may_vote(now):
@@ -205,7 +208,7 @@
         self._reply(now, sender, self.acceptor.on_prepare(now, prepare.ballot))
 
     def on_propose(self, now: int, sender: HostPort, proposal: Propose) -> None:
-        """Answer a proposer, and note who leads where it got the vote."""
+        """Answer a proposer, and record it as the leader if it gets the vote."""
         if not self.acceptor.may_vote(now):
             return
         reply = self.acceptor.on_propose(now, proposal)
@@ -215,7 +218,7 @@
         self._reply(now, sender, reply)
 
     def on_message(self, now: int, sender: HostPort, message: ElectionMessage) -> None:
-        """Take a message of another planner, or of this one to itself; may raise `MessageRejectedError`."""
+        """Handle a message of another planner, or of this one to itself; may raise `MessageRejectedError`."""
         match message:
             case Prepare():
                 self.on_prepare(now, sender, message)
@@ -230,7 +233,7 @@
 
     def _reply(self, now: int, address: HostPort, message: ElectionMessage) -> None:
         if address == self.own_address:
-            self.on_message(now, address, message)  # one of the acceptors is here
+            self.on_message(now, address, message)  # this planner is an acceptor too
         else:
             self.outbox.append(Outgoing(address, message))
 
