--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -1,12 +1,13 @@
-"""A node's leases of the strict limits: requests them from the leading planner and knows when each expires.
+"""The lease holder of a node: requests leases of the strict limits and tracks when each lease expires.
 
-Owns the leases that this process holds. It must never count calls: usage and demand are reported to it, and
-what may be used is handed out as `LimitAllowance`.
+The module owns the leases that this process holds. It must not count calls: the node reports its usage and
+demand, and the lease holder emits what the node may use as `LimitAllowance`.
 
-A lease counts from before it was requested (see finchcart/fleet/leases.py). One that is for less than what is
-in use limits new calls immediately; until the old ones have ended, the holder reports what they use.
+The holder counts the duration of a lease from before its request (see finchcart/fleet/leases.py). A lease of
+less than what is in use limits new calls immediately. Until enough calls in progress have ended, the holder
+reports the greater amount that they use.
 
-Bounds: one lease for each strict limit, `MAX_PENDING_REQUESTS` requests.
+Bounds: one lease for each strict limit and `MAX_PENDING_REQUESTS` pending requests.
 """
 
 from collections.abc import Callable
@@ -33,9 +34,9 @@
     Redirect,
 )
 
-MAX_PENDING_REQUESTS = 8  # whose answers are still taken
+MAX_PENDING_REQUESTS = 8  # the answers to older requests are rejected
 MIN_REQUEST_INTERVAL_US = 100 * MS
-MAX_UNANSWERED_INTERVALS = 2  # of requests, after which another planner gets them
+MAX_UNANSWERED_INTERVALS = 2  # request intervals without an answer before the next planner gets the requests
 
 
 def _no_local_limits(now: int) -> list[dict[str, Any]]:
@@ -43,17 +44,17 @@
 
 
 class LeaseHolder(MessageEndpoint[QuotaMessage, UsageReported | QuotaConfigChanged]):
-    """The holder's state machine; see `MessageEndpoint` and inputs.py for its inputs.
+    """The state machine of the lease holder; see `MessageEndpoint` and inputs.py for its inputs.
 
     Arguments:
-        name: of this node.
+        name: the name of this node.
         fleet: the name of the fleet.
         quota: the configuration.
-        random: of this process alone.
-        now: microseconds on the boot clock.
+        random: the random generator, seeded differently in each process.
+        now: time of the start, in microseconds on the boot clock.
 
     Attributes:
-        local_status: gives the status of the loose limits, see `LocalLimits.status`.
+        local_status: returns the status of the loose limits, see `LocalLimits.status`.
     """
 
     codec = CODEC
@@ -65,7 +66,7 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.planners = [parse_address(address) for address in quota.planners]
-        self.leader = random.randrange(max(1, len(self.planners)))  # index of the planner that gets requests
+        self.leader = random.randrange(max(1, len(self.planners)))  # planner that gets the requests
         self.sequence = 0
         self.pending: dict[int, PendingRequest] = {}  # by sequence
         self.next_request_at = now
@@ -78,14 +79,14 @@
     # ---- inputs
 
     def on_tick(self) -> None:
-        """Emit allowances that changed by time alone, and request leases once an interval."""
+        """Emit the allowances of leases that have expired, and request leases once in each interval."""
         for held in self.held.values():
             self.update_allowance(held)
         if self.held and self.now >= self.next_request_at and not self.ended:
             self._request()
 
     def on_input(self, event: CommonInput | UsageReported | QuotaConfigChanged) -> None:
-        """Take an input of the node."""
+        """Handle an input of the node."""
         match event:
             case UsageReported():
                 self.on_usage(event)
@@ -96,7 +97,7 @@
                 self.next_request_at = self.now
 
     def on_message(self, address: HostPort, message: QuotaMessage) -> None:
-        """Take a planner's answer, or answer the command line."""
+        """Handle a planner's answer, or answer the status request of the command line."""
         match message:
             case LeaseGrant():
                 self.on_grant(message)
@@ -108,7 +109,7 @@
                 raise MessageRejectedError("not for a holder")
 
     def on_usage(self, usage: UsageReported) -> None:
-        """Take usage and demand of a limit beyond its floor."""
+        """Record the usage and demand of a limit beyond its floor."""
         held = self.held.get(usage.limit)
         if held is None:
             return
@@ -121,12 +122,12 @@
             self._request_soon()
 
     def on_config(self, quota: QuotaConfig) -> None:
-        """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
+        """Replace the configuration; new limits start at their floor, removed ones are emitted as removed."""
         self.effects += reconcile(self.held, quota.strict_limits, HeldLease)
         self.quota = quota
 
     def on_shutdown(self) -> None:
-        """Give all leases back; take no answer to an earlier request any more."""
+        """Release all leases; after this, the holder accepts no answer to any request."""
         self.is_leaving = True
         for held in self.held.values():
             held.give_back()
@@ -167,7 +168,7 @@
         self.next_request_at = min(self.next_request_at, soon)
 
     def on_redirect(self, redirect: Redirect) -> None:
-        """Send requests to the planner that leads, or to the next one where none is known."""
+        """Send the next requests to the leading planner, or to the next planner if no leader is known."""
         if redirect.session != self.session or redirect.sequence != self.sequence:
             return
         planners = list(self.quota.planners)
@@ -183,7 +184,7 @@
     # ---- grants
 
     def on_grant(self, grant: LeaseGrant) -> None:
-        """Take the leases of an answer, each where it is newer than the one held."""
+        """Accept each lease of an answer that may replace the held lease of its limit."""
         if grant.session != self.session:
             raise MessageRejectedError("of another process")
         request = self.pending.get(grant.sequence)
@@ -198,7 +199,7 @@
                 self._accept_lease(LeaseId(grant.term, lease.number), lease, request)
 
     def _rejection_reason(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> str | None:
-        """Return why a lease is not taken; None where it is."""
+        """Return why a granted lease is rejected, or None if it is accepted."""
         held = self.held.get(lease.limit)
         if held is None:
             return "of an unknown limit"
@@ -207,15 +208,19 @@
     def _accept_lease(self, lease_id: LeaseId, lease: LimitLease, request: PendingRequest) -> None:
         held = self.held[lease.limit]
         if lease_id.term > held.id.term:
-            self.log(f"limit {lease.limit}: term {lease_id.term}", limit=lease.limit, term=lease_id.term)
+            self.log(
+                f"limit {lease.limit}: first lease from the leader of term {lease_id.term}",
+                limit=lease.limit,
+                term=lease_id.term,
+            )
         held.replace(lease_id, lease, request.sent_at)
         if held.last_emitted is not None and held.amount < held.last_emitted.amount:
-            # Reports soon what it has now, so that another may have the rest.
+            # The report of the smaller lease lets the planner grant the difference to another holder.
             self._request_soon()
         self.update_allowance(held)
 
     def update_allowance(self, held: HeldLease) -> None:
-        """Emit what may be used, where that changed."""
+        """Emit what the node may use of a limit, if that has changed."""
         if not held.is_active(self.now):
             held.amount = 0
         allowance = Allowance(held.limit.floor, held.amount, held.expires_at)
@@ -230,7 +235,7 @@
     def _log_state(self, held: HeldLease) -> None:
         name = held.limit.name
         self.log(
-            f"limit {name}: {'no lease, down to the floor' if held.is_at_floor else 'leased again'}",
+            f"limit {name}: {'no lease, limited to the floor' if held.is_at_floor else 'lease granted'}",
             limit=name,
             fallen=held.is_at_floor,
             floor=held.limit.floor,
@@ -240,7 +245,7 @@
     # ---- status
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see; the keys are those of docs/operate/quota.md."""
+        """Return the status that operators see; docs/operate/quota.md explains the keys."""
         return {
             "name": self.name,
             "limits": [self._limit_status(held) for held in self.held.values()] + self.local_status(self.now),
--- a/finchcart/quota/limit_table.py
+++ b/finchcart/quota/limit_table.py
@@ -1,6 +1,7 @@
-"""Reconciliation of the table that a process keeps of limits with a new configuration.
+"""Reconciliation of a table of limits with a new configuration.
 
-Owns nothing: the tables are their users'. It must never change what is kept of a limit that stays.
+A process keeps such a table for its strict limits (lease_holder.py) and for its loose limits
+(local_limits.py). The entry of a limit that stays must be kept as it is, apart from the limit itself.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,7 +12,7 @@
 
 
 class HasLimit(Protocol):
-    """What is kept of one limit."""
+    """The entry of one limit in a table."""
 
     limit: Limit
 
@@ -22,15 +23,15 @@
 def reconcile(
     table: dict[str, T], limits: Iterable[Limit], create: Callable[[Limit], T]
 ) -> list[LimitAllowance]:
-    """Take the limits of a new configuration.
+    """Change a table to the limits of a new configuration.
 
     Arguments:
-        table: name of a limit -> what is kept of it; changed in place.
-        limits: all that the table is to have.
-        create: what is kept of a limit that is new.
+        table: name of a limit -> its entry; changed in place.
+        limits: all limits that the table is to contain.
+        create: returns the entry of a new limit.
 
     Returns:
-        An effect for each limit that is removed.
+        An effect for each limit that was removed.
     """
     by_name = {limit.name: limit for limit in limits}
     removed = [name for name in table if name not in by_name]
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -1,7 +1,8 @@
-"""The limits of a fleet, the durations by which they are shared, and the bounds that follow.
+"""The limits of a fleet, the durations by which they are divided, and the bounds that follow from both.
 
-Owns the configuration of quota, by the names of the code; `FIELDS_BY_SETTING` has the words of the settings
-file. It must never hold what is learnt while running. Times are whole microseconds.
+The module owns the configuration of quota. Its fields have descriptive names; `FIELDS_BY_SETTING` maps the
+keys of the settings file to them. It must not contain state that changes at run time. Times are whole
+microseconds.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,15 +14,15 @@
 from finchcart.fleet.field_problem import FieldProblem
 from finchcart.fleet.units import MS, SECOND
 
-TICK_US = 100 * MS  # between two ticks of holders and planners
+TICK_US = 100 * MS  # interval between two ticks of a lease holder or a planner
 MIN_LEADER_LEASE_US = SECOND // 2  # a shorter lease can't be renewed in time
-MIN_REQUESTS_PER_LEASE = 3  # so that two lost requests cost a holder nothing
+MIN_REQUESTS_PER_LEASE = 3  # a holder keeps its lease if two requests in a row are lost
 MIN_SLACKS_PER_LEASE = 4
 ELECTION_RETRIES = 10  # of one leader lease
-EXPECTED_ELECTION_RETRIES = 4  # until one is elected, where a majority answers
-REBALANCING_INTERVALS = 3  # of requests, until the others use less and have confirmed it
+EXPECTED_ELECTION_RETRIES = 4  # retry intervals until a leader is elected, if a majority answers
+REBALANCING_INTERVALS = 3  # request intervals until the other holders have confirmed smaller leases
 
-# Key of a setting (without its unit) -> the field, where they differ.
+# Key of a setting (without its unit) -> name of the field, where the two differ.
 FIELDS_BY_SETTING = {
     "most": "max_processes",
     "life": "lease_duration",
@@ -43,32 +44,33 @@
 class Limit:
     """A limit on the whole fleet.
 
-    At most `amount` in progress at any moment, or `amount` a second and `burst` at once.
+    It allows at most `amount` in progress at any moment; or, if `per` is "rate", `amount` a second and
+    `burst` at once.
     """
 
     name: str
     amount: int
-    floor: int = 0  # each node's own, whatever fails; of a loose limit, until the node knows others
-    counts: Counted = "calls"  # to the store; or RPCs that are admitted
+    floor: int = 0  # what each node may use without a lease; if loose, until the node knows the others
+    counts: Counted = "calls"  # calls to the store, or admitted RPCs
     per: Unit = "in_hand"
     burst: int = 0
-    mode: Mode = "strict"  # never exceeded, whoever fails; "loose": available on each side of a partition
-    method: str = ""  # of RPCs: those of this method alone
-    dispatcher: str = ""  # those of this dispatcher alone
-    weight: float = 1.0  # of this node, where the limit is divided
+    mode: Mode = "strict"  # never exceeded, whatever fails; "loose": available on each side of a partition
+    method: str = ""  # if set, only RPCs of this method count
+    dispatcher: str = ""  # if set, only RPCs of this dispatcher count
+    weight: float = 1.0  # of this node in the division of the limit
 
     @property
     def is_strict(self) -> bool:
-        """Whether planners allocate it."""
+        """Whether the planners allocate this limit."""
         return self.mode == "strict"
 
     @property
     def scope(self) -> tuple[Counted, Unit, str, str]:
-        """What it counts: two limits of one scope would be one limit."""
+        """What this limit counts; two limits of the same scope are a mistake in the configuration."""
         return self.counts, self.per, self.method, self.dispatcher
 
     def shareable(self, max_processes: int) -> int:
-        """Return the amount that is left to allocate besides the floors of so many processes."""
+        """Return the amount that remains to be allocated beyond the floors of `max_processes` processes."""
         return self.amount - self.floor * max_processes
 
 
@@ -77,23 +79,23 @@
     """How the limits are shared; see docs/operate/quota.md for how to choose the values."""
 
     limits: tuple[Limit, ...] = ()
-    planners: tuple[str, ...] = ()  # their addresses; a planner knows itself by its own
-    max_processes: int = 64  # of nodes at once, suspended ones included
-    lease_duration: int = 3 * SECOND  # of a part of a limit, by its holder
-    request_interval: int = 500 * MS  # between two requests of a holder
-    leader_lease_duration: int = 1_500 * MS  # below `lease_duration`: the next leader renews holders' leases
-    drift: float = 0.001  # the part by which any two clocks of the fleet may run apart
-    max_step: float = 0.25  # part of what is shareable by which an allocation rises at a request, at most
-    reserve: float = 0.05  # part of what is shareable that is kept free for new holders
-    write_slack: int = 20 * MS  # a call is written within this after its decision, or not at all
-    max_holders: int = 1024  # recorded by the leader
-    partition_overshoot: float = 1.0  # part by which all sides of a partition may exceed a loose limit
+    planners: tuple[str, ...] = ()  # addresses; a planner finds itself by its own address
+    max_processes: int = 64  # greatest number of processes of nodes at once, suspended ones included
+    lease_duration: int = 3 * SECOND  # of a holder's lease of a limit
+    request_interval: int = 500 * MS  # between two lease requests of a holder
+    leader_lease_duration: int = 1_500 * MS  # less than `lease_duration`: the next leader renews them
+    drift: float = 0.001  # greatest relative difference in rate between any two clocks of the fleet
+    max_step: float = 0.25  # fraction of the shareable amount by which one request may raise an allocation
+    reserve: float = 0.05  # fraction of the shareable amount that is kept free for new holders
+    write_slack: int = 20 * MS  # a call is written within this time of the decision to make it, or not at all
+    max_holders: int = 1024  # greatest number of holders that the leader records
+    partition_overshoot: float = 1.0  # fraction by which a partitioned fleet may exceed a loose limit
 
     @classmethod
     def from_settings(
         cls, limits: tuple[Limit, ...], planners: tuple[str, ...], settings: Mapping[str, Any]
     ) -> "QuotaConfig":
-        """Return the configuration of settings by key (without its unit); times are microseconds."""
+        """Return the configuration from settings by key (without the unit); times are microseconds."""
         fields = {FIELDS_BY_SETTING.get(key, key): value for key, value in settings.items()}
         return cls(limits, planners, **fields)
 
@@ -104,105 +106,106 @@
 
     @property
     def loose_limits(self) -> tuple[Limit, ...]:
-        """The limits that each node takes by its own view of the members."""
+        """The limits that each node allocates to itself by its own view of the members."""
         return tuple(limit for limit in self.limits if not limit.is_strict)
 
     def timing_text(self) -> str:
-        """Return what all planners must have alike, as text."""
+        """Return, as text, the settings that must be equal in all planners."""
         return f"{self.lease_duration} {self.leader_lease_duration} {self.drift} {self.max_processes}"
 
     def widened(self, duration: int) -> int:
-        """Return the duration of a lease as its granter counts it, see finchcart/fleet/leases.py."""
+        """Return the duration of a lease, widened for clock drift; see finchcart/fleet/leases.py."""
         return leases.widened(duration, self.drift)
 
     @property
     def startup_quiet_period(self) -> int:
-        """The microseconds in which a planner that starts votes for nobody: it may have voted before."""
+        """The microseconds after its start in which a planner doesn't vote, as it may have voted before."""
         return self.widened(self.leader_lease_duration)
 
     @property
     def takeover_wait(self) -> int:
-        """The microseconds in which a new leader only renews: until any lease of an earlier term is over."""
+        """The microseconds in which a new leader only renews leases, while older leases may last."""
         return self.widened(self.lease_duration)
 
     @property
     def election_retry(self) -> int:
-        """The microseconds between two candidacies, at least."""
+        """The least number of microseconds between two candidacies of a planner."""
         return self.leader_lease_duration // ELECTION_RETRIES
 
     def fallback_bound(self) -> int:
-        """Return the microseconds from the loss of all planners until a node is down to its floor."""
+        """Return the microseconds from the loss of all planners until each node uses only its floor."""
         return self.widened(self.lease_duration) + TICK_US
 
     def recovery_bound(self) -> int:
         """Return the microseconds until restarted planners in contact with a majority allocate again.
 
-        The sum of the planners' quiet period, an election in a few attempts and the new leader's wait; then
-        allocations rise a step with each request.
+        The bound is the sum of the planners' quiet period, an election of a few attempts, the new leader's
+        wait and one request interval. After that, allocations rise by one step with each request.
         """
         election = EXPECTED_ELECTION_RETRIES * self.election_retry
         return self.startup_quiet_period + election + self.takeover_wait + self.request_interval
 
     def rebalancing_bound(self) -> int:
-        """Return the microseconds from a jump of a holder's demand to its full allocation, if all answer.
+        """Return the microseconds from a sudden rise of a holder's demand to its full allocation.
 
-        The others receive smaller leases with their next request and confirm them with the one after; then
-        the allocation rises step by step.
+        The bound holds if all holders and planners answer. The other holders receive smaller leases with
+        their next request and confirm them with the one after it; then the allocation rises step by step.
         """
         return REBALANCING_INTERVALS * self.request_interval + ceil(1 / self.max_step) * self.request_interval
 
     def staleness_bound(self) -> int:
-        """Return the greatest age, in microseconds, of a lease that a holder acts on."""
+        """Return the greatest age, in microseconds, of a lease that a holder still uses."""
         return self.lease_duration
 
     def strict_overshoot_bound(self, stopped: int) -> int:
-        """Return the number of calls beyond a strict limit, at most.
+        """Return the greatest number of calls beyond a strict limit.
 
         Arguments:
-            stopped: processes suspended between their check of the clock and the write; one call for each.
+            stopped: number of processes suspended between their check of the clock and the write of a call;
+                each of them may write one call too late.
         """
         return stopped
 
     def overshoot_duration_bound(self) -> int:
-        """Return the microseconds that such a call lasts, once written: its time limit is never longer."""
+        """Return the longest time limit, in microseconds, of a call that exceeds a strict limit."""
         return self.lease_duration
 
     def window_bound(self, limit: Limit, window: int) -> int:
-        """Return the most of a strict rate in any `window` of microseconds.
+        """Return the greatest number that a strict rate allows in any `window` of microseconds.
 
-        Calls are written up to `slack` after they were counted, by clocks that may be fast by the drift.
+        Calls are written up to `write_slack` after they were counted, by clocks that may be fast by `drift`.
         """
         return limit.burst + ceil(limit.amount * (window + self.write_slack) * (1 + self.drift) / SECOND)
 
     def partition_allowance(self, limit: Limit, seen: int, known: int) -> int:
         """Return what one side of a partition may use of a loose limit.
 
-        However the fleet is partitioned, the allowances of all sides together are no more than (1 +
-        `partition_overshoot`) of the limit.
+        However the fleet is partitioned, the allowances of all sides together are at most
+        (1 + `partition_overshoot`) times the limit.
 
         Arguments:
             limit: the loose limit.
-            seen: members of this side.
-            known: members of the fleet, those lately failed counted.
+            seen: number of members on this side.
+            known: number of members of the fleet, including members that failed lately.
         """
         return int(limit.amount * min(1.0, (1 + self.partition_overshoot) * seen / max(1, known)))
 
     def loose_overshoot_bound(self, limit: Limit, known: int, joined: int = 0) -> int:
-        """Return by how much all sides of a partition together exceed a loose limit, at most.
+        """Return the greatest amount by which all sides of a partition together exceed a loose limit.
 
         Arguments:
             limit: the loose limit.
-            known: members before the partition.
-            joined: members on one side since, which the others do not know.
+            known: number of members before the partition.
+            joined: number of members that joined one side since, and that the other sides do not know.
         """
         unknown = (1 + self.partition_overshoot) * joined / max(1, known + joined)
-        # Parts are whole numbers, which may be rounded up at each member.
+        # The allocation of each member is a whole number and may have been rounded up.
         rounding = 0 if limit.per == "rate" else min(known + joined - 1, limit.amount)
         return ceil(limit.amount * (self.partition_overshoot + unknown)) + rounding
 
 
 def config_errors(config: QuotaConfig) -> Iterator[FieldProblem]:
-    """Yield what contradicts its own bounds."""
+    """Yield a problem for each setting with which the bounds of this module would not hold."""
     for index, limit in enumerate(config.limits):
         yield from _limit_errors(f"limits.{index}", limit, config.max_processes)
     if len({limit.name for limit in config.limits}) < len(config.limits):
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -1,18 +1,19 @@
-"""Local limits: available on each side of a partition, as each node takes its part by its own view.
+"""Loose limits: each node computes its own allocation from its view of the members.
 
-Owns the loose limits of this process: usage and demand, which are piggybacked on the members' heartbeats, and
-its allocation of each. It must never count calls, send anything itself, or take more at the cost of a member
-that is not in contact. `now` is the boot clock in whole microseconds.
+A loose limit stays available on each side of a partition. The module owns this process's usage and demand of
+the loose limits, which the heartbeats of the members carry as gossip, and its allocation of each limit. It
+must not count calls or send messages itself. It must not use an amount that a member out of contact may still
+use. `now` is the boot clock in whole microseconds.
 
 How the overshoot is bounded:
 
-- Where all are in contact, an allocation is the max-min share of what all demand. The own demand counts only
-  when the others have received it, and theirs as soon as it is received, so nobody takes what another may
-  still use; and what others have in use is left to them.
-- A member without recent two-way contact may not know of the others' demand. It is assumed to demand
-  everything, so nobody takes its even share.
-- A side of a partition that sees only a part of the known members uses that part of the limit, (1 + `over`)
-  times: see `QuotaConfig.partition_allowance`.
+- Where all members are in contact, the allocation of a node is the max-min share of the demands of all
+  members. A node counts its own demand only when the others have received it, and theirs as soon as it
+  receives it, so no node takes what another may still use. What the others have in use is left to them.
+- A member without recent two-way contact may not know of the others' demand. The node assumes that it demands
+  everything, so the node leaves an even share to that member.
+- A side of a partition that sees only a fraction of the known members uses that fraction of the limit, times
+  (1 + `over`): see `QuotaConfig.partition_allowance`.
 """
 
 from collections import deque
@@ -31,86 +32,88 @@
 from finchcart.quota.limit_table import reconcile
 from finchcart.quota.limits import Limit, QuotaConfig
 
-ALLOWANCE_DURATION_US = 2 * SECOND  # a node whose fleet thread ends falls back to its floor after this
-RENEWAL_INTERVAL_US = SECOND // 2  # of an allowance that did not change
-IN_USE_PUBLICATIONS = 2  # there and back: others receive the demand, and this node what they had by then
+ALLOWANCE_DURATION_US = 2 * SECOND  # after this, a node whose fleet thread has ended uses only its floor
+RENEWAL_INTERVAL_US = SECOND // 2  # after this, an unchanged allowance is emitted again
+IN_USE_PUBLICATIONS = 2  # the others receive the demand, then this node receives what they had in use by then
 
 
 def freshness_bound(membership: MembershipConfig, member_count: int, loss: float) -> int:
-    """Return the microseconds within which new demand reaches all, and reports of members in contact.
+    """Return the microseconds within which a newly published demand reaches all members in contact.
+
+    This is also the greatest age of the latest report of a member in contact.
 
     Arguments:
         membership: the configuration of membership.
-        member_count: of the fleet.
-        loss: the part of datagrams lost, from 0 to 1.
+        member_count: the number of members of the fleet.
+        loss: the fraction of datagrams that are lost, from 0 to 1.
     """
     return membership.dissemination_time(member_count, loss) + 2 * membership.period
 
 
 class PublishedDemand(NamedTuple):
-    """A demand, and when it was published."""
+    """A demand and the time of its publication."""
 
     at: int
     demand: int
 
 
 class PartitionView(NamedTuple):
-    """How much of the fleet this side of a partition was at a time."""
+    """The fraction of the fleet on this side of a partition at a time."""
 
     at: int
-    seen: int  # members on this side, this node counted
-    known: int  # members in all, those lately failed counted
+    seen: int  # members on this side, including this node
+    known: int  # all members, including those that failed lately
 
     @property
     def fraction(self) -> float:
-        """The part of the fleet that is seen."""
+        """The fraction of the fleet on this side."""
         return self.seen / self.known
 
 
 class LocalAllocation:
-    """This node's part of one limit. The published demands are bounded by the time they are kept for."""
+    """This node's allocation of one limit; `publish` bounds the published demands that are kept."""
 
     def __init__(self, limit: Limit) -> None:
         self.limit = limit
         self.id = name_hash(limit.name)
         self.in_use = 0
         self.demand = 0
-        self.published: deque[PublishedDemand] = deque()  # the youngest last
+        self.published: deque[PublishedDemand] = deque()  # in the order of time
         self.amount = limit.floor
         self.last_emitted: int | None = None
         self.last_emitted_at = 0
 
     def publish(self, now: int, keep_for: int) -> None:
-        """Record that the present demand is published; forget what is older than `keep_for` microseconds."""
+        """Record the publication of the present demand; drop records older than `keep_for` microseconds."""
         self.published.append(PublishedDemand(now, self.demand))
         while len(self.published) > 1 and self.published[1].at <= now - keep_for:
             self.published.popleft()
 
     def settled_demand(self) -> int:
-        """Return the least demand published lately: what all others have received."""
+        """Return the least demand published lately, which all other members in contact have received."""
         return min(published.demand for published in self.published)
 
 
 class LocalLimits:
-    """The state machine of the loose limits; a client of the members' piggybacked gossip.
+    """The state machine of the loose limits, which exchanges demands by gossip on the members' heartbeats.
 
     Arguments:
         quota: the configuration.
-        now: microseconds on the boot clock.
+        now: time of the start, in microseconds on the boot clock.
     """
 
     def __init__(self, quota: QuotaConfig, now: int) -> None:
         self.quota = quota
         self.allocations = {limit.name: LocalAllocation(limit) for limit in quota.loose_limits}
-        self.joined_at: int | None = None  # when it first knew of others
-        self.age = 0  # how old the report of a member in contact can be
+        self.joined_at: int | None = None  # when this node first ran without isolation
+        self.age = 0  # greatest age of the latest report of a member in contact
         self.view = PartitionView(now, 1, 1)
-        self.recent_views: deque[PartitionView] = deque()  # as long as views of two sides can differ
-        self.connected: list[int] = []  # ids of members with recent two-way contact
-        self.unconfirmed: list[int] = []  # ids of members that are alive, without recent two-way contact
+        self.recent_views: deque[PartitionView] = deque()  # kept while the views of two sides may differ
+        self.connected: list[int] = []  # ids of the other living members
+        self.unconfirmed: list[int] = []  # ids of heartbeat neighbours without recent two-way contact
 
     def reduce(self, now: int, event: tuple[Any, ...]) -> list[LimitAllowance]:
-        """Take an input of inputs.py, ignore any other; return effects."""
+        """Handle an input of inputs.py and ignore any other; return the effects."""
         match event:
             case UsageReported(limit, in_use, demand):
                 self.on_usage(limit, in_use, demand)
@@ -119,7 +122,7 @@
         return []
 
     def turn(self, now: int, member: Member) -> list[LimitAllowance]:
-        """Publish the demand and compute the allocations, with each tick of the member; return effects."""
+        """Publish the demand and compute the allocations at each tick of the member; return the effects."""
         self.observe(now, member)
         counters = [(each.id, each.in_use, each.demand) for each in self.allocations.values()]
         member.publish(now, GossipTopic.QUOTA, counters)
@@ -132,19 +135,19 @@
         return effects
 
     def on_usage(self, limit: str, in_use: int, demand: int) -> None:
-        """Take usage and demand of a limit in all."""
+        """Record the usage and demand of a limit, including its floor."""
         allocation = self.allocations.get(limit)
         if allocation is not None:
             allocation.in_use = in_use
             allocation.demand = max(in_use, demand)
 
     def on_config(self, quota: QuotaConfig) -> list[LimitAllowance]:
-        """Take a new configuration: new limits start at their floor, removed ones are emitted as removed."""
+        """Replace the configuration; new limits start at their floor, removed ones are emitted as removed."""
         self.quota = quota
         return reconcile(self.allocations, quota.loose_limits, LocalAllocation)
 
     def _allowances(self, now: int, allocation: LocalAllocation) -> Iterable[LimitAllowance]:
-        """Yield the allowance, where it is new or has to be renewed."""
+        """Yield the allowance if it has changed or has to be renewed."""
         amount = allocation.amount
         if amount == allocation.last_emitted and now - allocation.last_emitted_at < RENEWAL_INTERVAL_US:
             return
@@ -157,19 +160,19 @@
     # ---- the view of the fleet
 
     def observe(self, now: int, member: Member) -> None:
-        """Sort the members by contact, and compute which part of the fleet is seen."""
+        """Classify the members by contact, and compute the fraction of the fleet on this side."""
         self.age = freshness_bound(member.config, len(member.known_members), member.loss)
         failed = self._sort_members(now, member)
         if member.isolated or member.is_resuming:
-            # What it knows of others is outdated: it is a side of its own.
+            # What this node knows of the others is outdated, so this node counts as a side of its own.
             failed += len(self.connected) + len(self.unconfirmed)
             self.connected = []
             self.unconfirmed = []
         elif self.joined_at is None:
             self.joined_at = now
         seen = 1 + len(self.connected) + len(self.unconfirmed)
-        # While two sides merge, both may count the same member: the least part that was seen lately counts,
-        # until all have the same view.
+        # While two sides merge, both may count the same member. Until all members have the same view, the
+        # least fraction that was seen lately counts.
         self.recent_views.append(PartitionView(now, seen, seen + failed))
         oldest = now - self.age - member.config.recovery_time
         while self.recent_views[0].at < oldest:
@@ -177,7 +180,10 @@
         self.view = min(self.recent_views, key=lambda view: view.fraction)
 
     def _sort_members(self, now: int, member: Member) -> int:
-        """Set `connected` and `unconfirmed`; return how many have failed."""
+        """Set `connected` and `unconfirmed`; return the number of failed members.
+
+        A living member that exchanges no heartbeats with this node directly counts as connected.
+        """
         self.connected = []
         self.unconfirmed = []
         failed = 0
@@ -198,10 +204,10 @@
     # ---- the allocation
 
     def share(self, now: int, member: Member, allocation: LocalAllocation) -> int:
-        """Return what this node may use of a limit."""
+        """Return the amount of a limit that this node may use."""
         limit = allocation.limit
         if self.joined_at is None or now - self.joined_at < self.age:
-            return limit.floor  # the others do not know of it yet
+            return limit.floor  # the others may not know of this node yet
         allowance = self.quota.partition_allowance(limit, self.view.seen, self.view.known)
         demands = {member.own_id: allocation.settled_demand()}
         demands |= dict.fromkeys(self.unconfirmed, allowance)
@@ -211,7 +217,7 @@
             in_use[member_id] = used
         shares = max_min_shares(allowance, demands)
         share = shares[member.own_id]
-        # Calls beyond a share that fell are left to their node, and the rest is divided.
+        # A member whose share has become smaller keeps its calls in progress; what remains is divided anew.
         excess = 0
         if limit.per == "in_hand":
             excess = sum(max(0, used - shares[member_id]) for member_id, used in in_use.items())
@@ -219,12 +225,13 @@
             return max_min_shares(allowance - excess, demands)[member.own_id]
         demanded = sum(demands.values())
         if demanded < allowance:
-            # All demand is met: the rest is spread, so that a jump of demand finds something at once.
+            # All demand is met. What remains is divided evenly, so that a node whose demand suddenly rises
+            # can use a part of it at once.
             share += (allowance - demanded) // (1 + len(self.connected) + len(self.unconfirmed))
         return share
 
     def received_demands(self, member: Member, allocation: LocalAllocation) -> Iterable[tuple[int, int, int]]:
-        """Yield (id of a member in contact, in use, demand) of a limit."""
+        """Yield (id of a member, its usage, its demand) of a limit for each member in contact."""
         for member_id in self.connected:
             published = member.gossip.received.get((member_id, GossipTopic.QUOTA))
             if published is None:
@@ -236,7 +243,7 @@
     # ---- status
 
     def status(self, now: int) -> list[dict[str, Any]]:
-        """Return what operators see; the keys are those of docs/operate/quota.md."""
+        """Return the status that operators see; docs/operate/quota.md explains the keys."""
         return [self._limit_status(allocation) for allocation in self.allocations.values()]
 
     def _limit_status(self, allocation: LocalAllocation) -> dict[str, Any]:
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -1,7 +1,7 @@
-"""The messages between lease holders and planners, and between planners.
+"""The messages between lease holders and planners, and among planners.
 
-Owns their fields and limits. It must never act on a message. The order of the fields and the tags are the
-wire format: they stay, whatever the fields are called.
+The module contains the fields of the messages and their limits, and must not act on a message. The order of
+the fields and the tags are the wire format and must not change; the names of fields are not part of it.
 """
 
 from typing import Annotated, NamedTuple
@@ -11,33 +11,36 @@
 from finchcart.fleet.codec import MessageCodec, NodeName, Unsigned53, Unsigned64
 
 CHANNEL = b"Q"
-MAX_LIMITS = 16  # in one message
+MAX_LIMITS = 16  # limits in one message
 WEIGHT_SCALE = 100  # weights are sent as whole hundredths
 
 Amount = Annotated[int, Meta(ge=0, le=2**31)]
 Weight = Annotated[int, Meta(ge=1, le=10_000)]
-LeaderAddress = Annotated[str, Meta(max_length=64)]  # empty where none is known
+LeaderAddress = Annotated[str, Meta(max_length=64)]  # empty if no leader is known
 
 
 class Ballot(NamedTuple):
-    """Orders the candidacies of planners: no two are alike. The number of an elected ballot is the term."""
+    """Orders the candidacies of planners; no two ballots are equal.
+
+    The number of an elected ballot is the term.
+    """
 
     number: Unsigned53
-    session: Unsigned64  # of the proposer's process
+    session: Unsigned64  # session of the proposer
 
 
 class AcceptedLease(NamedTuple):
-    """A lease that an acceptor voted for and that is not over."""
+    """An unexpired leader lease that an acceptor voted for."""
 
     ballot: Ballot
     owner: Unsigned64  # session of the proposer
 
 
 class Prepare(Struct, array_like=True, frozen=True, tag=20):
-    """Ask for a promise to accept no lesser ballot.
+    """Asks an acceptor to promise that it will accept no smaller ballot.
 
-    `timing_digest`: of the durations in the proposer's configuration. No bound holds where they differ, so
-    planners with others do not vote for each other.
+    `timing_digest` is a digest of the durations in the proposer's configuration. No bound would hold between
+    planners whose durations differ, so these planners don't vote for each other.
     """
 
     ballot: Ballot
@@ -45,14 +48,14 @@
 
 
 class Promise(Struct, array_like=True, frozen=True, tag=21):
-    """Accept no lesser ballot; with the lease that the acceptor voted for, if it is not over."""
+    """Promises to accept no smaller ballot; `accepted` is the acceptor's unexpired vote, if there is one."""
 
     ballot: Ballot
     accepted: AcceptedLease | None
 
 
 class Propose(Struct, array_like=True, frozen=True, tag=22):
-    """Ask for a vote for the lease of `owner`."""
+    """Asks an acceptor to vote for the lease of `owner`."""
 
     ballot: Ballot
     owner: Unsigned64
@@ -65,22 +68,22 @@
 
 
 class Reject(Struct, array_like=True, frozen=True, tag=24):
-    """A greater ballot was promised."""
+    """Rejects a ballot, because the acceptor has promised a greater one."""
 
     ballot: Ballot
     promised: Ballot
 
 
 class LimitDemand(Struct, array_like=True, frozen=True):
-    """What a lease holder reports of one limit; amounts are beyond its floor."""
+    """A lease holder's report on one limit; the amounts are beyond its floor."""
 
     limit: NodeName
-    term: Unsigned53  # of the lease that it holds
-    number: Unsigned53  # of that lease; 0 for none
-    in_use: Amount  # of that lease, or what is still in use of an earlier one
+    term: Unsigned53  # term of the lease that the holder has
+    number: Unsigned53  # number of that lease; 0 if there is none
+    in_use: Amount  # amount of that lease, or more if calls of an earlier lease are still in progress
     demand: Amount
     floor: Amount
-    priority_demand: Amount = 0  # the part of `demand` that matters more than the rest
+    priority_demand: Amount = 0  # the part of `demand` that is more important than the rest
     weight: Weight = WEIGHT_SCALE
 
 
@@ -88,25 +91,25 @@
     """A holder's request for leases of all its limits."""
 
     node: NodeName
-    session: Unsigned64  # drawn at the holder's start: tells two processes of one name apart
+    session: Unsigned64  # random; differs between two processes of the same node name
     sequence: Unsigned53
-    oldest_sequence: Unsigned53  # of the requests whose answer the holder still takes
+    oldest_sequence: Unsigned53  # of the oldest request whose answer the holder still accepts
     is_leaving: bool
     limits: Annotated[list[LimitDemand], Meta(max_length=MAX_LIMITS)]
 
 
 class LimitLease(Struct, array_like=True, frozen=True):
-    """The lease of a part of one limit."""
+    """A lease of an amount of one limit."""
 
     limit: NodeName
-    number: Unsigned53  # within the term: the higher is the newer
+    number: Unsigned53  # within the term; the lease with the greater number is the newer
     amount: Amount  # beyond the holder's floor
-    duration_us: Unsigned53  # counted by the holder from before its request
-    fleet_amount: Amount  # the whole limit as the planner has it
+    duration_us: Unsigned53  # the holder counts it from before its request
+    fleet_amount: Amount  # the whole limit in the planner's configuration
 
 
 class LeaseGrant(Struct, array_like=True, frozen=True, tag=26):
-    """The answer to the request `sequence` of the process `session`; the term is the fencing token."""
+    """The answer to the request `sequence` of the process `session`; `term` is the fencing token."""
 
     term: Unsigned53
     session: Unsigned64
@@ -115,7 +118,7 @@
 
 
 class Redirect(Struct, array_like=True, frozen=True, tag=27):
-    """The answer of a planner that does not lead."""
+    """The answer of a planner that doesn't lead; `leader` is the planner to ask instead."""
 
     session: Unsigned64
     sequence: Unsigned53
@@ -123,16 +126,16 @@
 
 
 class QuotaStatusRequest(Struct, array_like=True, frozen=True, tag=28):
-    """A question of the command line."""
+    """A status request of the command line."""
 
     number: Unsigned53
 
 
 class QuotaStatusResponse(Struct, array_like=True, frozen=True, tag=29):
-    """The answer to a question of that number."""
+    """The answer to the status request with the same number."""
 
     number: Unsigned53
-    view: dict  # of keys and values as the command line prints them
+    view: dict  # keys and values as the command line prints them
 
 
 ElectionMessage = Prepare | Promise | Propose | Accept | Reject
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -1,9 +1,9 @@
 """A planner: takes part in the election of the leader and, while it leads, allocates the strict limits.
 
-Owns the messages of election and allocator: reads them, hands them on, sends the replies. It must never
-decide on a vote (acceptor.py, leader_election.py) or on an amount (allocator.py). Nothing is kept on a disk:
-a planner that starts is quiet until any lease that an earlier process at its address may have granted has
-expired.
+The module passes messages between the network, the election and the allocator. It must not decide on a vote
+(acceptor.py, leader_election.py) or on an amount (allocator.py). A planner keeps nothing on disk. After its
+start it takes no part in elections until any leader lease that an earlier process at its address may have
+voted for has expired. A new leader only renews leases until those of earlier terms have expired.
 
 Bounds: those of `LeaderElection` and `Allocator`.
 """
@@ -38,14 +38,14 @@
 
 
 class Planner(MessageEndpoint[QuotaMessage, QuotaConfigChanged]):
-    """A planner's state machine; see `MessageEndpoint` for its inputs, and `QuotaConfigChanged`.
+    """The state machine of a planner; its inputs are those of `MessageEndpoint` and `QuotaConfigChanged`.
 
     Arguments:
-        address: its own, as the configuration names it.
+        address: the address of this planner, as the configuration names it.
         fleet: the name of the fleet.
         quota: the configuration.
-        random: of this process alone.
-        now: microseconds on the boot clock.
+        random: the random generator, seeded differently in each process.
+        now: time of the start, in microseconds on the boot clock.
     """
 
     codec = CODEC
@@ -62,12 +62,12 @@
     # ---- inputs
 
     def before_input(self) -> None:
-        """Step down once the own lease is over."""
+        """Step down once this planner's leader lease has expired."""
         if self.election.has_expired(self.now):
-            self.step_down("its lease has expired")
+            self.step_down("its leader lease has expired")
 
     def on_tick(self) -> None:
-        """Stand for election or renew the lease; while it leads, drop what has expired."""
+        """Start a candidacy or renew the leader lease; while this planner leads, drop expired leases."""
         was_leader = self.election.is_leader
         self.election.on_tick(self.now)
         self._after_election_step(was_leader)
@@ -75,7 +75,7 @@
             self.allocator.expire(self.now)
 
     def on_input(self, event: CommonInput | QuotaConfigChanged) -> None:
-        """Take a new configuration."""
+        """Replace the configuration."""
         match event:
             case QuotaConfigChanged(quota):
                 self.quota = quota
@@ -83,7 +83,7 @@
                 self.allocator.set_config(quota)
 
     def on_message(self, address: HostPort, message: QuotaMessage) -> None:
-        """Act on a message of a planner, a lease holder or the command line."""
+        """Handle a message of a planner, a lease holder or the command line."""
         match message:
             case Prepare() | Promise() | Propose() | Accept() | Reject():
                 self._on_election_message(address, message)
@@ -109,23 +109,27 @@
         if self.election.is_leader and not was_leader:
             self.allocator.begin_term(self.election.term, self.now)
             self.log(
-                "leadership won: allocates", term=self.election.term, wait_ms=self.quota.takeover_wait // MS
+                "elected leader of the planners: renews leases now, grants new ones after wait_ms",
+                term=self.election.term,
+                wait_ms=self.quota.takeover_wait // MS,
             )
 
     def step_down(self, reason: str) -> None:
-        """Give up leadership, and log why."""
-        self.log("leadership lost: allocates no longer", term=self.election.term, why=reason)
+        """Give up leadership and log the reason."""
+        self.log(
+            "no longer leader of the planners: stopped granting leases", term=self.election.term, why=reason
+        )
         self.election.step_down(self.now)
         self.allocator.end_term()
 
     # ---- lease holders
 
     def on_request(self, address: HostPort, request: LeaseRequest) -> None:
-        """Grant a holder its leases, or redirect it to the planner that leads."""
+        """Grant leases to a holder, or redirect the holder to the leading planner."""
         latest_term = max((line.term for line in request.limits), default=0)
         self.election.observe_term(latest_term)
         if self.election.is_leader and latest_term > self.election.term:
-            self.step_down("a holder knows a later term")
+            self.step_down("a lease holder reported a later term")
         if not self.election.is_leader:
             leader = self.election.leader(self.now)
             self.send(address, Redirect(request.session, request.sequence, leader))
@@ -150,7 +154,7 @@
     # ---- status
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see; the keys are those of docs/operate/quota.md."""
+        """Return the status that operators see; docs/operate/quota.md explains the keys."""
         is_leader = self.election.is_leader
         return {
             "planner": self.address,
