--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -209,9 +209,11 @@
     for index, limit in enumerate(config.limits):
         yield from _limit_errors(f"limits.{index}", limit, config.max_processes)
     if len({limit.name for limit in config.limits}) < len(config.limits):
-        yield FieldProblem("limits", "two have one name")
+        yield FieldProblem("limits", "two limits have the same name")
     if len({limit.scope for limit in config.limits}) < len(config.limits):
-        yield FieldProblem("limits", "two limit the same: one limit holds it")
+        yield FieldProblem(
+            "limits", "two limits of one kind count the same calls or RPCs: merge them into one"
+        )
     if config.strict_limits:
         yield from leases.group_size_problems("planners", config.planners)
     yield from leases.duplicate_problems("planners", config.planners)
@@ -222,16 +224,16 @@
     if limit.is_strict and limit.counts == "rpcs" and limit.per == "in_hand":
         yield FieldProblem(
             f"{path}.mode",
-            "an RPC in hand can't be ended with a grant, so this can't be strict: loose, or a rate",
+            "an RPC in progress can't be ended when a lease expires, so this limit can't be strict: "
+            "set the mode to loose, or limit the rate",
         )
     if limit.per == "rate" and limit.burst < max_processes:
         yield FieldProblem(
             f"{path}.burst",
-            f"{limit.burst} is less than most = {max_processes}: each process has one of it, or could never "
-            "use its part",
+            f"{limit.burst} is less than most = {max_processes}: each process needs a burst of at least one",
         )
     if limit.counts == "calls" and (limit.method or limit.dispatcher):
-        yield FieldProblem(path, "method and dispatcher are of RPCs: counts has to be rpcs")
+        yield FieldProblem(path, "method and dispatcher apply only to RPCs: counts has to be rpcs")
     floors = limit.floor * max_processes
     if floors > limit.amount:
         yield FieldProblem(
@@ -246,8 +248,8 @@
     if config.lease_duration < MIN_REQUESTS_PER_LEASE * config.request_interval:
         yield FieldProblem(
             "life_ms",
-            f"{life_ms} ms is less than 3 x round_ms = {min_life_ms} ms: two lost asks would cost "
-            "a holder its part",
+            f"{life_ms} ms is less than 3 x round_ms = {min_life_ms} ms: two lost requests would "
+            "cost a holder its lease",
         )
     if config.leader_lease_duration < MIN_LEADER_LEASE_US:
         yield FieldProblem(
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -24,10 +24,10 @@
         ({"planners": ["127.0.0.2:1"] * 3}, {}, "its vote would count double"),
         ({"lease_ms": 300}, {}, "at least 500 ms"),
         ({"slack_ms": 2000}, {}, "more than a quarter of life_ms"),
-        ({}, {"counts": "rpcs"}, "an RPC in hand can't be ended with a grant"),
+        ({}, {"counts": "rpcs"}, "an RPC in progress can't be ended when a lease expires"),
         ({}, {"rate": 3, "burst": 30}, "in_hand or rate has to be told, and not both"),
         ({}, {"in_hand": 0}, "limits.0.in_hand: 0:"),
-        ({}, {"method": "x"}, "method and dispatcher are of RPCs"),
+        ({}, {"method": "x"}, "method and dispatcher apply only to RPCs"),
         ({}, {"in_hnd": 3}, "limits.0.in_hnd: no such setting; the nearest is in_hand"),
     ],
 )
