--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -1,4 +1,4 @@
-"""Planners and lease holders that are fed messages by hand."""
+"""Planners and lease holders that a test drives message by message."""
 
 import random
 
@@ -17,22 +17,22 @@
 
 
 def got(message, address=TWO):
-    """The input of a datagram with this message."""
+    """Return the input of a datagram that contains this message."""
     return DatagramReceived(address, messages.CODEC.encode("f", message))
 
 
 def sent(effects):
-    """The messages that were sent."""
+    """Return the messages in these effects."""
     return [messages.CODEC.decode("f", effect.data) for effect in effects if isinstance(effect, SendDatagram)]
 
 
 def started(factories):
-    """A planner that has just started."""
+    """Return a planner that has just started."""
     return factories.planner(PLANNERS[0], "f", SHARED, random.Random(1), 0)
 
 
 def elected(factories, accept_late=0):
-    """A planner that leads, and when it proposed."""
+    """Return a leading planner and the time at which it proposed its lease."""
     leader = started(factories)
     now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
     leader.reduce(now, Tick())
@@ -45,7 +45,7 @@
 def request_lease(
     leader, now, name, session, sequence, held=NO_LEASE, in_use=0, demand=40, oldest_sequence=0
 ):
-    """The lease that a planner grants a holder."""
+    """Request a lease of a planner; return the lease, or None if the planner granted none."""
     line = messages.LimitDemand("store", held.term, held.number, in_use, demand, 0)
     lease_request = messages.LeaseRequest(name, session, sequence, oldest_sequence, False, [line])
     answers = sent(leader.reduce(now, got(lease_request, NODE)))
@@ -53,14 +53,14 @@
 
 
 def holding(factories):
-    """A holder that has sent its first request."""
+    """Return a lease holder that has sent its first request."""
     lease_holder = factories.lease_holder("n1", "f", SHARED, random.Random(1), 0)
     lease_holder.reduce(0, Tick())
     return lease_holder
 
 
 def grant(lease_holder, now, term, sequence, number, amount):
-    """What a holder has after an answer."""
+    """Answer a holder's request with a lease; return the amount that the holder then has."""
     lease = messages.LimitLease("store", number, amount, SHARED.lease_duration, 40)
     lease_holder.reduce(now, got(messages.LeaseGrant(term, lease_holder.session, sequence, [lease])))
     return lease_holder.held["store"].amount
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -1,4 +1,4 @@
-"""The max-min fair division of a limit."""
+"""Max-min fair division of a limit."""
 
 import random
 
@@ -19,7 +19,9 @@
         assert sum(parts.values()) == min(amount, sum(wants.values()))
         assert all(parts[n] <= wants[n] for n in wants)
         short = [parts[n] for n in wants if parts[n] < wants[n]]
-        assert not short or max(parts.values()) <= min(short) + 1, "nobody has more than one who goes short"
+        assert not short or max(parts.values()) <= min(short) + 1, (
+            "no share exceeds that of an unmet demand by more than rounding"
+        )
 
 
 def test_what_matters_more_is_met_first_and_weights_count():
--- a/tests/test_local_limits.py
+++ b/tests/test_local_limits.py
@@ -1,4 +1,4 @@
-"""Loose limits, by each node's own view of the fleet, on the virtual clock."""
+"""Loose limits, which each node allocates by its own view of the fleet, in simulations."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def partition(fleet, numbers):
-    """No datagram passes between the nodes of these numbers and the others any more."""
+    """Drop all datagrams between the nodes of these numbers and the others."""
     side = {f"n{number}" for number in numbers}
     for name in side:
         for other in fleet.processes:
@@ -25,8 +25,11 @@
 def loose_run(
     factories=None, per="in_hand", cut=(), seconds=30, seed=1, holders=6, over=1.0, start=(), takes=300_000
 ):
-    """Loose limits with demand that jumps; `cut`: the members of one side of a partition, from 10 to 25 s;
-    `start`: those that start later; `takes`: microseconds of a call. Raises where it is beyond the bound."""
+    """Run a fleet with a loose limit and changing demand; raise `InvariantError` beyond the bound.
+
+    `cut`: members of one side of a partition that lasts from 10 s to 25 s; `start`: members that start late;
+    `takes`: mean duration of a call, in microseconds.
+    """
     limit = Limit("store", 48, mode="loose", per=per, burst=20 if per == "rate" else 0)
     quota = QuotaConfig(limits=(limit,), max_processes=holders + 2, partition_overshoot=over)
     fleet = QuotaSimulation(seed, 0, holders, quota, factories, mode="loose", per=per)
@@ -53,7 +56,7 @@
 def test_a_loose_limit_is_not_exceeded_while_all_are_in_contact():
     for seed in range(4):
         fleet = loose_run(seed=seed)
-        assert fleet.worst <= 48 + 2, "but for parts that were rounded up"
+        assert fleet.worst <= 48 + 2, "except for shares that were rounded up"
     assert fleet.worst > 40
 
 
@@ -61,15 +64,15 @@
     worst = 0
     for seed in range(3):
         for cut in ((0, 1, 2), (0,), (1, 4)):
-            fleet = loose_run(cut=cut, seed=seed)  # raises where it is beyond the bound
+            fleet = loose_run(cut=cut, seed=seed)  # raises InvariantError beyond the bound
             worst = max(worst, fleet.worst)
-    assert worst > 48 + 24, "half of the bound is used"
+    assert worst > 48 + 24, "the run uses more than half of the permitted overshoot"
     assert max(loose_run(cut=(0, 1, 2), seed=seed, over=0.0).worst for seed in range(3)) <= 48 + 5
 
 
 def test_published_demands_of_a_node_that_meets_nobody_are_bounded():
     fleet = QuotaSimulation(1, 0, 3, mode="loose")
-    fleet.start("n2")  # n0 and n1, its seeds, never are there
+    fleet.start("n2")  # its seeds n0 and n1 never start
     fleet.run(60 * SECOND)
     allocation = fleet.processes["n2"].machine.piggyback_clients[0].allocations["store"]
     assert allocation.amount == 0
@@ -110,7 +113,7 @@
 
 
 def unsettled_demand(factories, **more):
-    """The own want counts before others heard of it."""
+    """A node counts its own demand before the others have received it."""
 
     class Allocation(local_limits.LocalAllocation):
         settled_demand = demand_counts_at_once
@@ -132,7 +135,7 @@
 
 
 def worst(play, seeds=(1, 2), **more):
-    """The most in hand; more than any limit where the bound was broken."""
+    """Return the most calls in progress at once, or a number above all limits if the bound was broken."""
     try:
         return max(play(seed=seed, **more).worst for seed in seeds)
     except InvariantError:
@@ -140,28 +143,38 @@
 
 
 LOOSE = {
-    "the own demand counts at once": (unsettled_demand, {}, {}, 50),
-    "each side takes the whole": (takes_the_whole, {}, {"cut": (0, 1, 2), "over": 0.0}, 53),
-    "each side takes the whole of a rate": (
+    "a node's own demand counts at once": (unsettled_demand, {}, {}, 50),
+    "each side of a partition uses the whole limit": (
+        takes_the_whole,
+        {},
+        {"cut": (0, 1, 2), "over": 0.0},
+        53,
+    ),
+    "each side of a partition uses the whole rate": (
         takes_the_whole,
         {},
         {"per": "rate", "cut": (0, 1, 2), "over": 0.0},
         20,
     ),
-    "who is not heard is reckoned to want nothing": (
+    "a member without contact is assumed to demand nothing": (
         loose_run,
         {"observe": unconfirmed_demand_nothing},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
-    "who starts takes its part at once": (loose_run, {"observe": joins_at_once}, {"start": ("n4", "n5")}, 50),
-    "what others have in hand is not looked at": (
+    "a node allocates right after its start": (
+        loose_run,
+        {"observe": joins_at_once},
+        {"start": ("n4", "n5")},
+        50,
+    ),
+    "the usage of other members is ignored": (
         loose_run,
         {"received_demands": in_hand_ignored},
         {"takes": 4_000_000},
         53,
     ),
-    "what is seen now counts while sides come together": (
+    "only the latest view counts while sides merge": (
         loose_run,
         {"observe": counts_what_it_sees_now},
         {"cut": (0, 1, 2), "over": 0.0},
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -1,4 +1,4 @@
-"""Strict limits: what planners allocate to lease holders, on the virtual clock and by hand."""
+"""Allocation of strict limits by planners to lease holders, in simulations and message by message."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 
 
 def test_demand_that_alternates_between_two_moves_little():
-    """The greater of the last two demands of each counts."""
+    """Allocations don't oscillate, as the planner counts the greater of each holder's last two demands."""
     leader, now = elected(QuotaFactories())
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 99 * SECOND
@@ -94,7 +94,7 @@
     assert lease_holder.held["store"].limit is store
     effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(other,))))
     assert effects == [LimitAllowance("store", None, 0, 0)]
-    assert type(effects[0]) is LimitAllowance  # named tuples of two types may be equal
+    assert type(effects[0]) is LimitAllowance  # `==` holds also between named tuples of different types
     assert list(lease_holder.held) == ["other"]
     loose = [Limit(name, 9, mode="loose") for name in ("a", "b")]
     local = LocalLimits(QuotaConfig(limits=(loose[0],)), 0)
@@ -105,7 +105,7 @@
 
 
 def set_demand(fleet, **demands):
-    """Let the nodes want these amounts from now on."""
+    """Set the demands of these nodes."""
     for name, demand in demands.items():
         fleet.processes[name].demand = demand
 
@@ -125,7 +125,7 @@
         fleet.kill(name)
     fleet.run(fleet.now + fleet.quota.fallback_bound() + 100_000, fleet.after_step)
     assert all(fleet.processes[f"n{n}"].amount == 0 for n in range(6))
-    assert fleet.count()[0] <= 6, "floors alone"
+    assert fleet.count()[0] <= 6, "without planners, only the floors are used"
     for name in ("p0", "p1", "p2"):
         fleet.start(name)
     fleet.run(fleet.now + fleet.quota.recovery_bound(), fleet.after_step)
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of planners and lease holders, and the bounded search of all faults."""
+"""Planted defects of planners and lease holders, and an exhaustive search of the placements of a fault."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def planted(of, methods):
-    """A class that can be pickled: the exhaustive check copies states so."""
+    """Return a subclass with these methods; the exhaustive search needs one that can be pickled."""
     made = type(f"Planted{len(PLANTED)}", (of,), {**methods, "__module__": __name__})
     PLANTED[made.__name__] = globals()[made.__name__] = made
     return made
@@ -70,13 +70,13 @@
 
 
 def hides_its_vote(self, now, sender, prepare):
-    """Votes for one, and does not say so to the next."""
+    """The acceptor votes for one planner and conceals that vote from the next."""
     self.acceptor.accepted = None
     LeaderElection.on_prepare(self, now, sender, prepare)
 
 
 def knows_holders_by_name_alone(self, address, request):
-    """A restarted process is taken for the one before."""
+    """The planner takes a restarted process for the one before it."""
     holders = self.allocator.holders
     for key in [key for key in holders if key.node == request.node and key.session != request.session]:
         record = holders.pop(key)
@@ -86,7 +86,7 @@
 
 
 def counts_the_last_lease(self, holder, limit):
-    """Counts the lease granted last, not the greatest that may still be used."""
+    """The allocator counts the lease granted last, not the greatest lease that may still be used."""
     record = holder.limits.get(limit)
     return record.granted[-1].amount if record and record.granted else 0
 
@@ -134,7 +134,7 @@
 
 
 def holder_is_restarted(factories):
-    """The process before may still use its lease: another gets none of that."""
+    """The process before the restart may still use its lease, so no other holder gets a part of it."""
     leader, now = elected(factories)
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
@@ -148,36 +148,36 @@
 def earlier_term(factories):
     lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 10)
-    return ["taken"] if grant(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
+    return ["accepted"] if grant(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
 
 
 def earlier_number(factories):
-    """A lease of less was taken, and reported: the one before, come late, is void."""
+    """The holder accepted and reported a smaller lease; an earlier grant that arrives late is rejected."""
     lease_holder = holding(factories)
     lease_holder.reduce(500_000, Tick())
     grant(lease_holder, 501_000, 5, 2, 8, 10)
-    return ["taken"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
+    return ["accepted"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
 
 
 def renewed_late(factories):
-    """A request that reported 30 reaches a new leader late; meanwhile 20 of it were given back."""
+    """A new leader renews the 30 that a delayed request reported; the holder has given back 20 since."""
     lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 30)
     lease_holder.reduce(500_000, Tick())  # reports 30
     lease_holder.reduce(1_000_000, Tick())
     grant(lease_holder, 1_001_000, 5, 3, 2, 10)
-    return ["taken"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
+    return ["accepted"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
 
 
 def counted_late(factories):
-    """An answer that took 2 s leaves 1 s of a lease of 3."""
+    """An answer that took 2 s to arrive leaves 1 s of a lease of 3 s."""
     lease_holder = holding(factories)
     grant(lease_holder, 2 * SECOND, 5, 1, 1, 10)
     return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
 
 
 def seeds(count):
-    """Plays so many seeded runs, up to the first breach."""
+    """Return a function that plays so many seeded runs, up to the first breach of the limit."""
 
     def play(factories):
         for seed in range(count):
@@ -191,12 +191,12 @@
 
 
 def promises(answers):
-    """The answers, where one of them is a promise."""
+    """Return the answers if one of them is a promise, or else an empty list."""
     return answers if any(isinstance(answer, messages.Promise) for answer in answers) else []
 
 
 def votes_after_its_start(factories):
-    """An acceptor that restarts answers nothing while a lease that it voted for may last."""
+    """A restarted acceptor must not answer while a lease that it voted for before may last."""
     acceptor = started(factories)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
     return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, got(prepare))))
@@ -211,22 +211,34 @@
 
 
 DEFECTS = {
-    "no silence after a start": (votes_after_its_start, election(__init__=votes_at_once_after_its_start)),
-    "no wait before giving": (seeds(20), allocator(begin_term=grants_at_once)),
-    "an owner whose lease is over goes on": (seeds(20), planner(step_down=leads_for_ever)),
-    "a lease counted from its end": (accept_comes_late, election(on_accept=lease_counts_from_its_last_vote)),
+    "an acceptor votes right after its start": (
+        votes_after_its_start,
+        election(__init__=votes_at_once_after_its_start),
+    ),
+    "a new leader does not wait for the leases of earlier terms": (
+        seeds(20),
+        allocator(begin_term=grants_at_once),
+    ),
+    "a leader whose lease has expired keeps leading": (seeds(20), planner(step_down=leads_for_ever)),
+    "a leader lease counted from its last vote": (
+        accept_comes_late,
+        election(on_accept=lease_counts_from_its_last_vote),
+    ),
     "any ballot is promised": (lesser_ballot, election(on_prepare=promises_any_ballot)),
-    "a voter does not tell its vote": (seeds(4), election(on_prepare=hides_its_vote)),
-    "a holder known by its name alone": (
+    "an acceptor conceals its vote": (seeds(4), election(on_prepare=hides_its_vote)),
+    "a holder identified by its name only": (
         holder_is_restarted,
         planner(on_request=knows_holders_by_name_alone),
     ),
-    "the last grant counts, not the greatest": (seeds(4), allocator(committed=counts_the_last_lease)),
-    "a grant counted from its answer": (counted_late, holder(on_grant=counts_from_the_answer)),
-    "any term is taken": (earlier_term, holder(on_grant=takes_any_term)),
-    "any number is taken": (earlier_number, holder(on_grant=takes_any_number)),
-    "a late ask is renewed as it was": (renewed_late, holder(on_grant=takes_answers_to_late_requests)),
-    "a grant does not end": (seeds(12), holder(update_allowance=holds_without_end)),
+    "the last lease counts, not the greatest": (seeds(4), allocator(committed=counts_the_last_lease)),
+    "a lease counted from its answer": (counted_late, holder(on_grant=counts_from_the_answer)),
+    "any term is accepted": (earlier_term, holder(on_grant=takes_any_term)),
+    "any number is accepted": (earlier_number, holder(on_grant=takes_any_number)),
+    "a renewal of a replaced lease is accepted": (
+        renewed_late,
+        holder(on_grant=takes_answers_to_late_requests),
+    ),
+    "a lease does not expire": (seeds(12), holder(update_allowance=holds_without_end)),
 }
 
 
@@ -241,4 +253,4 @@
     states, breach = explore(7, 1)
     assert breach is None
     assert states > 700
-    assert explore(7, 1, DEFECTS["no wait before giving"][1])[1]
+    assert explore(7, 1, DEFECTS["a new leader does not wait for the leases of earlier terms"][1])[1]
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -1,4 +1,4 @@
-"""Limits in the settings file, and the bounds that follow from them."""
+"""Limits in the settings file and the bounds that follow from them."""
 
 import random
 
