--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -105,7 +105,7 @@
     # ---- requests
 
     def renew(
-        self, now: int, limit: Limit, holder: HolderRecord, request: LeaseRequest, line: LimitDemand
+        self, now: int, limit: Limit, holder: HolderRecord, request: LeaseRequest, report: LimitDemand
     ) -> LimitLease | None:
         """Record what a holder reports of a limit, and grant the holder a lease.
 
@@ -114,29 +114,29 @@
             limit: the limit in this planner's configuration.
             holder: the record that `register` returned.
             request: the whole request.
-            line: what the request reports of the limit.
+            report: what the request reports of the limit.
 
         Returns:
             The new lease, or None if the holder may have `MAX_GRANTED` leases already.
         """
         record = holder.limits.setdefault(limit.name, LimitRecord())
-        self._end_unused(now, holder, record, request, line)
-        self._take_demand(limit, holder, record, line)
+        self._end_unused(now, holder, record, request, report)
+        self._take_demand(limit, holder, record, report)
         if len(record.granted) >= MAX_GRANTED:
             return None
         self.last_number += 1
-        amount = self._amount(now, limit, HolderKey(request.node, request.session), line)
+        amount = self._amount(now, limit, HolderKey(request.node, request.session), report)
         expires_at = now + self.quota.takeover_wait
         record.granted.append(GrantedLease(self.last_number, request.sequence, amount, expires_at))
         return LimitLease(limit.name, self.last_number, amount, self.quota.lease_duration, limit.amount)
 
     def _end_unused(
-        self, now: int, holder: HolderRecord, record: LimitRecord, request: LeaseRequest, line: LimitDemand
+        self, now: int, holder: HolderRecord, record: LimitRecord, request: LeaseRequest, report: LimitDemand
     ) -> None:
         """Drop the leases that the holder can no longer use, according to its report."""
-        committed = self.committed(holder, line.limit)
+        committed = self.committed(holder, report.limit)
         record.expire(now)
-        held_number = line.number if line.term == self.term else None
+        held_number = report.number if report.term == self.term else None
         record.granted = [
             lease
             for lease in record.granted
@@ -149,30 +149,30 @@
         for lease in record.granted:
             if lease.number == held_number:
                 # The holder reports the amount of that lease, or more if it still uses more of an older one.
-                lease.amount = min(line.in_use, committed)
+                lease.amount = min(report.in_use, committed)
 
     def _take_demand(
-        self, limit: Limit, holder: HolderRecord, record: LimitRecord, line: LimitDemand
+        self, limit: Limit, holder: HolderRecord, record: LimitRecord, report: LimitDemand
     ) -> None:
         # The greater of the last two reported demands counts. Otherwise allocations would oscillate between
         # two holders whose demand alternates. Of a holder that is leaving, the last report alone counts.
         previous = record.reported_demand
-        record.reported_demand = line.demand
-        record.demand = line.demand if holder.is_leaving else max(line.demand, previous)
-        record.priority_demand = line.priority_demand
-        record.weight = line.weight / WEIGHT_SCALE
-        record.extra_floor = max(0, line.floor - limit.floor)
+        record.reported_demand = report.demand
+        record.demand = report.demand if holder.is_leaving else max(report.demand, previous)
+        record.priority_demand = report.priority_demand
+        record.weight = report.weight / WEIGHT_SCALE
+        record.extra_floor = max(0, report.floor - limit.floor)
 
     # ---- amounts
 
-    def _amount(self, now: int, limit: Limit, key: HolderKey, line: LimitDemand) -> int:
+    def _amount(self, now: int, limit: Limit, key: HolderKey, report: LimitDemand) -> int:
         """Return the amount of a limit to grant a holder beyond its floor."""
         shareable = limit.shareable(self.quota.max_processes)
         committed = self.committed(self.holders[key], limit.name)
         if now < self.leads_since + self.quota.takeover_wait:
             # Other holders may still have leases of the whole rest from an earlier term. The lease of this
             # holder is renewed for the amount that it has, but not increased.
-            held = line.in_use if line.term < self.term else committed
+            held = report.in_use if report.term < self.term else committed
             return min(held, shareable)
         step = max(1, int(shareable * self.quota.max_step))
         free = shareable - self._committed_total(limit)
--- a/finchcart/quota/planner.py
+++ b/finchcart/quota/planner.py
@@ -126,7 +126,7 @@
 
     def on_request(self, address: HostPort, request: LeaseRequest) -> None:
         """Grant leases to a holder, or redirect the holder to the leading planner."""
-        latest_term = max((line.term for line in request.limits), default=0)
+        latest_term = max((report.term for report in request.limits), default=0)
         self.election.observe_term(latest_term)
         if self.election.is_leader and latest_term > self.election.term:
             self.step_down("a lease holder reported a later term")
@@ -139,14 +139,14 @@
 
     def _renew_all(self, request: LeaseRequest) -> list[LimitLease]:
         holder = self.allocator.register(self.now, request)
-        lines = {line.limit: line for line in request.limits}
+        reports = {report.limit: report for report in request.limits}
         leases = []
         for limit in self.quota.strict_limits:
-            line = lines.get(limit.name)
-            if line is None:
+            report = reports.get(limit.name)
+            if report is None:
                 self.count(f"a holder knows no limit {limit.name}")
                 continue
-            lease = self.allocator.renew(self.now, limit, holder, request, line)
+            lease = self.allocator.renew(self.now, limit, holder, request, report)
             if lease is not None:
                 leases.append(lease)
         return leases
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -46,8 +46,8 @@
     leader, now, name, session, sequence, held=NO_LEASE, in_use=0, demand=40, oldest_sequence=0
 ):
     """Request a lease of a planner; return the lease, or None if the planner granted none."""
-    line = messages.LimitDemand("store", held.term, held.number, in_use, demand, 0)
-    lease_request = messages.LeaseRequest(name, session, sequence, oldest_sequence, False, [line])
+    report = messages.LimitDemand("store", held.term, held.number, in_use, demand, 0)
+    lease_request = messages.LeaseRequest(name, session, sequence, oldest_sequence, False, [report])
     answers = sent(leader.reduce(now, got(lease_request, NODE)))
     return next((each.leases[0] for each in answers if isinstance(each, messages.LeaseGrant)), None)
 
