--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -66,7 +66,7 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.planners = [parse_address(address) for address in quota.planners]
-        self.leader = random.randrange(max(1, len(self.planners)))  # planner that gets the requests
+        self.planner_index = random.randrange(max(1, len(self.planners)))  # planner that gets the requests
         self.sequence = 0
         self.pending: dict[int, PendingRequest] = {}  # by sequence
         self.next_request_at = now
@@ -145,7 +145,7 @@
             self.pending
             and self.now - self.answered_at > MAX_UNANSWERED_INTERVALS * self.quota.request_interval
         ):
-            self.leader = (self.leader + 1) % len(self.planners)
+            self.planner_index = (self.planner_index + 1) % len(self.planners)
         self.sequence += 1
         held_now = {name: held.id for name, held in self.held.items()}
         self.pending[self.sequence] = PendingRequest(self.now, held_now)
@@ -161,7 +161,7 @@
             is_leaving=self.is_leaving,
             limits=[held.report(self.now) for held in self.held.values()],
         )
-        self.send(self.planners[self.leader], request)
+        self.send(self.planners[self.planner_index], request)
 
     def _request_soon(self) -> None:
         soon = max(self.now, self.last_request_at + MIN_REQUEST_INTERVAL_US)
@@ -175,9 +175,9 @@
         if redirect.leader in planners:
             leader = planners.index(redirect.leader)
         else:
-            leader = (self.leader + 1) % len(planners)
-        if leader != self.leader:
-            self.leader = leader
+            leader = (self.planner_index + 1) % len(planners)
+        if leader != self.planner_index:
+            self.planner_index = leader
             self.answered_at = self.now
             self.next_request_at = min(self.next_request_at, self.now + MIN_REQUEST_INTERVAL_US)
 
@@ -263,7 +263,7 @@
             "wants": held.demand,
             "granted": held.amount,
             "term": held.id.term,
-            "leader": self.quota.planners[self.leader],
+            "leader": self.quota.planners[self.planner_index],
             "stale_ms": (self.now - held.requested_at) // MS if is_active else None,
             "left_ms": max(0, held.expires_at - self.now) // MS,
             "over_at_most": self.quota.strict_overshoot_bound(0),
