--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -123,7 +123,7 @@
 
     def turn(self, now: int, member: Member) -> list[LimitAllowance]:
         """Publish the demand and compute the allocations at each tick of the member; return the effects."""
-        self.observe(now, member)
+        self.update_view(now, member)
         counters = [(each.id, each.in_use, each.demand) for each in self.allocations.values()]
         member.publish(now, GossipTopic.QUOTA, counters)
         effects: list[LimitAllowance] = []
@@ -159,7 +159,7 @@
 
     # ---- the view of the fleet
 
-    def observe(self, now: int, member: Member) -> None:
+    def update_view(self, now: int, member: Member) -> None:
         """Classify the members by contact, and compute the fraction of the fleet on this side."""
         self.age = freshness_bound(member.config, len(member.known_members), member.loss)
         failed = self._sort_members(now, member)
--- a/tests/test_local_limits.py
+++ b/tests/test_local_limits.py
@@ -93,12 +93,12 @@
 
 
 def unconfirmed_demand_nothing(self, now, member):
-    LocalLimits.observe(self, now, member)
+    LocalLimits.update_view(self, now, member)
     self.unconfirmed = []
 
 
 def joins_at_once(self, now, member):
-    LocalLimits.observe(self, now, member)
+    LocalLimits.update_view(self, now, member)
     self.joined_at = 0
 
 
@@ -108,7 +108,7 @@
 
 
 def counts_what_it_sees_now(self, now, member):
-    LocalLimits.observe(self, now, member)
+    LocalLimits.update_view(self, now, member)
     self.recent_views.clear()
 
 
@@ -158,13 +158,13 @@
     ),
     "a member without contact is assumed to demand nothing": (
         loose_run,
-        {"observe": unconfirmed_demand_nothing},
+        {"update_view": unconfirmed_demand_nothing},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
     "a node allocates right after its start": (
         loose_run,
-        {"observe": joins_at_once},
+        {"update_view": joins_at_once},
         {"start": ("n4", "n5")},
         50,
     ),
@@ -176,7 +176,7 @@
     ),
     "only the latest view counts while sides merge": (
         loose_run,
-        {"observe": counts_what_it_sees_now},
+        {"update_view": counts_what_it_sees_now},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
