--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -106,7 +106,7 @@
         self.quota = quota
         self.allocations = {limit.name: LocalAllocation(limit) for limit in quota.loose_limits}
         self.joined_at: int | None = None  # when this node first ran without isolation
-        self.age = 0  # greatest age of the latest report of a member in contact
+        self.max_report_age = 0  # greatest age of the latest report of a member in contact
         self.view = PartitionView(now, 1, 1)
         self.recent_views: deque[PartitionView] = deque()  # kept while the views of two sides may differ
         self.connected: list[int] = []  # ids of the other living members
@@ -129,7 +129,7 @@
         effects: list[LimitAllowance] = []
         for allocation in self.allocations.values():
             trips = IN_USE_PUBLICATIONS if allocation.limit.per == "in_hand" else 1
-            allocation.publish(now, trips * self.age)
+            allocation.publish(now, trips * self.max_report_age)
             allocation.amount = self.share(now, member, allocation)
             effects += self._allowances(now, allocation)
         return effects
@@ -161,7 +161,7 @@
 
     def update_view(self, now: int, member: Member) -> None:
         """Classify the members by contact, and compute the fraction of the fleet on this side."""
-        self.age = freshness_bound(member.config, len(member.known_members), member.loss)
+        self.max_report_age = freshness_bound(member.config, len(member.known_members), member.loss)
         failed = self._sort_members(now, member)
         if member.isolated or member.is_resuming:
             # What this node knows of the others is outdated, so this node counts as a side of its own.
@@ -174,7 +174,7 @@
         # While two sides merge, both may count the same member. Until all members have the same view, the
         # least fraction that was seen lately counts.
         self.recent_views.append(PartitionView(now, seen, seen + failed))
-        oldest = now - self.age - member.config.recovery_time
+        oldest = now - self.max_report_age - member.config.recovery_time
         while self.recent_views[0].at < oldest:
             self.recent_views.popleft()
         self.view = min(self.recent_views, key=lambda view: view.fraction)
@@ -194,7 +194,7 @@
             if known.state == MemberState.FAILED:
                 failed += 1
             elif member_id in reachable and (
-                member_id not in member.links or member.view_age(now, member_id) > self.age
+                member_id not in member.links or member.view_age(now, member_id) > self.max_report_age
             ):
                 self.unconfirmed.append(member_id)
             else:
@@ -206,7 +206,7 @@
     def share(self, now: int, member: Member, allocation: LocalAllocation) -> int:
         """Return the amount of a limit that this node may use."""
         limit = allocation.limit
-        if self.joined_at is None or now - self.joined_at < self.age:
+        if self.joined_at is None or now - self.joined_at < self.max_report_age:
             return limit.floor  # the others may not know of this node yet
         allowance = self.quota.partition_allowance(limit, self.view.seen, self.view.known)
         demands = {member.own_id: allocation.settled_demand()}
@@ -258,7 +258,7 @@
             "granted": allocation.amount,
             "term": 0,
             "leader": "",
-            "stale_ms": self.age // MS,
+            "stale_ms": self.max_report_age // MS,
             "left_ms": ALLOWANCE_DURATION_US // MS,
             "seen": self.view.seen,
             "known": self.view.known,
