--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -11,7 +11,7 @@
 the longest duration of a lease, it only renews what a holder reports to have. So all holders together never
 use more than the amount that the allocator counts.
 
-Bounds: `max_holders` records, each with at most `MAX_GRANTED` leases of a limit. A record is removed
+Bounds: `max_holders` records, each with at most `MAX_LEASES_PER_LIMIT` leases of a limit. A record is removed
 when its last lease has expired and its holder has stopped sending requests.
 """
 
@@ -21,7 +21,7 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
-MAX_GRANTED = 8  # at one holder, which gets no more until it reports which lease it has
+MAX_LEASES_PER_LIMIT = 8  # at one holder, which gets no more until it reports which lease it has
 
 
 class Allocator:
@@ -117,12 +117,12 @@
             report: what the request reports of the limit.
 
         Returns:
-            The new lease, or None if the holder may have `MAX_GRANTED` leases already.
+            The new lease, or None if the holder may have `MAX_LEASES_PER_LIMIT` leases already.
         """
         record = holder.limits.setdefault(limit.name, LimitRecord())
         self._end_unused(now, holder, record, request, report)
         self._take_demand(limit, holder, record, report)
-        if len(record.granted) >= MAX_GRANTED:
+        if len(record.granted) >= MAX_LEASES_PER_LIMIT:
             return None
         self.last_number += 1
         amount = self._amount(now, limit, HolderKey(request.node, request.session), report)
