--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -91,7 +91,7 @@
         self.requested_at = requested_at
         self.fleet_amount = lease.fleet_amount
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Drop the lease, the usage and the demand."""
         self.amount = 0
         self.expires_at = 0
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -130,7 +130,7 @@
         """Release all leases; after this, the holder accepts no answer to any request."""
         self.is_leaving = True
         for held in self.held.values():
-            held.give_back()
+            held.release()
             self.update_allowance(held)
         self.pending.clear()
         if self.held:
