--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -18,7 +18,7 @@
 MIN_LEADER_LEASE_US = SECOND // 2  # a shorter lease can't be renewed in time
 MIN_REQUESTS_PER_LEASE = 3  # a holder keeps its lease if two requests in a row are lost
 MIN_SLACKS_PER_LEASE = 4
-ELECTION_RETRIES = 10  # of one leader lease
+ELECTION_RETRIES_PER_LEASE = 10
 EXPECTED_ELECTION_RETRIES = 4  # retry intervals until a leader is elected, if a majority answers
 REBALANCING_INTERVALS = 3  # request intervals until the other holders have confirmed smaller leases
 
@@ -130,7 +130,7 @@
     @property
     def election_retry(self) -> int:
         """The least number of microseconds between two candidacies of a planner."""
-        return self.leader_lease_duration // ELECTION_RETRIES
+        return self.leader_lease_duration // ELECTION_RETRIES_PER_LEASE
 
     def fallback_bound(self) -> int:
         """Return the microseconds from the loss of all planners until each node uses only its floor."""
