--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -120,17 +120,17 @@
             The new lease, or None if the holder may have `MAX_LEASES_PER_LIMIT` leases already.
         """
         record = holder.limits.setdefault(limit.name, LimitRecord())
-        self._end_unused(now, holder, record, request, report)
-        self._take_demand(limit, holder, record, report)
+        self._drop_unusable_leases(now, holder, record, request, report)
+        self._record_demand(limit, holder, record, report)
         if len(record.granted) >= MAX_LEASES_PER_LIMIT:
             return None
         self.last_number += 1
-        amount = self._amount(now, limit, HolderKey(request.node, request.session), report)
+        amount = self._amount_to_grant(now, limit, HolderKey(request.node, request.session), report)
         expires_at = now + self.quota.takeover_wait
         record.granted.append(GrantedLease(self.last_number, request.sequence, amount, expires_at))
         return LimitLease(limit.name, self.last_number, amount, self.quota.lease_duration, limit.amount)
 
-    def _end_unused(
+    def _drop_unusable_leases(
         self, now: int, holder: HolderRecord, record: LimitRecord, request: LeaseRequest, report: LimitDemand
     ) -> None:
         """Drop the leases that the holder can no longer use, according to its report."""
@@ -151,7 +151,7 @@
                 # The holder reports the amount of that lease, or more if it still uses more of an older one.
                 lease.amount = min(report.in_use, committed)
 
-    def _take_demand(
+    def _record_demand(
         self, limit: Limit, holder: HolderRecord, record: LimitRecord, report: LimitDemand
     ) -> None:
         # The greater of the last two reported demands counts. Otherwise allocations would oscillate between
@@ -165,7 +165,7 @@
 
     # ---- amounts
 
-    def _amount(self, now: int, limit: Limit, key: HolderKey, report: LimitDemand) -> int:
+    def _amount_to_grant(self, now: int, limit: Limit, key: HolderKey, report: LimitDemand) -> int:
         """Return the amount of a limit to grant a holder beyond its floor."""
         shareable = limit.shareable(self.quota.max_processes)
         committed = self.committed(self.holders[key], limit.name)
