--- a/tests/test_local_limits.py
+++ b/tests/test_local_limits.py
@@ -23,18 +23,18 @@
 
 
 def loose_run(
-    factories=None, per="in_hand", cut=(), seconds=30, seed=1, holders=6, over=1.0, start=(), takes=300_000
+    factories=None, per="in_hand", cut=(), seconds=30, seed=1, holders=6, over=1.0, start=(), call_us=300_000
 ):
     """Run a fleet with a loose limit and changing demand; raise `InvariantError` beyond the bound.
 
     `cut`: members of one side of a partition that lasts from 10 s to 25 s; `start`: members that start late;
-    `takes`: mean duration of a call, in microseconds.
+    `call_us`: mean duration of a call, in microseconds.
     """
     limit = Limit("store", 48, mode="loose", per=per, burst=20 if per == "rate" else 0)
     quota = QuotaConfig(limits=(limit,), max_processes=holders + 2, partition_overshoot=over)
     fleet = QuotaSimulation(seed, 0, holders, quota, factories, mode="loose", per=per)
-    fleet.call_us = takes
-    chance = random.Random(f"demand {seed}")
+    fleet.call_us = call_us
+    rng = random.Random(f"demand {seed}")
     for name in fleet.processes:
         if name not in start:
             fleet.start(name)
@@ -48,7 +48,7 @@
             fleet.network.clear_rules(fleet.now)
         if second % 3 == 2:
             for process in fleet.processes.values():
-                process.demand = chance.choice([0, 0, 5, 60])
+                process.demand = rng.choice([0, 0, 5, 60])
         fleet.run(fleet.now + SECOND, fleet.after_step)
     return fleet
 
@@ -60,7 +60,7 @@
     assert fleet.worst > 40
 
 
-def test_a_loose_limit_is_there_on_both_sides_of_a_cut_and_within_its_bound():
+def test_a_loose_limit_is_available_on_both_sides_of_a_partition_within_its_bound():
     worst = 0
     for seed in range(3):
         for cut in ((0, 1, 2), (0,), (1, 4)):
@@ -70,7 +70,7 @@
     assert max(loose_run(cut=(0, 1, 2), seed=seed, over=0.0).worst for seed in range(3)) <= 48 + 5
 
 
-def test_published_demands_of_a_node_that_meets_nobody_are_bounded():
+def test_published_demands_of_a_node_without_contacts_are_bounded():
     fleet = QuotaSimulation(1, 0, 3, mode="loose")
     fleet.start("n2")  # its seeds n0 and n1 never start
     fleet.run(60 * SECOND)
@@ -84,30 +84,30 @@
         loose_run(per="rate", seed=seed, cut=(0, 1, 2))
 
 
-def demand_counts_at_once(self):
+def own_demand_counts_at_once(self):
     return self.demand
 
 
-def takes_all(self, limit, seen, known):
+def allows_whole_limit(self, limit, seen, known):
     return limit.amount
 
 
-def unconfirmed_demand_nothing(self, now, member):
+def ignores_unconfirmed_members(self, now, member):
     LocalLimits.update_view(self, now, member)
     self.unconfirmed = []
 
 
-def joins_at_once(self, now, member):
+def allocates_right_after_start(self, now, member):
     LocalLimits.update_view(self, now, member)
     self.joined_at = 0
 
 
-def in_hand_ignored(self, member, allocation):
+def ignores_usage_of_others(self, member, allocation):
     for member_id, _, demand in LocalLimits.received_demands(self, member, allocation):
         yield member_id, 0, demand
 
 
-def counts_what_it_sees_now(self, now, member):
+def counts_only_the_latest_view(self, now, member):
     LocalLimits.update_view(self, now, member)
     self.recent_views.clear()
 
@@ -116,7 +116,7 @@
     """A node counts its own demand before the others have received it."""
 
     class Allocation(local_limits.LocalAllocation):
-        settled_demand = demand_counts_at_once
+        settled_demand = own_demand_counts_at_once
 
     before = local_limits.LocalAllocation
     local_limits.LocalAllocation = Allocation
@@ -126,8 +126,8 @@
         local_limits.LocalAllocation = before
 
 
-def takes_the_whole(factories, **more):
-    before, QuotaConfig.partition_allowance = QuotaConfig.partition_allowance, takes_all
+def whole_limit_on_each_side(factories, **more):
+    before, QuotaConfig.partition_allowance = QuotaConfig.partition_allowance, allows_whole_limit
     try:
         return loose_run(factories, **more)
     finally:
@@ -142,50 +142,50 @@
         return 10**6
 
 
-LOOSE = {
+LOOSE_LIMIT_DEFECTS = {
     "a node's own demand counts at once": (unsettled_demand, {}, {}, 50),
     "each side of a partition uses the whole limit": (
-        takes_the_whole,
+        whole_limit_on_each_side,
         {},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
     "each side of a partition uses the whole rate": (
-        takes_the_whole,
+        whole_limit_on_each_side,
         {},
         {"per": "rate", "cut": (0, 1, 2), "over": 0.0},
         20,
     ),
     "a member without contact is assumed to demand nothing": (
         loose_run,
-        {"update_view": unconfirmed_demand_nothing},
+        {"update_view": ignores_unconfirmed_members},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
     "a node allocates right after its start": (
         loose_run,
-        {"update_view": joins_at_once},
+        {"update_view": allocates_right_after_start},
         {"start": ("n4", "n5")},
         50,
     ),
     "the usage of other members is ignored": (
         loose_run,
-        {"received_demands": in_hand_ignored},
-        {"takes": 4_000_000},
+        {"received_demands": ignores_usage_of_others},
+        {"call_us": 4_000_000},
         53,
     ),
     "only the latest view counts while sides merge": (
         loose_run,
-        {"update_view": counts_what_it_sees_now},
+        {"update_view": counts_only_the_latest_view},
         {"cut": (0, 1, 2), "over": 0.0},
         53,
     ),
 }
 
 
-@pytest.mark.parametrize("name", LOOSE)
+@pytest.mark.parametrize("name", LOOSE_LIMIT_DEFECTS)
 def test_a_planted_defect_of_loose_limits_is_found(name):
-    play, methods, more, bound = LOOSE[name]
+    play, methods, more, bound = LOOSE_LIMIT_DEFECTS[name]
     factories = QuotaFactories(local_limits=type("Planted", (LocalLimits,), methods))
     assert worst(loose_run, factories=None, **more) <= bound
     assert worst(play, factories=factories, **more) > bound
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -15,7 +15,7 @@
 from tests.quota_messages import NODE, SHARED, elected, got, grant, holding, request_lease, sent
 
 
-def test_demand_that_alternates_between_two_moves_little():
+def test_demand_that_alternates_between_two_holders_changes_allocations_little():
     """Allocations don't oscillate, as the planner counts the greater of each holder's last two demands."""
     leader, now = elected(QuotaFactories())
     now += SHARED.takeover_wait + 1
@@ -46,7 +46,7 @@
     assert min(before.values()) >= 18
 
 
-def test_a_liar_about_its_demand_gets_no_more_than_its_max_min_part():
+def test_a_holder_that_overstates_its_demand_gets_no_more_than_its_max_min_share():
     fleet = QuotaSimulation(2, holders=4)
     for name in fleet.processes:
         fleet.start(name)
@@ -68,7 +68,7 @@
     assert leader.counts["another fleet"] == 1
 
 
-def test_a_limit_that_the_planners_lack_stays_at_its_floor():
+def test_a_limit_that_the_planners_do_not_know_stays_at_its_floor():
     leader, now = elected(QuotaFactories())
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
@@ -78,12 +78,12 @@
     assert leader.counts["a holder knows no limit store"] == 1
 
 
-def test_seeded_runs_are_never_over_and_replay_identically():
+def test_seeded_runs_keep_the_limit_and_replay_identically():
     traces = [QuotaFaultRun(seed).play(30) for seed in (1, 1, 2, 3, 4, 5, 6, 7)]
     assert traces[0] == traces[1] != traces[2]
 
 
-def test_a_new_configuration_removes_and_adds_limits_and_keeps_what_is_held_of_the_others():
+def test_a_new_configuration_adds_and_removes_limits_and_keeps_the_leases_of_the_others():
     lease_holder = holding(QuotaFactories())
     grant(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
@@ -110,7 +110,7 @@
         fleet.processes[name].demand = demand
 
 
-def test_what_is_shared_follows_demand_and_comes_back_within_its_bounds():
+def test_allocations_follow_demand_and_recover_within_their_bounds():
     fleet = QuotaSimulation(1, holders=6, quota=QuotaConfig(limits=(Limit("store", 60, 1),), max_processes=8))
     for name in fleet.processes:
         fleet.start(name)
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -45,20 +45,20 @@
     return QuotaFactories(lease_holder=planted(LeaseHolder, methods))
 
 
-def votes_at_once_after_its_start(self, address, quota, random, now):
+def votes_without_quiet_period(self, address, quota, random, now):
     LeaderElection.__init__(self, address, quota, random, now)
     self.acceptor.votes_from = self.next_candidacy_at = now
 
 
-def grants_at_once(self, term, now):
+def grants_without_takeover_wait(self, term, now):
     Allocator.begin_term(self, term, now - self.quota.takeover_wait)
 
 
-def leads_for_ever(self, reason):
+def leads_without_end(self, reason):
     pass
 
 
-def lease_counts_from_its_last_vote(self, now, sender, accept):
+def counts_lease_from_its_last_vote(self, now, sender, accept):
     if self.candidacy is not None:
         self.candidacy.proposed_at = now
     LeaderElection.on_accept(self, now, sender, accept)
@@ -69,13 +69,13 @@
     LeaderElection.on_prepare(self, now, sender, prepare)
 
 
-def hides_its_vote(self, now, sender, prepare):
+def conceals_its_vote(self, now, sender, prepare):
     """The acceptor votes for one planner and conceals that vote from the next."""
     self.acceptor.accepted = None
     LeaderElection.on_prepare(self, now, sender, prepare)
 
 
-def knows_holders_by_name_alone(self, address, request):
+def identifies_holders_by_name_only(self, address, request):
     """The planner takes a restarted process for the one before it."""
     holders = self.allocator.holders
     for key in [key for key in holders if key.node == request.node and key.session != request.session]:
@@ -85,20 +85,20 @@
     Planner.on_request(self, address, request)
 
 
-def counts_the_last_lease(self, holder, limit):
+def counts_only_the_last_lease(self, holder, limit):
     """The allocator counts the lease granted last, not the greatest lease that may still be used."""
     record = holder.limits.get(limit)
     return record.granted[-1].amount if record and record.granted else 0
 
 
-def counts_from_the_answer(self, grant):
+def counts_lease_from_its_answer(self, grant):
     self.pending = {
         sequence: PendingRequest(self.now, request.held) for sequence, request in self.pending.items()
     }
     LeaseHolder.on_grant(self, grant)
 
 
-def takes_any_term(self, grant):
+def accepts_any_term(self, grant):
     for held in self.held.values():
         if grant.term != held.id.term:
             held.id = NO_LEASE
@@ -109,31 +109,31 @@
     LeaseHolder.on_grant(self, grant)
 
 
-def takes_any_number(self, grant):
+def accepts_any_number(self, grant):
     for held in self.held.values():
         if grant.term == held.id.term:
             held.id = LeaseId(held.id.term, 0)
     LeaseHolder.on_grant(self, grant)
 
 
-def takes_answers_to_late_requests(self, grant):
+def accepts_renewals_of_replaced_leases(self, grant):
     for request in self.pending.values():
         request.held.update({name: held.id for name, held in self.held.items()})
     LeaseHolder.on_grant(self, grant)
 
 
-def holds_without_end(self, held):
+def keeps_lease_without_end(self, held):
     held.expires_at = self.now + self.quota.lease_duration if held.amount else held.expires_at
     LeaseHolder.update_allowance(self, held)
 
 
-def accept_comes_late(factories):
+def accept_arrives_late(factories):
     leader, proposed = elected(factories, SHARED.leader_lease_duration // 2)
     leads_until = leader.election.leads_until
     return [leads_until] if leads_until > proposed + SHARED.leader_lease_duration else []
 
 
-def holder_is_restarted(factories):
+def holder_restarts(factories):
     """The process before the restart may still use its lease, so no other holder gets a part of it."""
     leader, now = elected(factories)
     now += SHARED.takeover_wait + 1
@@ -145,13 +145,13 @@
     return [(first, second, other)] if first + other > 40 else []
 
 
-def earlier_term(factories):
+def grant_of_earlier_term(factories):
     lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 10)
     return ["accepted"] if grant(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
 
 
-def earlier_number(factories):
+def grant_of_earlier_number(factories):
     """The holder accepted and reported a smaller lease; an earlier grant that arrives late is rejected."""
     lease_holder = holding(factories)
     lease_holder.reduce(500_000, Tick())
@@ -159,7 +159,7 @@
     return ["accepted"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
 
 
-def renewed_late(factories):
+def delayed_request_is_renewed(factories):
     """A new leader renews the 30 that a delayed request reported; the holder has given back 20 since."""
     lease_holder = holding(factories)
     grant(lease_holder, 1000, 5, 1, 1, 30)
@@ -169,14 +169,14 @@
     return ["accepted"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
 
 
-def counted_late(factories):
+def answer_arrives_late(factories):
     """An answer that took 2 s to arrive leaves 1 s of a lease of 3 s."""
     lease_holder = holding(factories)
     grant(lease_holder, 2 * SECOND, 5, 1, 1, 10)
     return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
 
 
-def seeds(count):
+def seeded_runs(count):
     """Return a function that plays so many seeded runs, up to the first breach of the limit."""
 
     def play(factories):
@@ -195,14 +195,14 @@
     return answers if any(isinstance(answer, messages.Promise) for answer in answers) else []
 
 
-def votes_after_its_start(factories):
+def acceptor_restarts(factories):
     """A restarted acceptor must not answer while a lease that it voted for before may last."""
     acceptor = started(factories)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
     return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, got(prepare))))
 
 
-def lesser_ballot(factories):
+def smaller_ballot_is_prepared(factories):
     acceptor = started(factories)
     now = SHARED.startup_quiet_period + 1
     timing_digest = acceptor.election.timing_digest
@@ -212,33 +212,36 @@
 
 DEFECTS = {
     "an acceptor votes right after its start": (
-        votes_after_its_start,
-        election(__init__=votes_at_once_after_its_start),
+        acceptor_restarts,
+        election(__init__=votes_without_quiet_period),
     ),
     "a new leader does not wait for the leases of earlier terms": (
-        seeds(20),
-        allocator(begin_term=grants_at_once),
+        seeded_runs(20),
+        allocator(begin_term=grants_without_takeover_wait),
     ),
-    "a leader whose lease has expired keeps leading": (seeds(20), planner(step_down=leads_for_ever)),
+    "a leader whose lease has expired keeps leading": (seeded_runs(20), planner(step_down=leads_without_end)),
     "a leader lease counted from its last vote": (
-        accept_comes_late,
-        election(on_accept=lease_counts_from_its_last_vote),
+        accept_arrives_late,
+        election(on_accept=counts_lease_from_its_last_vote),
     ),
-    "any ballot is promised": (lesser_ballot, election(on_prepare=promises_any_ballot)),
-    "an acceptor conceals its vote": (seeds(4), election(on_prepare=hides_its_vote)),
+    "any ballot is promised": (smaller_ballot_is_prepared, election(on_prepare=promises_any_ballot)),
+    "an acceptor conceals its vote": (seeded_runs(4), election(on_prepare=conceals_its_vote)),
     "a holder identified by its name only": (
-        holder_is_restarted,
-        planner(on_request=knows_holders_by_name_alone),
+        holder_restarts,
+        planner(on_request=identifies_holders_by_name_only),
     ),
-    "the last lease counts, not the greatest": (seeds(4), allocator(committed=counts_the_last_lease)),
-    "a lease counted from its answer": (counted_late, holder(on_grant=counts_from_the_answer)),
-    "any term is accepted": (earlier_term, holder(on_grant=takes_any_term)),
-    "any number is accepted": (earlier_number, holder(on_grant=takes_any_number)),
+    "the last lease counts, not the greatest": (
+        seeded_runs(4),
+        allocator(committed=counts_only_the_last_lease),
+    ),
+    "a lease counted from its answer": (answer_arrives_late, holder(on_grant=counts_lease_from_its_answer)),
+    "any term is accepted": (grant_of_earlier_term, holder(on_grant=accepts_any_term)),
+    "any number is accepted": (grant_of_earlier_number, holder(on_grant=accepts_any_number)),
     "a renewal of a replaced lease is accepted": (
-        renewed_late,
-        holder(on_grant=takes_answers_to_late_requests),
+        delayed_request_is_renewed,
+        holder(on_grant=accepts_renewals_of_replaced_leases),
     ),
-    "a lease does not expire": (seeds(12), holder(update_allowance=holds_without_end)),
+    "a lease does not expire": (seeded_runs(12), holder(update_allowance=keeps_lease_without_end)),
 }
 
 
@@ -249,7 +252,7 @@
     assert play(factories)
 
 
-def test_every_placing_of_one_fault_keeps_the_limit_and_the_search_can_fail():
+def test_the_limit_holds_for_every_placement_of_one_fault_and_the_search_finds_a_defect():
     states, breach = explore(7, 1)
     assert breach is None
     assert states > 700
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -31,7 +31,7 @@
         ({}, {"in_hnd": 3}, "limits.0.in_hnd: no such setting; the nearest is in_hand"),
     ],
 )
-def test_settings_that_cannot_hold_their_bound_are_refused_with_the_arithmetic(quota, limit, reason):
+def test_settings_that_contradict_a_bound_are_rejected_with_the_calculation(quota, limit, reason):
     settings = {
         **GOOD_SETTINGS,
         "quota": {**GOOD_SETTINGS["quota"], **quota},
@@ -42,7 +42,7 @@
     assert reason in str(raised.value)
 
 
-def test_settings_that_hold_their_bounds_are_accepted():
+def test_settings_within_their_bounds_are_accepted():
     assert check_settings(GOOD_SETTINGS, "F").limits[0].in_hand == 40
     assert not list(config_errors(QuotaConfig(limits=(Limit("a", 64, 1),), planners=("a",))))
     rate = Limit("a", 64, per="rate", burst=63)
@@ -52,16 +52,16 @@
     assert not list(config_errors(QuotaConfig(limits=(loose,)))), "a loose limit needs no planners"
 
 
-def test_bounds_are_formulas_of_the_settings():
+def test_bounds_follow_from_the_settings():
     quota, limit = QuotaConfig(partition_overshoot=0.5, drift=0.01), Limit("a", 100, mode="loose")
     assert quota.partition_allowance(limit, 5, 10) == 75
     assert quota.partition_allowance(limit, 9, 10) == 100
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(300):
-        known = chance.randrange(2, 40)
+        known = rng.randrange(2, 40)
         sides, left = [], known
         while left:
-            sides.append(chance.randint(1, left))
+            sides.append(rng.randint(1, left))
             left -= sides[-1]
         assert sum(quota.partition_allowance(limit, side, known) for side in sides) <= 150
     assert quota.loose_overshoot_bound(limit, 10) == 50 + 9
