--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -53,14 +53,14 @@
 class PublishedDemand(NamedTuple):
     """A demand and the time of its publication."""
 
-    at: int
+    published_at: int
     demand: int
 
 
 class PartitionView(NamedTuple):
     """The fraction of the fleet on this side of a partition at a time."""
 
-    at: int
+    observed_at: int
     seen: int  # members on this side, including this node
     known: int  # all members, including those that failed lately
 
@@ -86,7 +86,7 @@
     def publish(self, now: int, keep_for: int) -> None:
         """Record the publication of the present demand; drop records older than `keep_for` microseconds."""
         self.published.append(PublishedDemand(now, self.demand))
-        while len(self.published) > 1 and self.published[1].at <= now - keep_for:
+        while len(self.published) > 1 and self.published[1].published_at <= now - keep_for:
             self.published.popleft()
 
     def settled_demand(self) -> int:
@@ -175,7 +175,7 @@
         # least fraction that was seen lately counts.
         self.recent_views.append(PartitionView(now, seen, seen + failed))
         oldest = now - self.max_report_age - member.config.recovery_time
-        while self.recent_views[0].at < oldest:
+        while self.recent_views[0].observed_at < oldest:
             self.recent_views.popleft()
         self.view = min(self.recent_views, key=lambda view: view.fraction)
 
