--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -128,8 +128,8 @@
         member.publish(now, GossipTopic.QUOTA, counters)
         effects: list[LimitAllowance] = []
         for allocation in self.allocations.values():
-            trips = IN_USE_PUBLICATIONS if allocation.limit.per == "in_hand" else 1
-            allocation.publish(now, trips * self.max_report_age)
+            publications = IN_USE_PUBLICATIONS if allocation.limit.per == "in_hand" else 1
+            allocation.publish(now, publications * self.max_report_age)
             allocation.amount = self.share(now, member, allocation)
             effects += self._allowances(now, allocation)
         return effects
