--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -16,7 +16,7 @@
 )
 
 
-def got(message, address=TWO):
+def datagram_with(message, address=TWO):
     """Return the input of a datagram that contains this message."""
     return DatagramReceived(address, messages.CODEC.encode("f", message))
 
@@ -37,8 +37,8 @@
     now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
     leader.reduce(now, Tick())
     ballot = leader.election.candidacy.ballot
-    leader.reduce(now + 1, got(messages.Promise(ballot, None)))
-    leader.reduce(now + 2 + accept_late, got(messages.Accept(ballot)))
+    leader.reduce(now + 1, datagram_with(messages.Promise(ballot, None)))
+    leader.reduce(now + 2 + accept_late, datagram_with(messages.Accept(ballot)))
     return leader, now + 1
 
 
@@ -48,7 +48,7 @@
     """Request a lease of a planner; return the lease, or None if the planner granted none."""
     report = messages.LimitDemand("store", held.term, held.number, in_use, demand, 0)
     lease_request = messages.LeaseRequest(name, session, sequence, oldest_sequence, False, [report])
-    answers = sent(leader.reduce(now, got(lease_request, NODE)))
+    answers = sent(leader.reduce(now, datagram_with(lease_request, NODE)))
     return next((each.leases[0] for each in answers if isinstance(each, messages.LeaseGrant)), None)
 
 
@@ -62,5 +62,7 @@
 def grant(lease_holder, now, term, sequence, number, amount):
     """Answer a holder's request with a lease; return the amount that the holder then has."""
     lease = messages.LimitLease("store", number, amount, SHARED.lease_duration, 40)
-    lease_holder.reduce(now, got(messages.LeaseGrant(term, lease_holder.session, sequence, [lease])))
+    lease_holder.reduce(
+        now, datagram_with(messages.LeaseGrant(term, lease_holder.session, sequence, [lease]))
+    )
     return lease_holder.held["store"].amount
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -12,7 +12,7 @@
 from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
-from tests.quota_messages import NODE, SHARED, elected, got, grant, holding, request_lease, sent
+from tests.quota_messages import NODE, SHARED, datagram_with, elected, grant, holding, request_lease, sent
 
 
 def test_demand_that_alternates_between_two_holders_changes_allocations_little():
@@ -73,7 +73,9 @@
     now += SHARED.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     demand = messages.LimitDemand("other", 0, 0, 0, 9, 0)
-    answers = sent(leader.reduce(now, got(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), NODE)))
+    answers = sent(
+        leader.reduce(now, datagram_with(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), NODE))
+    )
     assert answers[0].leases == []
     assert leader.counts["a holder knows no limit store"] == 1
 
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -16,7 +16,17 @@
 from finchcart.quota.limits import SECOND
 from finchcart.quota.messages import Ballot
 from finchcart.quota.planner import Planner
-from tests.quota_messages import SHARED, THREE, elected, got, grant, holding, request_lease, sent, started
+from tests.quota_messages import (
+    SHARED,
+    THREE,
+    datagram_with,
+    elected,
+    grant,
+    holding,
+    request_lease,
+    sent,
+    started,
+)
 
 
 def planted(of, methods):
@@ -199,15 +209,17 @@
     """A restarted acceptor must not answer while a lease that it voted for before may last."""
     acceptor = started(factories)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
-    return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, got(prepare))))
+    return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, datagram_with(prepare))))
 
 
 def smaller_ballot_is_prepared(factories):
     acceptor = started(factories)
     now = SHARED.startup_quiet_period + 1
     timing_digest = acceptor.election.timing_digest
-    acceptor.reduce(now, got(messages.Prepare(Ballot(9, 7), timing_digest)))
-    return promises(sent(acceptor.reduce(now, got(messages.Prepare(Ballot(8, 8), timing_digest), THREE))))
+    acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(9, 7), timing_digest)))
+    return promises(
+        sent(acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(8, 8), timing_digest), THREE)))
+    )
 
 
 DEFECTS = {
