--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -52,7 +52,7 @@
     return next((each.leases[0] for each in answers if isinstance(each, messages.LeaseGrant)), None)
 
 
-def holding(factories):
+def requesting_holder(factories):
     """Return a lease holder that has sent its first request."""
     lease_holder = factories.lease_holder("n1", "f", SHARED, random.Random(1), 0)
     lease_holder.reduce(0, Tick())
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -12,7 +12,16 @@
 from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
-from tests.quota_messages import NODE, SHARED, datagram_with, elected, grant, holding, request_lease, sent
+from tests.quota_messages import (
+    NODE,
+    SHARED,
+    datagram_with,
+    elected,
+    grant,
+    request_lease,
+    requesting_holder,
+    sent,
+)
 
 
 def test_demand_that_alternates_between_two_holders_changes_allocations_little():
@@ -86,7 +95,7 @@
 
 
 def test_a_new_configuration_adds_and_removes_limits_and_keeps_the_leases_of_the_others():
-    lease_holder = holding(QuotaFactories())
+    lease_holder = requesting_holder(QuotaFactories())
     grant(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
     assert not lease_holder.reduce(
