--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -59,7 +59,7 @@
     return lease_holder
 
 
-def grant(lease_holder, now, term, sequence, number, amount):
+def answer_with_lease(lease_holder, now, term, sequence, number, amount):
     """Answer a holder's request with a lease; return the amount that the holder then has."""
     lease = messages.LimitLease("store", number, amount, SHARED.lease_duration, 40)
     lease_holder.reduce(
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -15,9 +15,9 @@
 from tests.quota_messages import (
     NODE,
     SHARED,
+    answer_with_lease,
     datagram_with,
     elected,
-    grant,
     request_lease,
     requesting_holder,
     sent,
@@ -96,7 +96,7 @@
 
 def test_a_new_configuration_adds_and_removes_limits_and_keeps_the_leases_of_the_others():
     lease_holder = requesting_holder(QuotaFactories())
-    grant(lease_holder, 1000, 5, 1, 1, 10)
+    answer_with_lease(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
     assert not lease_holder.reduce(
         2000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(store, other)))
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -19,9 +19,9 @@
 from tests.quota_messages import (
     SHARED,
     THREE,
+    answer_with_lease,
     datagram_with,
     elected,
-    grant,
     request_lease,
     requesting_holder,
     sent,
@@ -157,32 +157,32 @@
 
 def grant_of_earlier_term(factories):
     lease_holder = requesting_holder(factories)
-    grant(lease_holder, 1000, 5, 1, 1, 10)
-    return ["accepted"] if grant(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
+    answer_with_lease(lease_holder, 1000, 5, 1, 1, 10)
+    return ["accepted"] if answer_with_lease(lease_holder, 2000, 4, 1, 7, 30) != 10 else []
 
 
 def grant_of_earlier_number(factories):
     """The holder accepted and reported a smaller lease; an earlier grant that arrives late is rejected."""
     lease_holder = requesting_holder(factories)
     lease_holder.reduce(500_000, Tick())
-    grant(lease_holder, 501_000, 5, 2, 8, 10)
-    return ["accepted"] if grant(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
+    answer_with_lease(lease_holder, 501_000, 5, 2, 8, 10)
+    return ["accepted"] if answer_with_lease(lease_holder, 502_000, 5, 1, 7, 30) != 10 else []
 
 
 def delayed_request_is_renewed(factories):
     """A new leader renews the 30 that a delayed request reported; the holder has given back 20 since."""
     lease_holder = requesting_holder(factories)
-    grant(lease_holder, 1000, 5, 1, 1, 30)
+    answer_with_lease(lease_holder, 1000, 5, 1, 1, 30)
     lease_holder.reduce(500_000, Tick())  # reports 30
     lease_holder.reduce(1_000_000, Tick())
-    grant(lease_holder, 1_001_000, 5, 3, 2, 10)
-    return ["accepted"] if grant(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
+    answer_with_lease(lease_holder, 1_001_000, 5, 3, 2, 10)
+    return ["accepted"] if answer_with_lease(lease_holder, 1_002_000, 6, 2, 1, 30) != 10 else []
 
 
 def answer_arrives_late(factories):
     """An answer that took 2 s to arrive leaves 1 s of a lease of 3 s."""
     lease_holder = requesting_holder(factories)
-    grant(lease_holder, 2 * SECOND, 5, 1, 1, 10)
+    answer_with_lease(lease_holder, 2 * SECOND, 5, 1, 1, 10)
     return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
 
 
