--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -11,7 +11,7 @@
 
 PLANNERS = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
 TWO, THREE, NODE = (parse_address(PLANNERS[1]), parse_address(PLANNERS[2]), ("10.0.0.9", 7400))
-SHARED = QuotaConfig(
+CONFIG = QuotaConfig(
     limits=(Limit("store", 40),), planners=PLANNERS, max_processes=4, max_step=1.0, reserve=0.0
 )
 
@@ -28,13 +28,13 @@
 
 def started(factories):
     """Return a planner that has just started."""
-    return factories.planner(PLANNERS[0], "f", SHARED, random.Random(1), 0)
+    return factories.planner(PLANNERS[0], "f", CONFIG, random.Random(1), 0)
 
 
 def elected(factories, accept_late=0):
     """Return a leading planner and the time at which it proposed its lease."""
     leader = started(factories)
-    now = SHARED.startup_quiet_period + 2 * SHARED.election_retry
+    now = CONFIG.startup_quiet_period + 2 * CONFIG.election_retry
     leader.reduce(now, Tick())
     ballot = leader.election.candidacy.ballot
     leader.reduce(now + 1, datagram_with(messages.Promise(ballot, None)))
@@ -54,14 +54,14 @@
 
 def requesting_holder(factories):
     """Return a lease holder that has sent its first request."""
-    lease_holder = factories.lease_holder("n1", "f", SHARED, random.Random(1), 0)
+    lease_holder = factories.lease_holder("n1", "f", CONFIG, random.Random(1), 0)
     lease_holder.reduce(0, Tick())
     return lease_holder
 
 
 def answer_with_lease(lease_holder, now, term, sequence, number, amount):
     """Answer a holder's request with a lease; return the amount that the holder then has."""
-    lease = messages.LimitLease("store", number, amount, SHARED.lease_duration, 40)
+    lease = messages.LimitLease("store", number, amount, CONFIG.lease_duration, 40)
     lease_holder.reduce(
         now, datagram_with(messages.LeaseGrant(term, lease_holder.session, sequence, [lease]))
     )
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -13,8 +13,8 @@
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
 from tests.quota_messages import (
+    CONFIG,
     NODE,
-    SHARED,
     answer_with_lease,
     datagram_with,
     elected,
@@ -27,7 +27,7 @@
 def test_demand_that_alternates_between_two_holders_changes_allocations_little():
     """Allocations don't oscillate, as the planner counts the greater of each holder's last two demands."""
     leader, now = elected(QuotaFactories())
-    now += SHARED.takeover_wait + 1
+    now += CONFIG.takeover_wait + 1
     leader.election.leads_until = now + 99 * SECOND
     held = {1: LeaseId(0, 0), 2: LeaseId(0, 0)}
     amounts = {1: 0, 2: 0}
@@ -79,7 +79,7 @@
 
 def test_a_limit_that_the_planners_do_not_know_stays_at_its_floor():
     leader, now = elected(QuotaFactories())
-    now += SHARED.takeover_wait + 1
+    now += CONFIG.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     demand = messages.LimitDemand("other", 0, 0, 0, 9, 0)
     answers = sent(
@@ -99,11 +99,11 @@
     answer_with_lease(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
     assert not lease_holder.reduce(
-        2000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(store, other)))
+        2000, QuotaConfigChanged(dataclasses.replace(CONFIG, limits=(store, other)))
     )
     assert lease_holder.held["store"].amount == 10
     assert lease_holder.held["store"].limit is store
-    effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(other,))))
+    effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(CONFIG, limits=(other,))))
     assert effects == [LimitAllowance("store", None, 0, 0)]
     assert type(effects[0]) is LimitAllowance  # `==` holds also between named tuples of different types
     assert list(lease_holder.held) == ["other"]
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -17,7 +17,7 @@
 from finchcart.quota.messages import Ballot
 from finchcart.quota.planner import Planner
 from tests.quota_messages import (
-    SHARED,
+    CONFIG,
     THREE,
     answer_with_lease,
     datagram_with,
@@ -138,15 +138,15 @@
 
 
 def accept_arrives_late(factories):
-    leader, proposed = elected(factories, SHARED.leader_lease_duration // 2)
+    leader, proposed = elected(factories, CONFIG.leader_lease_duration // 2)
     leads_until = leader.election.leads_until
-    return [leads_until] if leads_until > proposed + SHARED.leader_lease_duration else []
+    return [leads_until] if leads_until > proposed + CONFIG.leader_lease_duration else []
 
 
 def holder_restarts(factories):
     """The process before the restart may still use its lease, so no other holder gets a part of it."""
     leader, now = elected(factories)
-    now += SHARED.takeover_wait + 1
+    now += CONFIG.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     first = request_lease(leader, now, "n1", 1, 1).amount
     request_lease(leader, now + 100_000, "n1", 2, 1, demand=0)
@@ -183,7 +183,7 @@
     """An answer that took 2 s to arrive leaves 1 s of a lease of 3 s."""
     lease_holder = requesting_holder(factories)
     answer_with_lease(lease_holder, 2 * SECOND, 5, 1, 1, 10)
-    return ["longer"] if lease_holder.held["store"].expires_at > SHARED.lease_duration else []
+    return ["longer"] if lease_holder.held["store"].expires_at > CONFIG.lease_duration else []
 
 
 def seeded_runs(count):
@@ -209,12 +209,12 @@
     """A restarted acceptor must not answer while a lease that it voted for before may last."""
     acceptor = started(factories)
     prepare = messages.Prepare(Ballot(1, 7), acceptor.election.timing_digest)
-    return promises(sent(acceptor.reduce(SHARED.leader_lease_duration - 1, datagram_with(prepare))))
+    return promises(sent(acceptor.reduce(CONFIG.leader_lease_duration - 1, datagram_with(prepare))))
 
 
 def smaller_ballot_is_prepared(factories):
     acceptor = started(factories)
-    now = SHARED.startup_quiet_period + 1
+    now = CONFIG.startup_quiet_period + 1
     timing_digest = acceptor.election.timing_digest
     acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(9, 7), timing_digest)))
     return promises(
