--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -10,13 +10,17 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 
 PLANNERS = ("10.0.0.1:7401", "10.0.0.2:7401", "10.0.0.3:7401")
-TWO, THREE, NODE = (parse_address(PLANNERS[1]), parse_address(PLANNERS[2]), ("10.0.0.9", 7400))
+SECOND_PLANNER, THIRD_PLANNER, HOLDER_ADDRESS = (
+    parse_address(PLANNERS[1]),
+    parse_address(PLANNERS[2]),
+    ("10.0.0.9", 7400),
+)
 CONFIG = QuotaConfig(
     limits=(Limit("store", 40),), planners=PLANNERS, max_processes=4, max_step=1.0, reserve=0.0
 )
 
 
-def datagram_with(message, address=TWO):
+def datagram_with(message, address=SECOND_PLANNER):
     """Return the input of a datagram that contains this message."""
     return DatagramReceived(address, messages.CODEC.encode("f", message))
 
@@ -48,7 +52,7 @@
     """Request a lease of a planner; return the lease, or None if the planner granted none."""
     report = messages.LimitDemand("store", held.term, held.number, in_use, demand, 0)
     lease_request = messages.LeaseRequest(name, session, sequence, oldest_sequence, False, [report])
-    answers = sent(leader.reduce(now, datagram_with(lease_request, NODE)))
+    answers = sent(leader.reduce(now, datagram_with(lease_request, HOLDER_ADDRESS)))
     return next((each.leases[0] for each in answers if isinstance(each, messages.LeaseGrant)), None)
 
 
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -14,7 +14,7 @@
 from finchcart.quota.local_limits import LocalLimits
 from tests.quota_messages import (
     CONFIG,
-    NODE,
+    HOLDER_ADDRESS,
     answer_with_lease,
     datagram_with,
     elected,
@@ -71,7 +71,7 @@
     before = dict(leader.allocator.holders)
     demand = messages.LimitDemand("store", 0, 0, 0, 9, 0)
     data = messages.CODEC.encode("g", messages.LeaseRequest("n1", 1, 1, 1, False, [demand]))
-    effects = leader.reduce(now + 1, DatagramReceived(NODE, data))
+    effects = leader.reduce(now + 1, DatagramReceived(HOLDER_ADDRESS, data))
     assert not effects
     assert leader.allocator.holders == before
     assert leader.counts["another fleet"] == 1
@@ -83,7 +83,9 @@
     leader.election.leads_until = now + 9 * SECOND
     demand = messages.LimitDemand("other", 0, 0, 0, 9, 0)
     answers = sent(
-        leader.reduce(now, datagram_with(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), NODE))
+        leader.reduce(
+            now, datagram_with(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), HOLDER_ADDRESS)
+        )
     )
     assert answers[0].leases == []
     assert leader.counts["a holder knows no limit store"] == 1
--- a/tests/test_quota_defects.py
+++ b/tests/test_quota_defects.py
@@ -18,7 +18,7 @@
 from finchcart.quota.planner import Planner
 from tests.quota_messages import (
     CONFIG,
-    THREE,
+    THIRD_PLANNER,
     answer_with_lease,
     datagram_with,
     elected,
@@ -218,7 +218,9 @@
     timing_digest = acceptor.election.timing_digest
     acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(9, 7), timing_digest)))
     return promises(
-        sent(acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(8, 8), timing_digest), THREE)))
+        sent(
+            acceptor.reduce(now, datagram_with(messages.Prepare(Ballot(8, 8), timing_digest), THIRD_PLANNER))
+        )
     )
 
 
