--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -1,4 +1,4 @@
-"""Strict limits: what planners allocate to lease holders, on the virtual clock and by hand."""
+"""Allocation of strict limits by planners to lease holders, in simulations and message by message."""
 
 import dataclasses
 
@@ -12,13 +12,22 @@
 from finchcart.quota.inputs import QuotaConfigChanged
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig
 from finchcart.quota.local_limits import LocalLimits
-from tests.quota_messages import NODE, SHARED, elected, got, grant, holding, request_lease, sent
-
-
-def test_demand_that_alternates_between_two_moves_little():
-    """The greater of the last two demands of each counts."""
+from tests.quota_messages import (
+    CONFIG,
+    HOLDER_ADDRESS,
+    answer_with_lease,
+    datagram_with,
+    elected,
+    request_lease,
+    requesting_holder,
+    sent,
+)
+
+
+def test_demand_that_alternates_between_two_holders_changes_allocations_little():
+    """Allocations don't oscillate, as the planner counts the greater of each holder's last two demands."""
     leader, now = elected(QuotaFactories())
-    now += SHARED.takeover_wait + 1
+    now += CONFIG.takeover_wait + 1
     leader.election.leads_until = now + 99 * SECOND
     held = {1: LeaseId(0, 0), 2: LeaseId(0, 0)}
     amounts = {1: 0, 2: 0}
@@ -46,7 +55,7 @@
     assert min(before.values()) >= 18
 
 
-def test_a_liar_about_its_demand_gets_no_more_than_its_max_min_part():
+def test_a_holder_that_overstates_its_demand_gets_no_more_than_its_max_min_share():
     fleet = QuotaSimulation(2, holders=4)
     for name in fleet.processes:
         fleet.start(name)
@@ -62,39 +71,43 @@
     before = dict(leader.allocator.holders)
     demand = messages.LimitDemand("store", 0, 0, 0, 9, 0)
     data = messages.CODEC.encode("g", messages.LeaseRequest("n1", 1, 1, 1, False, [demand]))
-    effects = leader.reduce(now + 1, DatagramReceived(NODE, data))
+    effects = leader.reduce(now + 1, DatagramReceived(HOLDER_ADDRESS, data))
     assert not effects
     assert leader.allocator.holders == before
     assert leader.counts["another fleet"] == 1
 
 
-def test_a_limit_that_the_planners_lack_stays_at_its_floor():
+def test_a_limit_that_the_planners_do_not_know_stays_at_its_floor():
     leader, now = elected(QuotaFactories())
-    now += SHARED.takeover_wait + 1
+    now += CONFIG.takeover_wait + 1
     leader.election.leads_until = now + 9 * SECOND
     demand = messages.LimitDemand("other", 0, 0, 0, 9, 0)
-    answers = sent(leader.reduce(now, got(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), NODE)))
+    answers = sent(
+        leader.reduce(
+            now, datagram_with(messages.LeaseRequest("n1", 1, 1, 1, False, [demand]), HOLDER_ADDRESS)
+        )
+    )
     assert answers[0].leases == []
     assert leader.counts["a holder knows no limit store"] == 1
 
 
-def test_seeded_runs_are_never_over_and_replay_identically():
+def test_seeded_runs_keep_the_limit_and_replay_identically():
     traces = [QuotaFaultRun(seed).play(30) for seed in (1, 1, 2, 3, 4, 5, 6, 7)]
     assert traces[0] == traces[1] != traces[2]
 
 
-def test_a_new_configuration_removes_and_adds_limits_and_keeps_what_is_held_of_the_others():
-    lease_holder = holding(QuotaFactories())
-    grant(lease_holder, 1000, 5, 1, 1, 10)
+def test_a_new_configuration_adds_and_removes_limits_and_keeps_the_leases_of_the_others():
+    lease_holder = requesting_holder(QuotaFactories())
+    answer_with_lease(lease_holder, 1000, 5, 1, 1, 10)
     store, other = Limit("store", 50), Limit("other", 9, floor=2)
     assert not lease_holder.reduce(
-        2000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(store, other)))
+        2000, QuotaConfigChanged(dataclasses.replace(CONFIG, limits=(store, other)))
     )
     assert lease_holder.held["store"].amount == 10
     assert lease_holder.held["store"].limit is store
-    effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(SHARED, limits=(other,))))
+    effects = lease_holder.reduce(3000, QuotaConfigChanged(dataclasses.replace(CONFIG, limits=(other,))))
     assert effects == [LimitAllowance("store", None, 0, 0)]
-    assert type(effects[0]) is LimitAllowance  # named tuples of two types may be equal
+    assert type(effects[0]) is LimitAllowance  # `==` holds also between named tuples of different types
     assert list(lease_holder.held) == ["other"]
     loose = [Limit(name, 9, mode="loose") for name in ("a", "b")]
     local = LocalLimits(QuotaConfig(limits=(loose[0],)), 0)
@@ -105,12 +118,12 @@
 
 
 def set_demand(fleet, **demands):
-    """Let the nodes want these amounts from now on."""
+    """Set the demands of these nodes."""
     for name, demand in demands.items():
         fleet.processes[name].demand = demand
 
 
-def test_what_is_shared_follows_demand_and_comes_back_within_its_bounds():
+def test_allocations_follow_demand_and_recover_within_their_bounds():
     fleet = QuotaSimulation(1, holders=6, quota=QuotaConfig(limits=(Limit("store", 60, 1),), max_processes=8))
     for name in fleet.processes:
         fleet.start(name)
@@ -125,7 +138,7 @@
         fleet.kill(name)
     fleet.run(fleet.now + fleet.quota.fallback_bound() + 100_000, fleet.after_step)
     assert all(fleet.processes[f"n{n}"].amount == 0 for n in range(6))
-    assert fleet.count()[0] <= 6, "floors alone"
+    assert fleet.count()[0] <= 6, "without planners, only the floors are used"
     for name in ("p0", "p1", "p2"):
         fleet.start(name)
     fleet.run(fleet.now + fleet.quota.recovery_bound(), fleet.after_step)
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -1,4 +1,4 @@
-"""Limits in the settings file, and the bounds that follow from them."""
+"""Limits in the settings file and the bounds that follow from them."""
 
 import random
 
@@ -28,14 +28,14 @@
         ({"planners": ["127.0.0.2:1"] * 3}, {}, "its vote would count double"),
         ({"lease_ms": 300}, {}, "at least 500 ms"),
         ({"slack_ms": 2000}, {}, "more than a quarter of life_ms"),
-        ({}, {"counts": "rpcs"}, "an RPC in hand can't be ended with a grant"),
+        ({}, {"counts": "rpcs"}, "an RPC in progress can't be ended when a lease expires"),
         ({}, {"rate": 3, "burst": 30}, "exactly one of in_hand and rate must be set"),
         ({}, {"in_hand": 0}, "limits.0.in_hand: 0:"),
-        ({}, {"method": "x"}, "method and dispatcher are of RPCs"),
+        ({}, {"method": "x"}, "method and dispatcher apply only to RPCs"),
         ({}, {"in_hnd": 3}, "limits.0.in_hnd: no such setting; the nearest is in_hand"),
     ],
 )
-def test_settings_that_cannot_hold_their_bound_are_refused_with_the_arithmetic(quota, limit, reason):
+def test_settings_that_contradict_a_bound_are_rejected_with_the_calculation(quota, limit, reason):
     settings = {
         **GOOD_SETTINGS,
         "quota": {**GOOD_SETTINGS["quota"], **quota},
@@ -46,7 +46,7 @@
     assert reason in str(raised.value)
 
 
-def test_settings_that_hold_their_bounds_are_accepted():
+def test_settings_within_their_bounds_are_accepted():
     assert check_settings(GOOD_SETTINGS, "F").limits[0].in_hand == 40
     assert not list(config_errors(QuotaConfig(limits=(Limit("a", 64, 1),), planners=("a",))))
     rate = Limit("a", 64, per="rate", burst=63)
@@ -56,16 +56,16 @@
     assert not list(config_errors(QuotaConfig(limits=(loose,)))), "a loose limit needs no planners"
 
 
-def test_bounds_are_formulas_of_the_settings():
+def test_bounds_follow_from_the_settings():
     quota, limit = QuotaConfig(partition_overshoot=0.5, drift=0.01), Limit("a", 100, mode="loose")
     assert quota.partition_allowance(limit, 5, 10) == 75
     assert quota.partition_allowance(limit, 9, 10) == 100
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(300):
-        known = chance.randrange(2, 40)
+        known = rng.randrange(2, 40)
         sides, left = [], known
         while left:
-            sides.append(chance.randint(1, left))
+            sides.append(rng.randint(1, left))
             left -= sides[-1]
         assert sum(quota.partition_allowance(limit, side, known) for side in sides) <= 150
     assert quota.loose_overshoot_bound(limit, 10) == 50 + 9
