--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -183,7 +183,7 @@
             self._datagrams.post_reload()
 
     def _reload(self) -> list[tuple[bytes, MachineInput]]:
-        """Read the settings file again; return the resulting inputs by channel, or none if it is rejected."""
+        """Read the settings file again; return pairs of channel and input, or [] if the file is rejected."""
         settings = reread_settings(self._path, self._changed_fixed_fields)
         if settings is None or settings.fleet is UNSET:
             return []
@@ -209,7 +209,7 @@
         return [f"fleet.{name}" for name in fixed]
 
     def _config_inputs(self) -> list[tuple[bytes, MachineInput]]:
-        """Return the inputs that make the state machines apply the current settings."""
+        """Return pairs of channel and input that make the state machines apply the current settings."""
         settings = self._settings
         member_config = membership_config(self._fleet)
         inputs: list[tuple[bytes, MachineInput]] = [
--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -1,7 +1,7 @@
 """Log lines for operators, one for each change of a decision or an override.
 
-Owns the values that were logged last. This module must never log a decision about another node: each node
-logs those about itself.
+`DecisionChangeLog` owns the values that were logged last. It must never log a decision about another node,
+because each node logs the decisions about itself.
 """
 
 from collections.abc import Iterator, Mapping
--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -1,4 +1,4 @@
-"""Collection of the reports and overrides that the other members publish, without those that must not count.
+"""Collects the reports and overrides that other members publish, and ignores those that must not count.
 
 Owns the reports and overrides read from each member's gossip entry and how often each member changes its
 reports. This module must never treat a report as more recent than the time at which it was written, and must
@@ -29,7 +29,7 @@
     """An override that another member published."""
 
     message: OperatorOverride
-    ends_at: int  # boot clock of this process, microseconds
+    ends_at: int  # time at which the override ends, in microseconds on the boot clock of this process
     origin: str  # name of the node that published it
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, now: int, precedence: Precedence) -> None:
         self.window_start = now
-        self.first = precedence  # of the first entry in the window
+        self.first = precedence  # precedence of the first entry in the window
         self.ignored_until = 0
 
     def changes(self, now: int, precedence: Precedence) -> int:
@@ -61,9 +61,10 @@
 
     def __init__(self, config: ConsensusConfig, count: Callable[[str], None]) -> None:
         self.config = config
-        self.oldest_age = 0  # microseconds, among the reports that the last collection accepted
-        self.reporting_count = 0  # members whose reports the last collection accepted
-        self.member_count = 1  # members in the fleet, this one included
+        # Age in microseconds of the oldest report that the last collection accepted.
+        self.oldest_age = 0
+        self.reporting_count = 0  # number of members whose reports the last collection accepted
+        self.member_count = 1  # number of members in the fleet, including this one
         self._count = count
         self._decoded: dict[int, tuple[Precedence, list[ObservationReport] | None]] = {}
         self._overrides_read: dict[int, Precedence] = {}
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -70,14 +70,14 @@
     probe_timeout: int = 1 * SECOND  # timeout of a probe call
     recovery_step: int = 500 * MS  # when the store is back, the allowed calls double at each step
     max_bad_messages: int = 20  # unreadable messages and connections without an RPC, in `source_span`
-    source_span: int = 10 * SECOND  # the window over which a node counts what a source sends
+    source_span: int = 10 * SECOND  # the window over which a node counts the bad messages of a source
     source_quorum: float = 0.25  # fraction of the members that must report a source; at least `min_reports`
     restriction_time: int = 30 * SECOND  # a source is reported until this long after its last excess
     throttled_rate: int = 5  # RPCs a second that each node admits from a throttled source
     max_blocked_fraction: float = 0.2  # fraction of all RPCs that decisions may block, over all sources
     min_runs: int = 20  # the fewest runs in `observation_span` for a report on the node
     max_ejected_fraction: float = 0.2  # fraction of the members that may be ejected at once
-    runs_report_lifetime: int = 30 * SECOND  # an ejected node without runs repeats its last report so long
+    runs_report_lifetime: int = 30 * SECOND  # an ejected node without runs repeats its last report this long
     level_step: float = 0.2  # a node's shed level may be below the fleet's by this much
     max_source_reports: int = 12  # sources that one node reports; the worst ones are chosen
     max_sources: int = 512  # sources that a node observes; `Observer` evicts one to make room
--- a/finchcart/decisions/arrival_statistics.py
+++ b/finchcart/decisions/arrival_statistics.py
@@ -6,7 +6,7 @@
 # Numbers of arrivals over which the moving averages are taken.
 INGRESS_DELAY_SAMPLES = 8
 RETRY_SAMPLES = 32
-INGRESS_DELAY_DECAY = 0.98  # factor per maintenance interval: the delay decays even if no RPC arrives
+INGRESS_DELAY_DECAY = 0.98  # factor that is applied to the delay once per maintenance interval
 
 
 class ArrivalStatistics:
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         """Begin without arrivals."""
-        self.ingress_queueing_delay = 0.0  # from when an RPC reached the machine until it was read
+        self.ingress_queueing_delay = 0.0  # time from an RPC's arrival at the machine until it was read
         self.retry_ratio = 0.0  # fraction of the arrivals that are retries
 
     def record(self, ingress_delay: int, is_retry: bool) -> None:
@@ -23,5 +23,5 @@
         self.retry_ratio += (is_retry - self.retry_ratio) / RETRY_SAMPLES
 
     def decay(self) -> None:
-        """Decay the delay by one maintenance interval."""
+        """Reduce the delay once per maintenance interval, so that it falls even if no RPC arrives."""
         self.ingress_queueing_delay *= INGRESS_DELAY_DECAY
--- a/finchcart/decisions/expected_wait.py
+++ b/finchcart/decisions/expected_wait.py
@@ -10,7 +10,7 @@
 
 
 class WaitForecast:
-    """Forecast of the wait in the queue."""
+    """Forecast of the time that an RPC would wait in the queue."""
 
     def __init__(self, state: NodeState, pausing: Pausing) -> None:
         """Forecast for the node with this state."""
@@ -25,13 +25,13 @@
         return self._work_ahead(priority) / self._concurrency.limit
 
     def _work_ahead(self, priority: Priority) -> float:
-        """Return the service time of the runs and queued RPCs that come before this priority."""
+        """Return the expected remaining service time of the runs and queued RPCs ahead of this priority."""
         runs = self._runs
         limit = self._concurrency.limit
         slowdown = self._slowdown.factor
         pausing = self._pausing
         work = pausing.work_not_yielding(-priority[0]) if pausing.is_enabled else runs.expected_work
-        work *= slowdown / 2  # on average, half of a run is done
+        work *= slowdown / 2  # on average, half of the work of a run is done
         if runs.on_cores < limit:
             work *= runs.on_cores / limit / 2
         for queued_priority, _, rpc in self._queue.entries:
--- a/finchcart/decisions/rpc_table.py
+++ b/finchcart/decisions/rpc_table.py
@@ -15,7 +15,7 @@
         self.completed: dict[int, RpcHandle] = {}  # kept for as long as their keys are stored
 
     def add(self, rpc: RpcHandle) -> None:
-        """Add an RPC that has arrived."""
+        """Add an RPC to the active ones."""
         self.active[rpc.index] = rpc
 
     def find(self, index: int) -> RpcHandle | None:
--- a/finchcart/fleet_settings/schema.py
+++ b/finchcart/fleet_settings/schema.py
@@ -36,9 +36,9 @@
     """One limit on the calls or RPCs of the whole fleet."""
 
     name: Text
-    in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # concurrent; exclusive with `rate`
+    in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # number in flight; excludes `rate`
     rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # per second
-    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # allowed at once with `rate`
+    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # maximum at once with `rate`
     mode: Literal["strict", "loose"] = "strict"
     floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # guaranteed to each node during any failure
     weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # of this node's share of a strict limit
@@ -51,7 +51,7 @@
     """The planners that allocate the limits, and the timing of the allocation: see quota/limits.py."""
 
     planners: list[Address] = []
-    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # node processes, with stopped ones
+    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # node processes, including stopped ones
     life_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
     round_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
     lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -103,7 +103,7 @@
     # ---- attempts
 
     def on_acquire(self, keys: Iterable[KeyToLease]) -> None:
-        """Begin to acquire leases."""
+        """Begin an attempt for each requested lease; answer at once if too many leases are in use."""
         for key, payload_digest, duration_us in keys:
             if key in self.attempts or key in self.acquired:
                 self.count("requested already")
--- a/finchcart/key_leases/messages.py
+++ b/finchcart/key_leases/messages.py
@@ -80,7 +80,7 @@
 
 
 class OutcomeId(NamedTuple):
-    """Identifies a reported outcome."""
+    """The parts of a reported outcome that identify it in an acknowledgement."""
 
     key: Key
     attempt: Unsigned53
--- a/finchcart/membership/config.py
+++ b/finchcart/membership/config.py
@@ -12,7 +12,7 @@
 
 from finchcart.fleet.units import MS, SECOND
 
-UNINFORMED_PROBABILITY = 0.01  # of any member of a fleet lacking an update after `dissemination_time`
+UNINFORMED_PROBABILITY = 0.01  # probability that any member lacks an update after `dissemination_time`
 
 # Setting (without its unit suffix) -> field of `MembershipConfig`, where the names differ.
 FIELDS_BY_SETTING = {
@@ -32,19 +32,19 @@
 class MembershipConfig:
     """Timeouts and limits of a member; see docs/operate/members.md for how to choose them."""
 
-    period: int = 500 * MS  # between heartbeats to one member
+    period: int = 500 * MS  # time between two heartbeats to the same member
     ticks_per_period: int = 5  # heartbeats are spread over the ticks of a period
     patience: int = 4  # periods without two-way contact after which a link is down, without packet loss
-    max_patience: int = 10  # upper bound of the same number of periods under packet loss
+    max_patience: int = 10  # upper bound of `patience` as it is raised under packet loss
     link_error_rate: float = 0.01  # accepted probability that packet loss alone takes a link down
     suspicion_timeout: int = 500 * MS  # time after which a suspected member counts as failed
-    recovery_time: int = 500 * MS  # time that a failed member is connected before it counts as alive
+    recovery_time: int = 500 * MS  # time for which a failed member must be connected again to count as alive
     watch_degree: int = 24  # maximum number of members to exchange heartbeats with, rounded down to even
     forget_after: int = 600 * SECOND  # time after which a failed or left member is removed from the table
-    probes_per_period: int = 8  # failed members to which a heartbeat is sent per period
+    probes_per_period: int = 8  # number of failed members to which a heartbeat is sent per period
     max_members: int = 4096  # when full, failed and left members are evicted, then new ones are rejected
     max_pending_updates: int = 256  # changed records waiting to be gossiped; anti-entropy sends the rest
-    max_datagrams: int = 400  # sent per period; heartbeats over the limit wait for the next tick
+    max_datagrams: int = 400  # maximum number sent per period; further heartbeats wait for the next tick
     max_clock_ahead_ms: int = 24 * 3600 * 1000  # incarnations further ahead of the wall clock are rejected
     max_lateness_allowance: int = 5 * SECOND  # maximum extension of the link timeout while ticks run late
 
--- a/finchcart/membership/links.py
+++ b/finchcart/membership/links.py
@@ -7,7 +7,7 @@
 
 from finchcart.membership.messages import Heartbeat
 
-MAX_SEND_TIMES = 32  # kept per link
+MAX_SEND_TIMES = 32  # number of sent heartbeats whose send times are kept for each link
 MIN_LOSS_SAMPLES = 20  # with no more received heartbeats than this, the loss counts as 0
 MAX_LOSS_SAMPLES = 64  # above this number both counters are halved, so that older samples weigh less
 SILENT_PERIODS = 2  # after a silence of this length, the next heartbeat is answered with the next tick
@@ -37,7 +37,7 @@
         self.session = 0
         self.opened_at = now
         self.sent_sequence = 0
-        self.sent_at: deque[tuple[int, int]] = deque(maxlen=MAX_SEND_TIMES)  # (sequence, time)
+        self.sent_at: deque[tuple[int, int]] = deque(maxlen=MAX_SEND_TIMES)  # (sequence number, send time)
         self.received_sequence = 0
         self.last_received_at: int | None = None
         self.confirmed_at: int | None = None  # send time of the latest heartbeat that was echoed
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -23,10 +23,11 @@
 CHANNEL = b"M"
 MAX_BUCKETS = 64
 MAX_PAGE_ENTRIES = 64
-MAX_GOSSIP_ENTRIES = 16  # in one heartbeat
-MAX_PAYLOAD_BYTES = 600  # of one gossip entry
-MESSAGE_OVERHEAD_BYTES = 120  # of a datagram, without the records and entries in it
-MAX_RECORD_BYTES = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES  # of the records and entries in one datagram
+MAX_GOSSIP_ENTRIES = 16  # maximum number of gossip entries in one heartbeat
+MAX_PAYLOAD_BYTES = 600  # maximum size of the payload of one gossip entry
+MESSAGE_OVERHEAD_BYTES = 120  # upper bound for the parts of a datagram other than records and entries
+# Maximum size of all records and entries in one datagram.
+MAX_RECORD_BYTES = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES
 
 
 class DeclaredStatus(IntEnum):
@@ -83,7 +84,7 @@
     topic: Annotated[int, Meta(ge=0, lt=4)]
     incarnation: Unsigned53
     sequence: Unsigned53
-    age_us: Unsigned53  # maximum time since it was written, as known to the sender
+    age_us: Unsigned53  # upper bound, known to the sender, of the time since the entry was written
     counters: Annotated[list[tuple[Unsigned64, Unsigned53, Unsigned53]], Meta(max_length=16)]
     payload: Annotated[bytes, Meta(max_length=MAX_PAYLOAD_BYTES)] = b""
 
@@ -101,13 +102,14 @@
     sent that heartbeat.
     """
 
-    record: MemberRecord  # the sender's own
+    record: MemberRecord  # the record of the sender
     sequence: Unsigned53
     echo_session: Unsigned64
     echo_sequence: Unsigned53
-    digest: Unsigned64  # of the records of all members that have not failed or left
-    updates: list[MemberRecord]  # recently changed records, as gossip
-    entries: Annotated[list[GossipEntry], Meta(max_length=MAX_GOSSIP_ENTRIES)] = []  # own entries first
+    digest: Unsigned64  # digest of the records of all members that have not failed or left
+    updates: list[MemberRecord]  # recently changed records of any members, spread by gossip
+    # The sender's own entries come first.
+    entries: Annotated[list[GossipEntry], Meta(max_length=MAX_GOSSIP_ENTRIES)] = []
 
 
 class BucketDigests(Struct, array_like=True, frozen=True, tag=2):
@@ -126,7 +128,7 @@
     first_id: Unsigned64
     last_id: Unsigned64
     versions: Annotated[list[tuple[Unsigned64, Unsigned53, Unsigned53]], Meta(max_length=MAX_PAGE_ENTRIES)]
-    is_reply: bool  # whether it answers another page, and must not be answered by a page itself
+    is_reply: bool  # whether this page answers another page; no page is sent in answer to a reply
 
 
 class MemberRecords(Struct, array_like=True, frozen=True, tag=4):
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -86,7 +86,7 @@
         self.codec = codec
         self.sock = sock
         self.is_open = False
-        self._bytes_processed = 0  # handed to the core; used only by the thread that feeds the core
+        self._bytes_processed = 0  # bytes handed to the core; used only by the thread that runs the core
         self._inputs = inputs
         self._buffers = buffers
         self._limits = limits
@@ -148,7 +148,7 @@
                 try:
                     data = data[sock.send(data, socket.MSG_DONTWAIT) :]
                 except OSError as error:
-                    # If the peer does not read or the system is short of memory, a writer thread continues.
+                    # A writer thread retries if the peer does not read or the system is short of memory.
                     if not is_transient(error):
                         shut_down(sock, socket.SHUT_RDWR)  # the reader thread reports the broken connection
                         return
@@ -244,7 +244,7 @@
             pass
 
     def _establish(self) -> socket.socket:
-        """Connect, unless the connection was accepted, and write the data that was sent before."""
+        """Connect, unless the connection was accepted; start to write the data that `send` kept until now."""
         sock = self.sock or self._connect()
         if self._write_deadline is not None and boot_clock() > self._write_deadline:
             # A call must not reach the store after the lease that permits it has expired.
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -21,9 +21,9 @@
 MAX_BACKOFF_DOUBLINGS = 10
 MAX_CONSECUTIVE_FAILURES = 32  # failures of accept(2) that are retried without a backoff
 
-# Called with the connection's number, its socket, the peer's host, and the function to call once its
-# descriptor is free. It may raise OSError if the connection cannot be served yet: it is then called again
-# after a backoff.
+# The function that takes over an accepted connection. Its arguments are the connection's number, its socket,
+# the peer's host, and a function that must be called once the socket's descriptor is free. If it raises
+# OSError, because the connection cannot be served yet, the listener calls it again after a backoff.
 OnAccepted = Callable[[int, socket.socket, str | None, Callable[[], None]], None]
 
 
@@ -56,7 +56,7 @@
     def accept(self) -> None:
         """Pass each connection to `on_accepted` until `stop` is called; runs in a thread of its own."""
         last_logged_errno: int | None = None
-        failures = 0  # consecutive
+        failures = 0  # number of consecutive calls of accept(2) that failed
         while not self._is_stopped:
             self.capacity.acquire()
             try:
--- a/finchcart/node/arrivals.py
+++ b/finchcart/node/arrivals.py
@@ -11,7 +11,7 @@
 
 
 class ArrivalClock:
-    """Converts the timestamps of the current batch to arrival times. Times are whole microseconds."""
+    """Converts the timestamps of RPCs in the current batch to arrival times. Times are whole microseconds."""
 
     __slots__ = ("_effect_buffer", "_max_clock_lead_us", "_wall_clock", "not_before", "received_at")
 
@@ -19,12 +19,12 @@
         self._effect_buffer = effect_buffer
         self._max_clock_lead_us = max_clock_lead_us
         self._wall_clock = WallClockHistory()
-        # connection_dispatch.py sets these two for each batch.
+        # connection_dispatch.py sets these two attributes before each batch is processed.
         self.received_at = 0
         self.not_before = 0  # the earliest time at which the batch can have reached the machine
 
     def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
-        """Return when an RPC of the current batch arrived, by its timestamp; see `FrontendHost`."""
+        """Convert an RPC's timestamp to its time of arrival, or None if invalid; see `FrontendHost`."""
         now = self._effect_buffer.now
         received_at = min(self.received_at, now)
         oldest = now - late_read_us
@@ -40,11 +40,11 @@
         return arrival
 
     def unix_now(self) -> int:
-        """Return the current Unix time."""
+        """Return the current Unix time in microseconds."""
         return self._wall_clock.to_unix(self._effect_buffer.now)
 
     def on_wall_clock_read(self, unix_us: int) -> None:
-        """Handle a reading of the wall clock; log a step."""
+        """Record a reading of the wall clock; log a fault if the clock was stepped."""
         step_us = self._wall_clock.record(self._effect_buffer.now, unix_us)
         if step_us:
             self._effect_buffer.log_fault("wall clock", "step", f"stepped by {step_us} us")
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -244,11 +244,11 @@
 
     @property
     def shed_level(self) -> float | None:
-        """The shed level that is published with all answers; None until it is known."""
+        """The shed level that is published with all answers, or None until it is known."""
         return self.port.shed_level
 
     def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
-        """Return when an RPC of the current batch arrived, by its timestamp; see `FrontendHost`."""
+        """Convert an RPC's timestamp to its time of arrival, or None if invalid; see `FrontendHost`."""
         return self._arrivals.read_arrival(timestamp, late_read_us)
 
     def unix_now(self) -> int:
--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -22,7 +22,7 @@
 
 
 class NodeDrain:
-    """The steps of a drain; implements `ShutdownHost`. One timer, while there is no worker pool."""
+    """The steps of a drain; implements `ShutdownHost`. Uses one timer while there is no worker pool."""
 
     controllers: ControllerHost  # `connect` sets this attribute and the three below
     shutdown: ShutdownSchedule
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -41,7 +41,7 @@
         """Handle the failure to establish a connection that the node opened."""
 
     def connection_ended(self, connection: int, fault: ProtocolError | None) -> None:
-        """Handle the end of the incoming stream; `fault` is None if the peer closed it."""
+        """Handle the end of the incoming data; `fault` is None unless data could not be decoded."""
 
     def connection_closed(self, connection: int) -> None:
         """Handle the final close of a connection."""
@@ -70,7 +70,7 @@
     def __init__(self, log_interval_us: int) -> None:
         self.now = 0
         self.effects: list[Effect] = []
-        self.timers: list[Timer] = []  # a heap
+        self.timers: list[Timer] = []  # heap with the earliest timer first
         self.connection_owners: dict[int, AnyOwner] = {}
         self._timers_made = 0
         self._connections_made = 0
@@ -110,7 +110,7 @@
         return connection
 
     def schedule_after(self, delay: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Schedule `callback(*arguments)` to run before the first input that is processed after `delay`."""
+        """Schedule `callback(*arguments)` for the first input processed `delay` microseconds from now."""
         self.schedule(self.now + delay, callback, *arguments)
 
     def log_fault(self, origin: str, cause: str, text: str) -> None:
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -82,7 +82,10 @@
         self.effect_buffer.schedule(entry.expires_at + self.late_read_us, self._expire, entry)
 
     def evict(self, entry: KeyEntry) -> None:
-        """Remove the entry of an RPC that never ran; its duplicates fail."""
+        """Remove the entry of an RPC that never ran, and fail the duplicates that wait for this RPC.
+
+        The entry that this one replaced holds the key again if its window is not over.
+        """
         if self.entries.get(entry.key) is entry:
             previous = entry.previous
             entry.previous = None
--- a/finchcart/node/input_load.py
+++ b/finchcart/node/input_load.py
@@ -12,8 +12,9 @@
     __slots__ = ("_busy_fraction", "longest_wait_us")
 
     def __init__(self) -> None:
-        self._busy_fraction = 0.0  # in the last measurement interval
-        self.longest_wait_us = 0  # of all inputs since the last `add_gauges`, set by connection_dispatch.py
+        self._busy_fraction = 0.0  # fraction of the last interval that was spent on inputs
+        # The longest wait of any input since the last `add_gauges`; connection_dispatch.py sets it.
+        self.longest_wait_us = 0
 
     def on_load_measured(self, busy_us: int, span_us: int) -> None:
         """Handle a measurement: inputs were processed for `busy_us` of the last `span_us`."""
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -1,4 +1,4 @@
-"""The limiters of a node together, and the recovery ramp of a store that the fleet held to be down.
+"""All limiters of a node, and the recovery ramp of a store that consensus declared to be down.
 
 `LimiterSet` owns the limiters and determines which of them count a call or an RPC. It must never decide which
 call is made or which RPC is shed: the decision module decides that, by the reported capacity.
@@ -29,8 +29,8 @@
     """The permission of all limiters for one more call."""
 
     leased: bool  # whether the call uses the amount beyond the floor of the fleet limit
-    time_limit_us: int | None  # upper bound of the timeout; None: the decision module chooses freely
-    write_by: int | None  # latest time of the write, on the boot clock; None: no such limit
+    time_limit_us: int | None  # upper bound of the call's timeout; None: no such bound
+    write_by: int | None  # latest time to write the call to its connection, on the boot clock; None: no limit
 
 
 class LimiterSet:
@@ -99,7 +99,7 @@
             self._recovering_since = None if down else self.now_us
 
     def _recovery_capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls the consensus allows in flight; None: no bound.
+        """Return how many calls the consensus allows in flight, or None if it sets no bound.
 
         While the store is down, this is the share of this node in the probe calls. Once the store is up,
         the capacity starts at 1 and doubles after each step, so that the nodes together don't overload it.
@@ -117,7 +117,7 @@
     # ---- Calls
 
     def call_capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls may be in flight until the next timer; None: no bound."""
+        """Return how many calls may be in flight until the next timer, or None if there is no bound."""
         capacities = [self._recovery_capacity(calls)]
         if self.calls:
             capacities.append(self.calls.capacity(calls))
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -19,8 +19,8 @@
 SECOND = 1_000_000
 PROBE_DEMAND_PERIOD_US = 10 * SECOND  # a node that called the store within this period requests a probe call
 DEMAND_PERIOD_US = 250 * MS  # interval over which demand is measured
-WRITE_MARGIN_US = 2 * MS  # allowed in addition to the slack, from the decision on a call to its write
-DEMAND_HEADROOM = 1.1  # published demand over measured demand, so that an allowance can grow
+WRITE_MARGIN_US = 2 * MS  # time allowed, besides the slack, between the decision on a call and its write
+DEMAND_HEADROOM = 1.1  # ratio of published to measured demand, so that an allowance can grow
 
 
 class CallsInFlight(Protocol):
@@ -45,7 +45,7 @@
     """The permission of one limiter for one more call."""
 
     leased: bool  # whether the call uses the amount beyond the floor
-    time_limit_us: int | None  # upper bound of the timeout; None: the decision module chooses freely
+    time_limit_us: int | None  # upper bound of the call's timeout; None: no such bound
 
 
 class Availability(NamedTuple):
@@ -76,7 +76,7 @@
         self._last_usage: Usage | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """Set the allowance from now on; a floor of None: the limit is removed."""
+        """Set the allowance from now on; a floor of None means that the limit is removed."""
         if floor is None:
             self.removed = True
             return
@@ -115,7 +115,7 @@
         return self.until - self.now_us - self.slack_us - WRITE_MARGIN_US
 
     def capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls may be in flight now; None: the limit is removed."""
+        """Return how many calls may be in flight now, or None if the limit is removed."""
         return None if self.removed else self._capacity()
 
     def _capacity(self) -> int:
@@ -181,13 +181,13 @@
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
         super().__init__(limit, slack_us, processes)
         self.tokens = 0.0
-        self.demand_per_second = 0.0  # moving average
+        self.demand_per_second = 0.0  # moving average of the requests per second
         self._filled_at: int | None = None
-        self._requests = 0  # in the current period
+        self._requests = 0  # number of requests in the current demand period
         self._period_began_at: int | None = None
 
     def set_allowance(self, floor: int | None, amount: int, until: int) -> None:
-        """Set the allowance from now on; a floor of None: the limit is removed."""
+        """Set the allowance from now on; a floor of None means that the limit is removed."""
         if not self.removed:
             self.fill()  # adds the tokens of the old rate up to now
         super().set_allowance(floor, amount, until)
@@ -265,8 +265,8 @@
     def __init__(self, limit: Limit, slack_us: int, processes: int = 1) -> None:
         super().__init__(limit, slack_us, processes)
         self.count = 0
-        self._requests = 0  # in the current period
-        self._previous_requests = 0  # in the previous period
+        self._requests = 0  # number of requests in the current demand period
+        self._previous_requests = 0  # number of requests in the previous demand period
         self._period_began_at = 0
 
     def capacity(self) -> int:
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -28,7 +28,8 @@
     The decision module bounds the number of open RPCs by its memory and limits; `release` removes an entry.
     """
 
-    pool: WorkerPoolClient  # set by `connect`
+    # `connect` sets these two attributes.
+    pool: WorkerPoolClient
     store: StoreClient
 
     def __init__(
--- a/finchcart/node/shutdown.py
+++ b/finchcart/node/shutdown.py
@@ -69,7 +69,7 @@
         self._idle_since: int | None = None
 
     def worker_pool_ready(self) -> None:
-        """Handle the first connection to the worker pool."""
+        """Begin to serve if the node is still starting; called when the worker pool is connected."""
         if self.phase is NodePhase.STARTING:
             self.phase = NodePhase.SERVING
 
--- a/finchcart/node/worker_pool/command_journal.py
+++ b/finchcart/node/worker_pool/command_journal.py
@@ -55,7 +55,7 @@
         self.effect_buffer = effect_buffer
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}
         self.unconfirmed_runs = UnconfirmedRuns(effect_buffer, self._presume_ended)
-        self.settlement_ticket: str | None = None  # of the poll whose answer starts the settlement
+        self.settlement_ticket: str | None = None  # ticket of the poll that starts the settlement
         self._connection = connection
         self._polls = polls
         self._runs = runs
@@ -101,7 +101,7 @@
             self.confirm_before(int(ticket))
 
     def confirm_before(self, ticket: int) -> None:
-        """Forget the commands that were written before the poll with this ticket."""
+        """Forget the commands written before the poll `ticket`: the worker pool has read them."""
         self.unconfirmed = {
             index: command for index, command in self.unconfirmed.items() if command.ticket >= ticket
         }
--- a/finchcart/node/worker_pool/notices.py
+++ b/finchcart/node/worker_pool/notices.py
@@ -44,14 +44,14 @@
         self._runs.run_ended(rpc, outcome, spent_us, result)
 
     def awaiting_call(self, number: int, name: str, body: bytes) -> None:
-        """Handle a run that awaits a call."""
+        """Handle the notice that a run awaits a call; `body` is the body of the call."""
         rpc = self._runs.find_running(name)
         if self._cursor.advance(number) and rpc:
             self._commands.confirm(rpc)
             self._runs.awaiting_call(rpc, number, body)
 
     def command_rejected(self, was_start: bool, name: str) -> None:
-        """Handle a command that the worker pool rejected."""
+        """Handle the notice that the worker pool rejected a command; `was_start`: a start command."""
         rpc = self._runs.find_running(name)
         if rpc is None:
             return
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -1,8 +1,9 @@
 """The process of one node, from its start to its end.
 
-This module sets up signals, logging and threads, and creates the parts of a node in their order. Both
+This module sets up signals, logging and threads, and creates the components of a node in order. Both
 `python -m finchcart` and `finchcart serve` start a node here. The module must never import anything that
-belongs to a fleet: a node that takes part in a fleet passes its participant in through `run_node`.
+belongs to a fleet: the caller of `run_node` passes a function that joins the fleet and returns the
+`FleetParticipant`.
 """
 
 import os
@@ -58,8 +59,8 @@
 def run_node(configure_log: Callable[[], None] = log_as_text, join_fleet: JoinFleet | None = None) -> int:
     """Serve as a node until it has drained; return the exit status of the process.
 
-    `join_fleet(inputs, name)` creates the node's participant in a fleet, or returns None if no fleet is
-    configured. It raises ConfigError if its settings are invalid.
+    `join_fleet(inputs, name)` returns the node's `FleetParticipant`, or None if no fleet is configured. It
+    raises ConfigError if the settings of the fleet are invalid.
     """
     inputs: Inputs = SimpleQueue()  # a queue whose put() is safe to call from a signal handler
     signal_listeners: list[Callable[[Drain | ReloadConfig], None]] = [inputs.put]
--- a/finchcart/protocol/messages.py
+++ b/finchcart/protocol/messages.py
@@ -76,7 +76,7 @@
 
 
 class StoreReply(NamedTuple):
-    """The store's reply to a call."""
+    """The store's reply to the call that the run of the RPC `rpc_name` made."""
 
     rpc_name: str
     outcome: Outcome
--- a/finchcart/settings.py
+++ b/finchcart/settings.py
@@ -162,9 +162,11 @@
 class SettingsOverrides(NamedTuple):
     """The settings that a configuration sets, by typed field, to be applied to other or default settings."""
 
-    node: Mapping[str, Any]  # by field of NodeSettings
-    methods: Mapping[str, Mapping[str, Any]]  # by the position as text, then by field of MethodSettings
-    method_count: int | None  # None: not configured
+    node: Mapping[str, Any]  # values by field of NodeSettings
+    # For each method that is configured on its own, its values by field of MethodSettings. The key is the
+    # method's position in the list of methods, as decimal digits.
+    methods: Mapping[str, Mapping[str, Any]]
+    method_count: int | None  # None: the number of methods is not configured
     per_method: Mapping[str, Any]  # by field of MethodSettings: one value for all, or a tuple with one each
 
     def apply_to(self, base: NodeSettings) -> NodeSettings:
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -233,7 +233,7 @@
 
 
 def reject(instance: int, rpc: str, retry_after: int, do_not_retry: bool) -> str:
-    """Return the line that rejects an RPC, which tells its caller that the RPC never ran."""
+    """Return the line that rejects an RPC; the rejection tells the caller that the RPC never ran."""
     advice = f"\twait={retry_after}" if retry_after else ""
     request = "\tlast=1" if do_not_retry else ""
     return f"BUSY\twho={instance}\tcall={rpc}{advice}{request}"
@@ -250,7 +250,7 @@
 
 
 def degrade(instance: int, rpc: str) -> str:
-    """Return the line that makes a run go on without its call to the dependency."""
+    """Return the line that lets a run continue without its call to the dependency."""
     return f"SKIP\twho={instance}\tcall={rpc}"
 
 
--- a/finchcart/thrift/binary_protocol.py
+++ b/finchcart/thrift/binary_protocol.py
@@ -89,16 +89,16 @@
         return self.data[start : self.position]
 
     def read_integer(self, kind: int) -> int:
-        """Return an integer of type BYTE, I16, I32 or I64."""
+        """Read an integer of type BYTE, I16, I32 or I64."""
         shape = FIXED_SIZE[kind]
         return shape.unpack(self.read_bytes(shape.size))[0]
 
     def read_string(self) -> bytes:
-        """Return a string."""
+        """Read a string."""
         return self.read_bytes(self.read_integer(I32))
 
     def read_count(self) -> int:
-        """Return a number of elements; each takes at least a byte, so the remaining bytes bound it."""
+        """Read a number of elements, at most the remaining bytes, as each element takes at least one byte."""
         count = self.read_integer(I32)
         remaining = len(self.data) - self.position
         if not 0 <= count <= remaining:
@@ -106,9 +106,9 @@
         return count
 
     def read_value(self, kind: int, depth: int = MAX_DEPTH) -> ThriftValue:
-        """Return a value of type `kind`.
+        """Read a value of type `kind`.
 
-        A struct is returned as (number, type) -> value, a map as a list of pairs.
+        A struct is returned as a dict keyed by field number and type, a map as a list of pairs.
         """
         if depth == 0:
             raise ProtocolError("values are nested too deeply")
@@ -129,7 +129,7 @@
         raise ProtocolError(f"unknown value type: {kind}")
 
     def read_struct(self, depth: int = MAX_DEPTH) -> ThriftStruct:
-        """Return a struct, as (number, type) -> value."""
+        """Read a struct; return its values, keyed by the number and type of each field."""
         fields: ThriftStruct = {}
         while True:
             kind = self.read_bytes(1)[0]
--- a/finchcart/thrift/codec.py
+++ b/finchcart/thrift/codec.py
@@ -48,7 +48,7 @@
 # Field numbers of the exceptions that `submit` declares.
 REJECTED_FIELD = 1
 FAILED_FIELD = 2
-MAX_NAME_CHARACTERS = 60  # kept of the name of an unknown method
+MAX_NAME_CHARACTERS = 60  # the name of an unknown method is cut to this length
 
 # Parts of a `submit` message with its fields in the order in which dispatchers write them.
 SUBMIT_HEADER = b"\x80\x01\x00\x01\x00\x00\x00\x06submit"
--- a/tests/pool_double.py
+++ b/tests/pool_double.py
@@ -39,9 +39,10 @@
         self.started_at = harness.now
         self.notices = []
         self.notices_numbered = 0
-        self.runs = {}  # by name
+        self.runs = {}  # all runs by the name of their RPC
         self.active_runs = {}
-        self.results = set()  # (key, result) of all successful runs, including those of a second start
+        # (key, result) of each successful run. An RPC that is started twice may have two results.
+        self.results = set()
 
     def read_command(self, connection, command):
         event = command["event"]
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -77,7 +77,8 @@
     harness.step = step_and_check
     run_randomly(harness, rng)
     running = runs_in_progress_at_end(harness)
-    for limiter in limiters.rpcs:  # at the end exactly the RPCs that may be running are counted
+    # After the last step, a concurrency limiter counts exactly those of its RPCs that may still be running.
+    for limiter in limiters.rpcs:
         counted = sum(limiter in (rpc.counted_by or ()) for rpc in running)
         assert not isinstance(limiter, RpcConcurrencyLimiter) or limiter.count == counted
 
--- a/tests/test_key_leases_in_node.py
+++ b/tests/test_key_leases_in_node.py
@@ -1,4 +1,4 @@
-"""A node whose runs need key leases: the gate in the core, with simulated replicas."""
+"""A node whose runs need key leases: the core starts a run only with a lease from simulated replicas."""
 
 import random
 
