--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -46,7 +46,7 @@
 from finchcart.quota import messages as quota_messages
 from finchcart.quota.inputs import QuotaConfigChanged, UsageReported
 
-FIXED_FIELDS = ("name", "listen", "advertise", "seeds")  # of the block `fleet`; changes need a restart
+FIXED_FIELDS = ("name", "listen", "advertise", "seeds")  # fields of `fleet` whose change needs a restart
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -12,7 +12,7 @@
 
 
 class DecisionChangeLog:
-    """Compares the values in force with those logged last; bounded by the decisions and overrides in force.
+    """Compares the values in force with those logged last; holds at most one value per subject.
 
     Arguments:
         own_subject: the subject of this node.
--- a/finchcart/decisions/control_loop.py
+++ b/finchcart/decisions/control_loop.py
@@ -33,8 +33,8 @@
 
     def run_once(self, now: int) -> None:
         """Run one iteration of the loop."""
-        # Each RPC waits in the host twice, because its arrival and the end of its run are both inputs that the
-        # host must process. The age of the inputs therefore counts twice.
+        # The age of the inputs counts twice, because each RPC waits in the host twice: its arrival and the
+        # end of its run are both inputs that the host must process.
         input_age = self._gauges.input_age
         ingress_delay = max(self._arrivals.ingress_queueing_delay, input_age) + input_age
         self._admission.update(now, ingress_delay)
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -15,9 +15,8 @@
 from finchcart.decisions.units import SECOND
 
 OBJECTIVE_WITHOUT_METHODS = SECOND
-MIN_COLD_SPEED = (
-    0.1  # fraction of the full speed; a slower configured start is implausible and raised to this
-)
+# Fraction of the full speed. A lower configured speed is implausible and is raised to this one.
+MIN_COLD_SPEED = 0.1
 
 
 class Method:
--- a/finchcart/fleet_settings/schema.py
+++ b/finchcart/fleet_settings/schema.py
@@ -41,7 +41,7 @@
     burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # maximum at once with `rate`
     mode: Literal["strict", "loose"] = "strict"
     floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # guaranteed to each node during any failure
-    weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # of this node's share of a strict limit
+    weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # relative share of this node in a strict limit
     counts: Literal["calls", "rpcs"] = "calls"  # calls to the store, or admitted RPCs
     method: Text | UnsetType = UNSET  # with `rpcs`: limit RPCs of this method only
     dispatcher: Text | UnsetType = UNSET  # with `rpcs`: limit RPCs of this dispatcher only
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -1,8 +1,8 @@
 """The client of key leases: acquires a lease before a run is commanded and reports how the run ended.
 
-Owns the attempts and the acquired leases of this process. The client must never answer that a lease is
-granted unless a quorum voted for one and the same attempt, proposed less than `command_timeout` ago. It must
-never begin another attempt for a key before it has released the earlier one.
+`KeyLeaseClient` owns the attempts and the acquired leases of this process. It must never answer that a lease
+is granted unless a quorum voted for one and the same attempt, proposed less than `command_timeout` ago. It
+must never begin another attempt for a key before it has released the earlier one.
 
 Bounds: attempts and acquired leases together number at most `max_leases`; an attempt ends with its answer.
 """
--- a/finchcart/net/listener.py
+++ b/finchcart/net/listener.py
@@ -109,7 +109,7 @@
         SYN.
         """
         self._is_stopped = True
-        with suppress(OSError):  # without the filter, a connection that is made meanwhile may be reset
+        with suppress(OSError):  # if SYNs cannot be ignored, a new connection may be reset
             ignore_new_connections(self.sock)
         self.sock.setblocking(False)
         failures = 0
--- a/finchcart/node/effect_buffer.py
+++ b/finchcart/node/effect_buffer.py
@@ -110,7 +110,7 @@
         return connection
 
     def schedule_after(self, delay: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Schedule `callback(*arguments)` for the first input processed `delay` microseconds from now."""
+        """Schedule `callback(*arguments)` to run before the first input after `delay` microseconds."""
         self.schedule(self.now + delay, callback, *arguments)
 
     def log_fault(self, origin: str, cause: str, text: str) -> None:
--- a/finchcart/node/idempotency.py
+++ b/finchcart/node/idempotency.py
@@ -66,7 +66,7 @@
         return KeyEntry(key, index, digest), False
 
     def store(self, rpc: NodeRpc, ttl_us: int) -> None:
-        """Store the RPC's key for `ttl_us`, its window."""
+        """Store the RPC's key for its window, which lasts `ttl_us` from now."""
         entry = entry_of(rpc)
         if entry.index != rpc.index:
             rpc.key_entry = entry = KeyEntry(entry.key, rpc.index, entry.digest)
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -24,7 +24,7 @@
 
 
 class CallsInFlight(Protocol):
-    """The source of the number of calls in flight, which is the store client."""
+    """The interface of the store client through which limiters read the number of calls in flight."""
 
     def in_flight(self, leased: bool) -> int:
         """Return the number of calls beyond the floor of the fleet limit, or of those within the floor."""
--- a/finchcart/node/shutdown.py
+++ b/finchcart/node/shutdown.py
@@ -69,7 +69,7 @@
         self._idle_since: int | None = None
 
     def worker_pool_ready(self) -> None:
-        """Begin to serve if the node is still starting; called when the worker pool is connected."""
+        """Begin to serve after the first contact with the worker pool, unless a drain has begun."""
         if self.phase is NodePhase.STARTING:
             self.phase = NodePhase.SERVING
 
--- a/finchcart/simulator/codec.py
+++ b/finchcart/simulator/codec.py
@@ -295,6 +295,6 @@
 
 
 def instance_failed(instance: int, error: Exception) -> str:
-    """Return the line that reports that an instance has failed and ignores all further events."""
+    """Return the line that reports a failed instance, which ignores all further events."""
     text = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH].replace("\n", " ")
     return f"BROKEN\twho={instance}\twhat={text}"
