--- a/finchcart/node/arrivals.py
+++ b/finchcart/node/arrivals.py
@@ -24,7 +24,7 @@
         self.not_before = 0  # the earliest time at which the batch can have reached the machine
 
     def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
-        """Convert an RPC's timestamp to its time of arrival, or None if invalid; see `FrontendHost`."""
+        """Return the time of arrival for an RPC's timestamp, or None if it is invalid; see `FrontendHost`."""
         now = self._effect_buffer.now
         received_at = min(self.received_at, now)
         oldest = now - late_read_us
--- a/finchcart/node/core.py
+++ b/finchcart/node/core.py
@@ -248,7 +248,7 @@
         return self.port.shed_level
 
     def read_arrival(self, timestamp: int, late_read_us: int) -> Arrival | None:
-        """Convert an RPC's timestamp to its time of arrival, or None if invalid; see `FrontendHost`."""
+        """Return the time of arrival for an RPC's timestamp, or None if it is invalid; see `FrontendHost`."""
         return self._arrivals.read_arrival(timestamp, late_read_us)
 
     def unix_now(self) -> int:
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -121,7 +121,7 @@
         return [rpc for rpc in self.rpcs.values() if rpc.is_running]
 
     def longest_run_us(self, rpc: NodeRpc) -> int:
-        """Return how long an unconfirmed run counts as running: no caller waits beyond this deadline."""
+        """Return the method's deadline: after this time, no caller waits for an unconfirmed run."""
         return self.methods[rpc.method].deadline_us
 
     def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
