--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -28,7 +28,8 @@
     The decision module bounds the number of open RPCs by its memory and limits; `release` removes an entry.
     """
 
-    pool: WorkerPoolClient  # set by `connect`
+    # `connect` sets these two attributes.
+    pool: WorkerPoolClient
     store: StoreClient
 
     def __init__(
@@ -120,7 +121,7 @@
         return [rpc for rpc in self.rpcs.values() if rpc.is_running]
 
     def longest_run_us(self, rpc: NodeRpc) -> int:
-        """Return how long an unconfirmed run counts as running: nobody waits for it beyond its deadline."""
+        """Return the method's deadline: after this time, no caller waits for an unconfirmed run."""
         return self.methods[rpc.method].deadline_us
 
     def answer_before_end(self, rpc: NodeRpc, outcome: Outcome, result: bytes) -> None:
