--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -81,7 +81,7 @@
         self.acceptor = Acceptor(quota, now)
         self.candidacy: Candidacy | None = None
         self.next_candidacy_at = now + quota.startup_quiet_period + random.randrange(quota.election_retry)
-        self.highest_term = 0  # highest number of a ballot or term in any message
+        self.highest_term = 0  # highest number of any ballot or term that this planner has seen
         self.is_leader = False
         self.term = 0
         self.leads_until = 0
@@ -119,7 +119,7 @@
         return self.is_leader and now >= self.leads_until
 
     def on_tick(self, now: int) -> None:
-        """Start a candidacy if no leader is known, or renew this planner's lease."""
+        """Renew this planner's lease if it leads, or start a candidacy if its vote is free."""
         if now < self.next_candidacy_at:
             return
         if self.is_leader:
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -66,7 +66,9 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.planners = [parse_address(address) for address in quota.planners]
-        self.planner_index = random.randrange(max(1, len(self.planners)))  # planner that gets the requests
+        self.planner_index = random.randrange(
+            max(1, len(self.planners))
+        )  # of the planner that gets the requests
         self.sequence = 0
         self.pending: dict[int, PendingRequest] = {}  # by sequence
         self.next_request_at = now
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -110,7 +110,7 @@
         return tuple(limit for limit in self.limits if not limit.is_strict)
 
     def timing_text(self) -> str:
-        """Return, as text, the settings that must be equal in all planners."""
+        """Return, as text, the timing settings that must be equal in all planners."""
         return f"{self.lease_duration} {self.leader_lease_duration} {self.drift} {self.max_processes}"
 
     def widened(self, duration: int) -> int:
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -39,8 +39,8 @@
 class Prepare(Struct, array_like=True, frozen=True, tag=20):
     """Asks an acceptor to promise that it will accept no smaller ballot.
 
-    `timing_digest` is a digest of the durations in the proposer's configuration. No bound would hold between
-    planners whose durations differ, so these planners don't vote for each other.
+    `timing_digest` is a digest of the proposer's timing settings, see `QuotaConfig.timing_text`. The bounds
+    would not hold between planners whose timing settings differ, so these don't vote for each other.
     """
 
     ballot: Ballot
@@ -62,7 +62,7 @@
 
 
 class Accept(Struct, array_like=True, frozen=True, tag=23):
-    """A vote for the lease proposed with that ballot."""
+    """Votes for the lease that was proposed with this ballot."""
 
     ballot: Ballot
 
