--- a/finchcart/fault_injection/quota/__init__.py
+++ b/finchcart/fault_injection/quota/__init__.py
@@ -1,1 +1,1 @@
-"""The limits of the whole fleet under faults, on the virtual clock."""
+"""Simulation of fleet-wide limits under faults, on a virtual clock."""
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -1,6 +1,7 @@
-"""Seeded runs of nodes that share a limit: faults of all kinds by chance, the bound checked at every step.
+"""Seeded runs of nodes that share a limit: injects random faults and checks the limit's bound at every step.
 
-Owns the choice of faults and what must hold once they are over. A seed that fails replays identically.
+This module owns the choice of faults and the checks that follow after the last fault. A run depends only on
+its seed, so a seed that fails can be replayed identically.
 """
 
 from collections.abc import Sequence
@@ -13,19 +14,19 @@
 from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.quota.limits import SECOND, Limit, Mode, QuotaConfig, Unit
 
-ELECTION_US = 12 * SECOND  # by then a planner shares out
-STOPS_OVER_US = 30 * SECOND
-CALM_US = 5 * SECOND
-LEAST_USE = 0.5  # of the limit, where all want it
-ELSEWHERE_DEMAND = 5
-ELSEWHERE_US = 20 * SECOND
-MOST_DEMAND = 40
+ELECTION_END_US = 12 * SECOND  # a planner leads and grants leases by this time
+RECOVERY_US = 30 * SECOND  # the longest that a fault stops a process
+STABLE_PERIOD_US = 5 * SECOND
+MIN_UTILIZATION = 0.5  # fraction of the limit, while every node's demand reaches the limit
+SECOND_INSTANCE_DEMAND = 5
+SECOND_INSTANCE_US = 20 * SECOND
+MAX_INITIAL_DEMAND = 40
 
-Pairs = Sequence[tuple[str | None, str | None]]
+Links = Sequence[tuple[str | None, str | None]]
 
 
 class QuotaFault(StrEnum):
-    """What a fault does."""
+    """Kinds of faults."""
 
     STOP = "stop"
     KILL = "kill"
@@ -40,10 +41,11 @@
     ONE_BY_ONE = "one by one"
     STOP_BEFORE_WRITE = "write"
     OVERSTATED_DEMAND = "lie"
-    NAME_ELSEWHERE = "again elsewhere"
+    DUPLICATE_NAME = "again elsewhere"
     REPLACE = "replace"
 
 
+# A kind that is listed twice is chosen twice as often.
 KINDS = (
     QuotaFault.STOP,
     QuotaFault.STOP,
@@ -60,13 +62,13 @@
     QuotaFault.ONE_BY_ONE,
     QuotaFault.STOP_BEFORE_WRITE,
     QuotaFault.OVERSTATED_DEMAND,
-    QuotaFault.NAME_ELSEWHERE,
+    QuotaFault.DUPLICATE_NAME,
     QuotaFault.REPLACE,
 )
 
 
 class QuotaFaultRun(QuotaSimulation):
-    """One seed of faults by chance."""
+    """A run of one seed, with random faults."""
 
     def __init__(
         self,
@@ -83,35 +85,37 @@
         self.node_names = [process.name for process in self.nodes]
 
     def play(self, seconds: int = 60) -> str:
-        """Make faults for so long; return the digest of all that happened."""
+        """Inject faults for `seconds`, check the recovery, and return the digest of all effects."""
         for name in self.processes:
             self.start(name)
         for name in self.node_names:
-            self.processes[name].demand = self.random.randrange(0, MOST_DEMAND)
-        self.run(ELECTION_US, self.after_step)
+            self.processes[name].demand = self.random.randrange(0, MAX_INITIAL_DEMAND)
+        self.run(ELECTION_END_US, self.after_step)
         self.phase = "faults"
         end = self.now + seconds * SECOND
         self.schedule(self.now, self._inject_fault, end)
         self.run(end, self.after_step)
         self.network.clear_rules(self.now)
         self.phase = "coming back"
-        self.run(end + STOPS_OVER_US, self.after_step)
-        self.network.clear_rules(self.now)  # a rule of a pair may have kept what then held for all
-        # Then all is shared again: the demand of all is met as far as the limit goes.
+        self.run(end + RECOVERY_US, self.after_step)
+        self.network.clear_rules(self.now)  # a rule of one link may have kept values of a rule for all links
+        # Without faults, the whole limit is leased again and is used as far as the demand reaches.
         for name in self.node_names:
             self.processes[name].demand = self.limit.amount
             self.processes[name].overstates_demand = False
         self.run(self.now + self.quota.recovery_bound() + self.quota.rebalancing_bound(), self.after_step)
         self.phase = "calm"
-        self.run(self.now + CALM_US, self.after_step)
-        self._check_use()
+        self.run(self.now + STABLE_PERIOD_US, self.after_step)
+        self._check_utilization()
         return self.trace.hexdigest()
 
-    def _check_use(self) -> None:
+    def _check_utilization(self) -> None:
         used, wanted = self.use["calm"]
         use = used / max(1, wanted)
-        if use < LEAST_USE and self.mode != SharingMode.STATIC:
-            raise InvariantError(f"seed {self.seed}: only {use:.2f} of the limit is used where all want it")
+        if use < MIN_UTILIZATION and self.mode != SharingMode.STATIC:
+            raise InvariantError(
+                f"seed {self.seed}: only {use:.2f} of the limit is used while every node's demand reaches it"
+            )
 
     # ---- faults
 
@@ -122,9 +126,9 @@
             QuotaFault.STOP,
             QuotaFault.KILL,
             QuotaFault.STOP_BEFORE_WRITE,
-            QuotaFault.NAME_ELSEWHERE,
+            QuotaFault.DUPLICATE_NAME,
         ):
-            running = self._running()
+            running = self._running_names()
             if running:
                 self._inject_process_fault(kind, running)
         elif kind in (QuotaFault.CUT, QuotaFault.ONE_WAY_CUT, QuotaFault.LOSS, QuotaFault.DELAY):
@@ -136,7 +140,7 @@
         if self.now < end:
             self.schedule(self.now + self.random.randrange(200, 4000) * 1000, self._inject_fault, end)
 
-    def _running(self) -> list[str]:
+    def _running_names(self) -> list[str]:
         return [name for name, process in self.processes.items() if process.machine and not process.stopped]
 
     def _seconds_from_now(self, low: int, high: int) -> int:
@@ -146,11 +150,13 @@
         if kind == QuotaFault.STOP:
             name = self.random.choice(running)
             self.stop(name)
-            self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, self.processes[name].life)
+            self.schedule(
+                self._seconds_from_now(1, 30), self._resume_unless_restarted, name, self.processes[name].life
+            )
         elif kind == QuotaFault.KILL:
             name = self.random.choice(running)
             self.kill(name)
-            self.schedule(self._seconds_from_now(0, 8), self._start_again, name)
+            self.schedule(self._seconds_from_now(0, 8), self._start_unless_running, name)
         else:
             self._stop_before_write(kind, running)
 
@@ -161,9 +167,9 @@
         if not process.machine or process.stopped:
             return
         self.stop_before_write(name)
-        self.schedule(self._seconds_from_now(1, 30), self._resume_life, name, process.life)
-        if kind == QuotaFault.NAME_ELSEWHERE:
-            self.schedule(self.now + SECOND, self._start_elsewhere, name)
+        self.schedule(self._seconds_from_now(1, 30), self._resume_unless_restarted, name, process.life)
+        if kind == QuotaFault.DUPLICATE_NAME:
+            self.schedule(self.now + SECOND, self._start_second_instance, name)
 
     def _inject_planner_fault(self, kind: QuotaFault, until: int) -> None:
         if kind == QuotaFault.LEADER:
@@ -171,7 +177,7 @@
         elif kind == QuotaFault.ALL_PLANNERS:
             for name in self.planner_names:
                 self.kill(name)
-                self.schedule(self._seconds_from_now(0, 4), self._start_again, name)
+                self.schedule(self._seconds_from_now(0, 4), self._start_unless_running, name)
         elif kind == QuotaFault.TWO_PLANNERS:
             for name in self.planner_names[:2]:
                 self.schedule(self.now, self._restart, name, until - self.now)
@@ -180,7 +186,7 @@
                 self.schedule(self.now + number * 700_000, self._restart, name, 100_000)
 
     def _inject_leader_fault(self, until: int) -> None:
-        running = self._running()
+        running = self._running_names()
         leaders = [
             name
             for name in self.planner_names
@@ -191,10 +197,10 @@
         leader = leaders[0]
         if self.random.random() < 0.5:
             self.kill(leader)
-            self.schedule(until, self._start_again, leader)
+            self.schedule(until, self._start_unless_running, leader)
         else:
             self.stop(leader)
-            self.schedule(until, self._resume_life, leader, self.processes[leader].life)
+            self.schedule(until, self._resume_unless_restarted, leader, self.processes[leader].life)
 
     def _change_nodes(self, kind: QuotaFault) -> None:
         if kind == QuotaFault.DEMAND:
@@ -217,58 +223,58 @@
             rule = LinkRuleChanges(delay=1000, jitter=jitter)
             self._set_rule([(None, None)], until, rule, LinkRuleChanges(delay=0, jitter=0))
         else:
-            some = self.random.sample(list(self.processes), self.random.randrange(1, len(self.processes)))
-            rest = [name for name in self.processes if name not in some]
-            pairs = [(origin, target) for origin in some for target in rest]
+            group = self.random.sample(list(self.processes), self.random.randrange(1, len(self.processes)))
+            rest = [name for name in self.processes if name not in group]
+            links = [(origin, target) for origin in group for target in rest]
             if kind == QuotaFault.CUT:
-                pairs += [(target, origin) for origin in some for target in rest]
-            self._set_rule(pairs, until, LinkRuleChanges(cut=True), LinkRuleChanges(cut=False))
+                links += [(target, origin) for origin in group for target in rest]
+            self._set_rule(links, until, LinkRuleChanges(cut=True), LinkRuleChanges(cut=False))
 
     def _set_rule(
-        self, pairs: Pairs, until: int, rule: LinkRuleChanges, reset: LinkRuleChanges | None
+        self, links: Links, until: int, rule: LinkRuleChanges, reset: LinkRuleChanges | None
     ) -> None:
-        """Change the rules of these links, and change them to `reset` then."""
-        for origin, target in pairs:
+        """Apply `rule` to these links now, and `reset` at the time `until`."""
+        for origin, target in links:
             self.network.set_rule(self.now, origin, target, rule)
         if reset:
-            self.schedule(until, self._set_rule, pairs, 0, reset, None)
+            self.schedule(until, self._set_rule, links, 0, reset, None)
 
-    def _resume_life(self, name: str, life: int) -> None:
+    def _resume_unless_restarted(self, name: str, life: int) -> None:
         process = self.processes[name]
         if process.life == life and process.stopped:
             self.resume(name)
 
     def _restart(self, name: str, after: int) -> None:
         self.kill(name)
-        self.schedule(self.now + after, self._start_again, name)
+        self.schedule(self.now + after, self._start_unless_running, name)
 
-    def _start_again(self, name: str) -> None:
+    def _start_unless_running(self, name: str) -> None:
         if self.processes[name].machine is None:
             self.start(name)
 
-    def _start_elsewhere(self, name: str) -> None:
-        """Start a node's name at another address, with another clock, for a while."""
-        other_name = name + "b"
-        other = self.processes.get(other_name)
-        if other is None:
+    def _start_second_instance(self, name: str) -> None:
+        """Start a second node with the same name at another address for a limited time."""
+        second_name = name + "b"
+        second = self.processes.get(second_name)
+        if second is None:
             address = f"10.1.0.{len(self.processes)}:7401"
             clock_rate = 1 + self.random.choice([-1, 1]) * self.drift
-            other = QuotaProcess(other_name, address, clock_rate=clock_rate, clock_origin=77)
-            other.demand = ELSEWHERE_DEMAND
-            self.add_process(other)
+            second = QuotaProcess(second_name, address, clock_rate=clock_rate, clock_origin=77)
+            second.demand = SECOND_INSTANCE_DEMAND
+            self.add_process(second)
         running = sum(node.machine is not None for node in self.nodes)
-        if other.machine is None and running < self.quota.max_processes:
-            self.start(other_name)
-            self.schedule(self.now + ELSEWHERE_US, self.kill, other_name)
+        if second.machine is None and running < self.quota.max_processes:
+            self.start(second_name)
+            self.schedule(self.now + SECOND_INSTANCE_US, self.kill, second_name)
 
 
 @dataclass(frozen=True)
 class QuotaSeedResult:
-    """What a seed came to."""
+    """The result of a run of one seed."""
 
-    breach: str | None  # what did not hold
-    worst: float  # most in hand, or the fullest bucket
-    remainder: int  # most that stopped processes wrote too late
+    breach: str | None  # the invariant that was violated
+    worst: float  # most calls in progress, or the highest level of the rate bucket
+    remainder: int  # most calls in progress that stopped processes wrote too late
     steps: int
     use: dict[str, list[float]]  # phase -> [used, wanted]
     limit: int
@@ -281,7 +287,7 @@
     seconds: int = 60,
     drift: float | None = None,
 ) -> QuotaSeedResult:
-    """Play one seed."""
+    """Run one seed and return its result."""
     run = QuotaFaultRun(seed, mode=mode, per=per, drift=drift)
     breach = None
     try:
@@ -293,10 +299,10 @@
 
 
 def seconds_to_follow_demand(mode: str, holders: int = 16) -> float | None:
-    """Return how long a jump of demand, from all nodes to one, takes to be followed.
+    """Return how many seconds the sharing takes to follow when all demand moves to one node.
 
-    Counted are seconds until nine tenths of what an oracle would give that node are in hand; None: not within
-    20 s.
+    The time ends when the node has nine tenths of the calls in progress that an ideal allocation would give
+    it. The result is None if that takes more than 20 s.
     """
     limit_mode: Mode = "loose" if mode == SharingMode.LOOSE else "strict"
     floor = 0 if limit_mode == "loose" else 1
@@ -313,10 +319,10 @@
         node.demand = 0
     node = nodes[3]
     node.demand = fleet.limit.amount
-    began = fleet.now
-    enough = 0.9 * min(node.demand, fleet.limit.shareable(fleet.quota.max_processes))
-    while fleet.now < began + 20 * SECOND:
+    started_at = fleet.now
+    target_calls = 0.9 * min(node.demand, fleet.limit.shareable(fleet.quota.max_processes))
+    while fleet.now < started_at + 20 * SECOND:
         fleet.run(fleet.now + 50_000, fleet.after_step)
-        if len(node.calls) >= enough:
-            return (fleet.now - began) / SECOND
+        if len(node.calls) >= target_calls:
+            return (fleet.now - started_at) / SECOND
     return None
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -1,7 +1,8 @@
-"""Nodes that share a limit, on the virtual clock: the bounds of the limit held against the truth.
+"""Simulates nodes that share a limit on a virtual clock, and checks the limit's bound at the store.
 
-Owns the clocks of the processes, which drift apart, the calls that nodes make through the node's own
-limiters, and the count of those in hand at the store. It must never take a process's word for what it uses.
+This module owns the clocks of the processes, which drift apart, the calls that nodes make through a node's
+real limiters, and the count of calls in progress at the store. It must never rely on the usage that a
+process reports.
 """
 
 from random import Random
@@ -29,8 +30,8 @@
 TICK_US = 100_000
 LATENCY_US = 300
 FOREVER_US = 10**15
-CALL_US = 300_000  # a call, on average,
-LEAST_CALL_US = 1000  # and at least
+MEAN_CALL_US = 300_000
+MIN_CALL_US = 1000
 LIMIT_AMOUNT = 40
 RATE_BURST = 20
 OVERSTATED_DEMAND = 10**6
@@ -40,8 +41,9 @@
 class QuotaSimulation(ProcessSimulation[QuotaProcess]):
     """Planners p0, p1, ... and nodes n0, n1, ... that share one limit.
 
-    `per` is what is limited, "in_hand" or "rate"; `drift` is by how much clocks may be off, the stated part
-    where it is None. `after_step` raises an `InvariantError` where more than the bound is in hand.
+    `per` selects what is limited: calls in progress ("in_hand") or calls per second ("rate"). `drift` is the
+    largest relative error of a clock's rate; None stands for the configured drift. `after_step` raises an
+    `InvariantError` if the calls at the store exceed the bound.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
             clock_rate = 1 + self.random.choice([-1, 0, 1]) * self.drift
             clock_origin = self.random.randrange(10**9)
             self.add_process(QuotaProcess(name, address, clock_rate=clock_rate, clock_origin=clock_origin))
-        self.call_us = CALL_US
+        self.call_us = MEAN_CALL_US
         self.trace = xxhash.xxh3_64()
         self._init_statistics()
 
@@ -87,49 +89,49 @@
         self.use: dict[str, list[float]] = {}  # phase -> [used, wanted], unit-microseconds
         self.in_hand = 0
         self.counted_at = self.now
-        self.worst: float = 0  # most in hand, or the fullest bucket
-        self.remainder = 0  # most that stopped processes wrote too late
-        self.level = 0.0  # of a bucket that empties at the rate
+        self.worst: float = 0  # most calls in progress, or the highest level of the rate bucket
+        self.remainder = 0  # most calls in progress that stopped processes wrote too late
+        self.level = 0.0  # of a leaky bucket that drains at the limit's rate
         self.level_at = self.now
-        self.taken = 0  # at a rate, since the last step
+        self.taken = 0  # calls admitted under a rate limit since the last step
 
     # ---- processes
 
     @property
     def nodes(self) -> list[QuotaProcess]:
-        """The nodes, whether they run or not."""
+        """All nodes, running or not."""
         return [process for process in self.processes.values() if process.is_node]
 
     def start(self, name: str) -> None:
         """Start the process of that name."""
         process = self.begin_life(name)
         process.pending_call = None
-        own_time = self.clock(process)
+        local_now = self.clock(process)
         random = Random(f"{self.seed} {name} {process.life}")
         if process.is_node:
             process.limiter = self._make_limiter()
-            process.limiter.now_us = own_time
-            process.machine = self._make_node(process, random, own_time)
+            process.limiter.now_us = local_now
+            process.machine = self._make_node(process, random, local_now)
         else:
             process.machine = self.factories.planner(
-                process.address, FLEET_NAME, self.quota, random, own_time
+                process.address, FLEET_NAME, self.quota, random, local_now
             )
         self.schedule(self.now + self.random.randrange(TICK_US), self.tick, name, process.life)
 
     def _make_limiter(self) -> CallConcurrencyLimiter | RateLimiter:
-        kind = RateLimiter if self.is_rate else CallConcurrencyLimiter
-        return kind(self.limit, self.quota.write_slack, self.quota.max_processes)
+        limiter_type = RateLimiter if self.is_rate else CallConcurrencyLimiter
+        return limiter_type(self.limit, self.quota.write_slack, self.quota.max_processes)
 
-    def _make_node(self, process: QuotaProcess, random: Random, own_time: int) -> object:
+    def _make_node(self, process: QuotaProcess, random: Random, local_now: int) -> object:
         if self.mode == SharingMode.LOOSE:
-            return self._make_member(process, random, own_time)
+            return self._make_member(process, random, local_now)
         if self.mode == SharingMode.STRICT:
-            return self.factories.lease_holder(process.name, FLEET_NAME, self.quota, random, own_time)
+            return self.factories.lease_holder(process.name, FLEET_NAME, self.quota, random, local_now)
         parts = len(self.nodes) if self.mode == SharingMode.STATIC else 1
         process.limiter.set_allowance(self.limit.amount // parts, 0, FOREVER_US)
         return IdleMachine()
 
-    def _make_member(self, process: QuotaProcess, random: Random, own_time: int) -> Member:
+    def _make_member(self, process: QuotaProcess, random: Random, local_now: int) -> Member:
         seeds = [node.address for node in self.nodes][:SEED_MEMBERS]
         member = Member(
             process.name,
@@ -139,30 +141,30 @@
             self.membership_config,
             random,
             WALL_CLOCK_MS + self.now // 1000,
-            own_time,
+            local_now,
         )
-        member.piggyback_clients.append(self.factories.local_limits(self.quota, own_time))
+        member.piggyback_clients.append(self.factories.local_limits(self.quota, local_now))
         return member
 
     def kill(self, name: str) -> None:
-        """End the process; its connections close, so that the store abandons its calls."""
+        """Kill the process; its connections close, so the store abandons its calls."""
         super().kill(name)
         process = self.processes[name]
         process.pending_call = None
         process.calls = []
 
     def stop_before_write(self, name: str) -> None:
-        """Stop a node after its last look at the clock, before a call that was allowed is written."""
+        """Stop a node after it admitted a call and read the clock, before it writes the call."""
         process = self.processes[name]
         if not self.is_rate and self.mode == SharingMode.STRICT and process.demand > 0:
             process.limiter.now_us = self.clock(process)
-            given = process.limiter.try_acquire(process)
-            if given and given[0]:
-                process.pending_call = min(self._draw_call_us(), int(given[1] / process.clock_rate))
+            acquired = process.limiter.try_acquire(process)
+            if acquired and acquired[0]:
+                process.pending_call = min(self._draw_call_us(), int(acquired[1] / process.clock_rate))
         self.stop(name)
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on; what it had decided on is written first."""
+        """Resume a stopped process; it first writes the call that it had admitted."""
         process = self.processes[name]
         if process.pending_call is not None:
             process.calls.append(StoreCall(self.now + process.pending_call, True, True))
@@ -170,37 +172,37 @@
         super().resume(name)
 
     def clock(self, process: QuotaProcess) -> int:
-        """Return what the process's own clock reads."""
+        """Return the time on the process's own clock."""
         return process.clock_origin + int((self.now - process.clock_origin) * process.clock_rate)
 
     def tick_interval(self, process: QuotaProcess) -> int:
-        """Return a tick of the process's clock in true time."""
+        """Return the process's tick interval, converted to simulation time."""
         return int(TICK_US / process.clock_rate)
 
     def after_tick(self, process: QuotaProcess) -> None:
-        """Let a node make its calls."""
+        """Make the calls of a running node."""
         if process.is_node and not process.stopped:
             self._make_calls(process)
 
     def handle_effect(self, process: QuotaProcess, effect: tuple) -> None:
-        """Hand a new allowance to the limiter."""
+        """Record the effect, and apply a new allowance to the limiter."""
         self.trace.update(f"{self.now} {process.name} {effect}".encode())
         if isinstance(effect, LimitAllowance):
             process.limiter.now_us = self.clock(process)
             process.limiter.set_allowance(effect.floor, effect.amount, effect.until)
             self._make_calls(process)
 
-    # ---- calls, by the node's own limiter
+    # ---- calls, admitted by the node's limiter
 
     def _draw_call_us(self) -> int:
-        return int(self.random.expovariate(1 / self.call_us)) + LEAST_CALL_US
+        return int(self.random.expovariate(1 / self.call_us)) + MIN_CALL_US
 
     def _make_calls(self, process: QuotaProcess) -> None:
         process.limiter.now_us = self.clock(process)
         if process.stopped or process.machine is None:
             return
         if self.is_rate:
-            self._attempt_at_rate(process)
+            self._make_rate_limited_calls(process)
         else:
             self._fill_calls(process)
         if not process.reporting:
@@ -212,13 +214,13 @@
         """Make as many calls as the node wants and its limiter allows."""
         process.calls = [call for call in process.calls if call.ends_at > self.now]
         for _ in range(max(0, process.demand - len(process.calls))):
-            given = process.limiter.try_acquire(process)
-            if given is None:
+            acquired = process.limiter.try_acquire(process)
+            if acquired is None:
                 break
-            leased, longest = given
+            leased, max_duration = acquired
             duration = self._draw_call_us()
-            if longest is not None:
-                duration = min(duration, int(longest / process.clock_rate))
+            if max_duration is not None:
+                duration = min(duration, int(max_duration / process.clock_rate))
             process.calls.append(StoreCall(self.now + duration, leased, False))
             self.schedule(self.now + duration, self._end_call, process)
 
@@ -226,8 +228,8 @@
         if not self.is_rate:
             self._make_calls(process)
 
-    def _attempt_at_rate(self, process: QuotaProcess) -> None:
-        """Attempt `demand` calls a second; what is not allowed is gone."""
+    def _make_rate_limited_calls(self, process: QuotaProcess) -> None:
+        """Attempt `demand` calls per second; attempts that the limiter refuses are not repeated."""
         before = self.now if process.attempted_at is None else process.attempted_at
         process.attempted_at = self.now
         owed = process.owed_attempts + process.demand * (self.now - before) / SECOND
@@ -242,7 +244,7 @@
                 self.taken += 1
 
     def _report_usage(self, process: QuotaProcess) -> None:
-        """Tell the node's state machine what the limiter counted."""
+        """Report the limiter's usage to the node's state machine."""
         if self.mode not in (SharingMode.STRICT, SharingMode.LOOSE):
             return
         overstated = OVERSTATED_DEMAND if process.overstates_demand else 0
@@ -255,29 +257,29 @@
         report = UsageReported(self.limit.name, *usage)
         self.feed(process.name, PiggybackInput(report) if self.mode == SharingMode.LOOSE else report)
 
-    # ---- the truth
+    # ---- counts at the store, and the bounds
 
     def count(self) -> tuple[int, int]:
-        """Return the calls in hand at the store, and those of them that stopped processes wrote too late."""
+        """Return the number of calls in progress at the store, and the number of them written late."""
         calls = [
             call for process in self.processes.values() for call in process.calls if call.ends_at > self.now
         ]
         return len(calls), sum(call.written_late for call in calls)
 
     def overshoot_bound(self) -> int:
-        """Return what may be in hand beyond the limit, whatever fails."""
+        """Return by how much calls in progress may exceed the limit under any faults."""
         if self.mode == SharingMode.LOOSE:
             return self.quota.loose_overshoot_bound(self.limit, len(self.nodes))
         return 0 if self.mode == SharingMode.STRICT else FOREVER_US
 
     def bounded_amount(self) -> int:
-        """Return the limit and what may come beyond it, whatever fails."""
+        """Return the limit plus the amount by which it may be exceeded under any faults."""
         if self.mode == SharingMode.LOOSE:
             return self.limit.amount + self.overshoot_bound()
         return self.limit.amount
 
     def after_step(self, _: object) -> None:
-        """Count what was used and wanted since the last step, and check the bound."""
+        """Add usage and demand since the last step to the statistics, and check the bound."""
         span = self.now - self.counted_at
         self.counted_at = self.now
         demand = sum(
@@ -295,20 +297,20 @@
 
     def _check_bucket(self) -> None:
         self.worst = max(self.worst, self.level)
-        most = self.limit.burst * self.bounded_amount() / self.limit.amount
+        max_level = self.limit.burst * self.bounded_amount() / self.limit.amount
         checked = self.mode in (SharingMode.STRICT, SharingMode.LOOSE)
-        if checked and self.level > most + 1e-6:
+        if checked and self.level > max_level + 1e-6:
             raise InvariantError(
-                f"seed {self.seed}, {self.now / SECOND:.3f} s: {self.level:.1f} at once of "
-                f"{most} and {self.bounded_amount()} a second"
+                f"seed {self.seed}, {self.now / SECOND:.3f} s: the bucket level {self.level:.1f} exceeds "
+                f"{max_level} at a rate of {self.bounded_amount()} per second"
             )
 
     def _check_in_hand(self) -> None:
-        self.in_hand, late = self.count()
-        self.worst = max(self.worst, self.in_hand - late)
-        self.remainder = max(self.remainder, late)
-        if self.in_hand - late > self.limit.amount + self.overshoot_bound():
-            held = {
+        self.in_hand, late_calls = self.count()
+        self.worst = max(self.worst, self.in_hand - late_calls)
+        self.remainder = max(self.remainder, late_calls)
+        if self.in_hand - late_calls > self.limit.amount + self.overshoot_bound():
+            usage_by_process = {
                 name: (
                     len(process.calls),
                     process.amount,
@@ -318,6 +320,7 @@
                 if process.calls
             }
             raise InvariantError(
-                f"seed {self.seed}, {self.now / SECOND:.3f} s: {self.in_hand} calls in hand of "
-                f"{self.limit.amount}: {held}"
+                f"seed {self.seed}, {self.now / SECOND:.3f} s: {self.in_hand} calls in progress exceed the "
+                f"limit of {self.limit.amount}; (calls, leased amount, lease left in ms) by process: "
+                f"{usage_by_process}"
             )
--- a/finchcart/fault_injection/quota/state_space.py
+++ b/finchcart/fault_injection/quota/state_space.py
@@ -1,10 +1,10 @@
-"""A bounded exhaustive search of elections and grants: every placing of a few faults.
+"""Exhaustive search of elections and lease grants, with a bounded number of faults and steps.
 
-Owns what may happen in a step. Time goes in steps; in each, all processes tick and all messages arrive,
-until none is under way. Before each step any one fault may happen: a process is restarted, stops or goes
-on; what goes from one to another is delayed by some steps, or arrives now and once more later, or is lost;
-a holder's demand changes. Clocks drift apart by the stated part, each way that `DRIFTS` names. All placings
-of a bounded number of faults within a bounded number of steps are tried. The frame of the search is in
+This module owns the faults and the effect of a step. Time advances in steps. In each step, all processes tick
+and messages are delivered until none is in flight. Before each step, one fault may happen: a process
+restarts, stops or resumes; the messages from one process to another are delayed by some steps, duplicated or
+lost; or a holder's demand changes. Clocks drift apart by the configured drift, in the combinations of
+`DRIFTS`. The search tries every placement of the faults in the steps. The search algorithm itself is in
 virtual_time/state_space.py.
 """
 
@@ -23,6 +23,7 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 
 STEP_US = 500_000
+# A holder's lease lasts longer than the leader's lease.
 QUOTA = QuotaConfig(
     limits=(Limit("store", 4),),
     planners=("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"),
@@ -33,19 +34,21 @@
     leader_lease_duration=2 * STEP_US,
     max_step=1.0,
     reserve=0.0,
-)  # grants outlive a lease
+)
 PLANNERS = ("p0", "p1", "p2")
 HOLDERS = ("n0", "n1")
 NAMES = PLANNERS + HOLDERS
-FIRST_DEMAND = {"n0": 4, "n1": 2}
+INITIAL_DEMAND = {"n0": 4, "n1": 2}
 DEMANDS = (0, 4)
-FOREVER_STEPS = 99
-DELAYS = (1, 3, FOREVER_STEPS)  # steps that a message is delayed by
-TWICE_DELAY = 2  # steps after which a message arrives once more
-ELECTION_STEPS = 9  # a planner leads by then
-MOST_INPUTS_A_STEP = 400
-NOT_STATE = ("counts", "effects", "quota", "random", "others", "planners")  # don't change what a machine does
-# By process, or by all of its kind; 1: as fast as allowed.
+LOST_STEPS = 99
+DELAYS = (1, 3, LOST_STEPS)  # steps; LOST_STEPS drops the message
+DUPLICATE_DELAY = 2  # steps until the second copy of a message arrives
+ELECTION_STEPS = 9  # a planner leads after this many steps
+MAX_INPUTS_PER_STEP = 400
+# Fields that don't influence the behaviour of a machine.
+IGNORED_FIELDS = ("counts", "effects", "quota", "random", "others", "planners")
+# Clock drift by process name, or by the first letter of the names: 1 is the fastest clock that the drift
+# allows, -1 the slowest.
 DRIFTS: tuple[dict[str, int], ...] = (
     {},
     {"p": 1, "n": -1},
@@ -54,33 +57,33 @@
 )
 
 
-class NoChance:
-    """In place of `Random`: the least that may be drawn, and sessions one after the other."""
+class DeterministicRandom:
+    """Replaces `Random`: draws the smallest value of a range, and consecutive numbers as session numbers."""
 
     def __init__(self, first: int) -> None:
         self.first = first
 
     def randrange(self, low: int, high: int | None = None) -> int:
-        """Return the least of the range."""
+        """Return the smallest value of the range."""
         return 0 if high is None else low
 
     def getrandbits(self, bits: int) -> int:
-        """Return the next number."""
+        """Return the next consecutive number."""
         self.first += 1
         return self.first
 
 
 class Delay(NamedTuple):
-    """Messages from one process to another that come `steps` later; `twice`: now as well."""
+    """Messages from one process to another arrive `steps` later and, if `duplicate` is set, also now."""
 
     origin: str
     target: str
     steps: int
-    twice: bool = False
+    duplicate: bool = False
 
 
 class Fault(NamedTuple):
-    """A fault that may happen before a step: `action(state, *arguments)`, or messages that are delayed."""
+    """A fault before a step: a call of `action(state, *arguments)`, or a delay of messages in the step."""
 
     name: str
     action: Callable[..., None] | None = None
@@ -92,7 +95,7 @@
 
 
 class DelayedMessage(NamedTuple):
-    """A message under way until a step."""
+    """A message that arrives in a later step."""
 
     step: int
     origin: str
@@ -101,7 +104,7 @@
 
 
 class QuotaState:
-    """Everything that a state is."""
+    """A state of the search: the machines of all processes, delayed messages and allowances."""
 
     def __init__(self, factories: QuotaFactories, drift: dict[str, int]) -> None:
         self.now = 10 * STEP_US
@@ -111,35 +114,35 @@
         self.delayed: list[DelayedMessage] = []
         self.clock_rates = {name: 1 + QUOTA.drift * drift.get(name, drift.get(name[0], 0)) for name in NAMES}
         self.machines: dict[str, Any] = {}
-        self.stopped: dict[str, list[tuple]] = {}  # name -> the inputs that wait
+        self.stopped: dict[str, list[tuple]] = {}  # name -> datagrams that it has not received yet
         self.allowances: dict[str, tuple[int, int]] = {}  # holder -> (amount, until)
         for name in NAMES:
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a process; nothing is left of an earlier one."""
+        """Start or restart a process, with no state of an earlier one."""
         self.lives += 1
-        chance = NoChance(self.lives * 100)
+        random = DeterministicRandom(self.lives * 100)
         if name in PLANNERS:
             address = QUOTA.planners[PLANNERS.index(name)]
-            self.machines[name] = self.factories.planner(address, "f", QUOTA, chance, self.clock(name))
+            self.machines[name] = self.factories.planner(address, "f", QUOTA, random, self.clock(name))
         else:
-            self.machines[name] = self.factories.lease_holder(name, "f", QUOTA, chance, self.clock(name))
+            self.machines[name] = self.factories.lease_holder(name, "f", QUOTA, random, self.clock(name))
             self.allowances[name] = 0, 0
-            self.report_demand(name, FIRST_DEMAND[name])
+            self.report_demand(name, INITIAL_DEMAND[name])
         self.stopped.pop(name, None)
 
     def report_demand(self, name: str, demand: int) -> None:
-        """Tell a holder its node's demand."""
+        """Report a node's demand to its holder."""
         self.machines[name].reduce(self.clock(name), UsageReported("store", 0, demand))
 
     def change_demand(self, name: str, demand: int) -> None:
-        """Change the demand of a holder's node; a stopped holder is not told."""
+        """Report a node's new demand to its holder, unless the holder is stopped."""
         if name not in self.stopped:
             self.report_demand(name, demand)
 
     def clock(self, name: str, count: int = 0) -> int:
-        """Return what the process's own clock reads, after so many inputs of the step."""
+        """Return the time on the process's own clock, after `count` inputs of the step."""
         return int((self.now + count) * self.clock_rates[name])
 
     def address(self, name: str) -> tuple[str, int]:
@@ -152,67 +155,69 @@
         return next((name for name in self.machines if self.address(name) == address), None)
 
     def play_step(self, delay: Delay | None) -> None:
-        """Play one step; messages of the delayed link come later."""
+        """Run one step; messages on the link that `delay` names arrive later."""
         self.step += 1
         self.now += STEP_US
-        todo: list[tuple[str, tuple]] = [(name, Tick()) for name in self.machines]
+        pending_inputs: list[tuple[str, tuple]] = [(name, Tick()) for name in self.machines]
         for message in [message for message in self.delayed if message.step <= self.step]:
-            todo.append((message.target, DatagramReceived(self.address(message.origin), message.data)))
+            pending_inputs.append(
+                (message.target, DatagramReceived(self.address(message.origin), message.data))
+            )
         self.delayed = [message for message in self.delayed if message.step > self.step]
-        for count in range(MOST_INPUTS_A_STEP):
-            if count >= len(todo):
+        for count in range(MAX_INPUTS_PER_STEP):
+            if count >= len(pending_inputs):
                 break
-            name, machine_input = todo[count]
+            name, machine_input = pending_inputs[count]
             if name not in self.stopped:
-                todo += self._feed(name, machine_input, count, delay)
+                pending_inputs += self._feed(name, machine_input, count, delay)
             elif isinstance(machine_input, DatagramReceived):
                 self.stopped[name].append(machine_input)
 
     def _feed(
         self, name: str, machine_input: tuple, count: int, delay: Delay | None
     ) -> list[tuple[str, tuple]]:
-        """Hand an input to a process; return the inputs of others that come of it in this step."""
-        following: list[tuple[str, tuple]] = []
+        """Feed an input to a process; return the inputs that it causes at other processes in this step."""
+        caused_inputs: list[tuple[str, tuple]] = []
         for effect in self.machines[name].reduce(self.clock(name, count), machine_input):
             if isinstance(effect, LimitAllowance):
                 self.allowances[name] = effect.amount, effect.until
                 self.check()
             elif isinstance(effect, SendDatagram):
                 target = self.name_at(effect.address)
-                if target is not None and self._arrives_now(name, target, effect.data, delay):
-                    following.append((target, DatagramReceived(self.address(name), effect.data)))
-        return following
+                if target is not None and self._deliver_or_delay(name, target, effect.data, delay):
+                    caused_inputs.append((target, DatagramReceived(self.address(name), effect.data)))
+        return caused_inputs
 
-    def _arrives_now(self, origin: str, target: str, data: bytes, delay: Delay | None) -> bool:
-        """Whether a message arrives in this step; what is delayed is put under way."""
+    def _deliver_or_delay(self, origin: str, target: str, data: bytes, delay: Delay | None) -> bool:
+        """Store a delayed message for a later step; return whether it also arrives in this step."""
         if delay is None or (origin, target) != (delay.origin, delay.target):
             return True
-        if delay.steps < FOREVER_STEPS:
+        if delay.steps < LOST_STEPS:
             self.delayed.append(DelayedMessage(self.step + delay.steps, origin, target, data))
-        return delay.twice
+        return delay.duplicate
 
     def stop(self, name: str) -> None:
-        """Stop a process: datagrams wait for it."""
+        """Stop a process and buffer its datagrams."""
         self.stopped[name] = []
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on: it gets what waited."""
-        for waiting in self.stopped.pop(name):
-            for effect in self.machines[name].reduce(self.clock(name), waiting):
+        """Resume a stopped process and deliver its buffered datagrams."""
+        for buffered_input in self.stopped.pop(name):
+            for effect in self.machines[name].reduce(self.clock(name), buffered_input):
                 if isinstance(effect, LimitAllowance):
                     self.allowances[name] = effect.amount, effect.until
 
     def check(self) -> None:
-        """Check what holders may use together, now."""
+        """Check that the allowances of all holders that are valid now fit the limit."""
         used = {name: amount for name, (amount, until) in self.allowances.items() if self.clock(name) < until}
         if sum(used.values()) > QUOTA.limits[0].amount:
-            raise InvariantError(f"step {self.step}: {used} of {QUOTA.limits[0].amount}")
+            raise InvariantError(f"step {self.step}: allowances {used} exceed {QUOTA.limits[0].amount}")
 
     def key(self) -> int:
-        """Return a hash of the state, without counters that only tell."""
+        """Return a hash of the state, without fields that don't influence behaviour."""
         parts = []
         for name, machine in self.machines.items():
-            fields = {field: value for field, value in vars(machine).items() if field not in NOT_STATE}
+            fields = {field: value for field, value in vars(machine).items() if field not in IGNORED_FIELDS}
             parts.append((name, pickle.dumps(fields)))
         stopped = sorted((name, tuple(map(str, inputs))) for name, inputs in self.stopped.items())
         allowances = sorted(self.allowances.items())
@@ -223,13 +228,13 @@
     """Yield each fault that may happen before the next step."""
     for name in NAMES:
         if name in state.stopped:
-            yield Fault(f"{name} goes on", QuotaState.resume, (name,))
+            yield Fault(f"{name} resumes", QuotaState.resume, (name,))
         else:
-            yield Fault(f"{name} started anew", QuotaState.start, (name,))
+            yield Fault(f"{name} restarts", QuotaState.start, (name,))
             yield Fault(f"{name} stops", QuotaState.stop, (name,))
     for name in HOLDERS:
         for demand in DEMANDS:
-            yield Fault(f"{name} wants {demand}", QuotaState.change_demand, (name, demand))
+            yield Fault(f"demand of {name} becomes {demand}", QuotaState.change_demand, (name, demand))
     for origin in NAMES:
         for target in NAMES:
             if origin != target and (origin in PLANNERS or target in PLANNERS):
@@ -239,20 +244,22 @@
 def message_faults(origin: str, target: str) -> Iterator[Fault]:
     """Yield the faults of the messages from one process to another."""
     for steps in DELAYS:
-        what = "lost" if steps == FOREVER_STEPS else f"{steps} later"
-        yield Fault(f"{origin} to {target} {what}", delay=Delay(origin, target, steps))
-    yield Fault(f"{origin} to {target} twice", delay=Delay(origin, target, TWICE_DELAY, twice=True))
+        delivery = "lost" if steps == LOST_STEPS else f"{steps} steps late"
+        yield Fault(f"{origin} to {target} {delivery}", delay=Delay(origin, target, steps))
+    yield Fault(
+        f"{origin} to {target} duplicated", delay=Delay(origin, target, DUPLICATE_DELAY, duplicate=True)
+    )
 
 
 class QuotaSearch(StateSpaceSearch[QuotaState, Fault]):
-    """The search of elections and grants; its budget is (faults,)."""
+    """The search of elections and grants; its budget is the number of faults that are left."""
 
     def __init__(self, last_step: int, share: tuple[int, int]) -> None:
         super().__init__(share)
         self.last_step = last_step
 
     def choices(self, state: QuotaState, budget: Budget) -> Sequence[Fault]:
-        """Return all faults that may happen before the next step, and first that none does."""
+        """Return the faults that may happen before the next step, with `NO_FAULT` first."""
         if state.step >= self.last_step:
             return []
         (faults_left,) = budget
@@ -270,11 +277,11 @@
         return f"{state.step}: {choice.name}"
 
     def extends_path(self, choice: Fault) -> bool:
-        """Whether a fault was made."""
+        """Whether the choice is a fault."""
         return choice is not NO_FAULT
 
     def budget_after(self, budget: Budget, choice: Fault) -> Budget:
-        """Return the faults that are left."""
+        """Return the number of faults that are left after the choice."""
         (faults_left,) = budget
         return (faults_left - self.extends_path(choice),)
 
@@ -283,13 +290,13 @@
         return state.key()
 
     def is_in_share(self, number: int) -> bool:
-        """Whether a choice is in this search's part: no fault is in all parts."""
+        """Whether a choice is in this search's part; `NO_FAULT` is in every part."""
         return number == 0 or super().is_in_share(number)
 
 
 def explore(
     depth: int,
-    most: int,
+    max_faults: int,
     factories: QuotaFactories | None = None,
     begin: int = ELECTION_STEPS,
     share: tuple[int, int] = (0, 1),
@@ -297,11 +304,11 @@
 ) -> SearchResult:
     """Return the number of states, and the first breach with the faults that led to it, or None.
 
-    The first `begin` steps are without faults: a planner leads by then. At most `most` faults are placed in
-    the `depth` steps after. `share` (k, n) plays the k-th of n parts of the first choices; `drift` is an
-    index into `DRIFTS`.
+    The first `begin` steps have no faults, so that a planner leads after them. At most `max_faults` faults
+    are placed in the `depth` steps that follow. `share` (k, n) searches only the k-th of n parts of the first
+    choices. `drift` is an index into `DRIFTS`.
     """
     state = QuotaState(factories or QuotaFactories(), DRIFTS[drift])
     for _ in range(begin):
         state.play_step(None)
-    return QuotaSearch(begin + depth, share).explore(state, (most,))
+    return QuotaSearch(begin + depth, share).explore(state, (max_faults,))
