--- a/finchcart/fault_injection/consensus/__init__.py
+++ b/finchcart/fault_injection/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus of the fleet under faults, on the virtual clock."""
+"""Simulation of the fleet's consensus under faults, on a virtual clock."""
--- a/finchcart/fault_injection/consensus/fault_run.py
+++ b/finchcart/fault_injection/consensus/fault_run.py
@@ -1,7 +1,7 @@
-"""Seeded runs of consensus rounds, on links that lose, double and swap.
+"""Seeded runs of consensus rounds, on links that lose, duplicate and reorder messages.
 
-Owns the choice of rounds, and that nothing is held once all is well again. A seed that fails replays
-identically.
+This module owns the choice of rounds and the check that no node keeps a decision after the faults of a round
+have ended. A run depends only on its seed, so a seed that fails can be replayed identically.
 """
 
 from collections.abc import Sequence
@@ -9,17 +9,17 @@
 
 from finchcart.fault_injection.consensus.round_kinds import RoundKind, Timing
 from finchcart.fault_injection.consensus.rounds import ConsensusRounds
-from finchcart.fault_injection.consensus.view import holds_nothing
+from finchcart.fault_injection.consensus.view import has_no_decisions
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 from finchcart.fault_injection.virtual_time.simulated_network import LinkRuleChanges
 from finchcart.membership.config import SECOND
 from finchcart.simulated_peers.store import StoreState
 
-JOIN_US = 10 * SECOND  # all know all by then
+JOIN_US = 10 * SECOND  # every node knows all others by this time
 
 
 class ConsensusFaultRun(ConsensusRounds):
-    """One seed: `count` nodes play so many rounds of some kinds."""
+    """A run of one seed: `count` nodes go through `rounds` rounds, of kinds drawn from `kinds`."""
 
     KINDS = tuple(RoundKind)
 
@@ -36,7 +36,7 @@
         self.round_count = rounds
 
     def play(self) -> str:
-        """Return the digest of all that happened; `InvariantError` where something did not hold."""
+        """Run the rounds; return the digest of all effects, or raise `InvariantError` on a violation."""
         self.start_all()
         self.run(self.now + JOIN_US, self.after_step)
         for _ in range(self.round_count):
@@ -45,11 +45,11 @@
             self.network.set_rule(self.now, None, None, rule)
             self.kind = RoundKind(self.chance.choice(self.kinds))
             self.rounds[self.kind](sorted(self.running()))
-            self._recover()
+            self._restore()
         return self.trace.hexdigest()
 
-    def _recover(self) -> None:
-        """Make all well again: then nothing may be held by anybody."""
+    def _restore(self) -> None:
+        """End all faults of the round, and check that every node then drops its decisions."""
         self.network.clear_rules(self.now)
         self._set_store(StoreState.OK)
         self.floods = {}
@@ -62,14 +62,16 @@
             elif process.stopped:
                 self.resume(name)
         config = self.consensus_config
-        within = (
+        timeout = (
             config.restriction_time
             + 2 * config.source_span
             + config.report_lifetime
             + config.max_hold_time
             + 10 * SECOND
         )
-        self.wait_until(holds_nothing, self.running(), within, f"after {self.kind} nothing is held")
+        self.wait_until(
+            has_no_decisions, self.running(), timeout, f"no node keeps a decision after round {self.kind}"
+        )
         self.run(self.now + config.recurrence_window, self.after_step)
         for view in self.node_views.values():
             view.store_changes.clear()
@@ -77,9 +79,9 @@
 
 @dataclass(frozen=True)
 class ConsensusSeedResult:
-    """What a seed came to."""
+    """The result of a run of one seed."""
 
-    breach: str | None  # what did not hold
+    breach: str | None  # the invariant that was violated
     timings: list[Timing]
     steps: int
     most_flap_changes: int
@@ -88,7 +90,7 @@
 def play_seed(
     seed: int, count: int = 8, rounds: int = 3, kinds: Sequence[str] | None = None
 ) -> ConsensusSeedResult:
-    """Play one seed."""
+    """Run one seed and return its result."""
     run = ConsensusFaultRun(seed, count, kinds, rounds)
     breach = None
     try:
