--- a/finchcart/fault_injection/key_leases/__init__.py
+++ b/finchcart/fault_injection/key_leases/__init__.py
@@ -1,1 +1,1 @@
-"""Key leases under faults, on the virtual clock."""
+"""Simulation of key leases under faults, on a virtual clock."""
--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -1,7 +1,8 @@
-"""Seeded runs of key leases: keys that are claimed, some at several nodes at once, under faults.
+"""Seeded runs of key leases under faults: clients request keys, some keys at several clients at once.
 
-Owns the choice of faults: links that lose, double, delay and cut, stops, restarts of all kinds. A retry
-goes to another node. A seed that fails replays identically.
+This module owns the choice of faults: links that lose, duplicate, delay or cut off messages, stopped
+processes, and restarts of clients and replicas. Retries request a key at a random client. A run depends only
+on its seed, so a seed that fails can be replayed identically.
 """
 
 from collections import Counter
@@ -28,16 +29,16 @@
 from finchcart.key_leases.inputs import AcquireKeyLeases, KeyLeaseRunCancelled, KeyToLease
 from finchcart.key_leases.messages import LeaseStatus
 
-LIFE_US = 6 * SECOND
-BODY_HASH = 7
-POLL_US = 50 * MS  # in which a stopped client is looked at again
+LEASE_US = 6 * SECOND
+PAYLOAD_DIGEST = 7
+STOPPED_POLL_US = 50 * MS  # interval at which a stopped client is checked again
 LOSS = 0.3
-REJECTED_PART = 0.1  # of the granted keys that are rejected by the node
-LONGEST_DELAY_US = 3 * SECOND
+REJECTED_FRACTION = 0.1  # of the granted keys, which the node then rejects
+MAX_DELAY_US = 3 * SECOND
 
 
 class KeyLeaseFault(StrEnum):
-    """What a fault does."""
+    """Kinds of faults."""
 
     STOP = "stop"
     RESTART_CLIENT = "kill"
@@ -49,6 +50,7 @@
     LOSS = "loss"
 
 
+# A kind that is listed twice is chosen twice as often.
 KINDS = (
     KeyLeaseFault.STOP,
     KeyLeaseFault.STOP,
@@ -63,7 +65,7 @@
 
 
 class KeyLeaseFaultRun(KeyLeaseSimulation):
-    """One seed."""
+    """A run of one seed, with random requests and faults."""
 
     def __init__(
         self,
@@ -75,7 +77,7 @@
     ) -> None:
         self.chance = Random(f"claims {seed}")
         self.seed = seed
-        config = config or KeyLeaseConfig(lease_duration=LIFE_US)
+        config = config or KeyLeaseConfig(lease_duration=LEASE_US)
         names = [f"k{number}" for number in range(replicas)] + [f"h{number}" for number in range(clients)]
         clock_rates = {name: 1 + self.chance.choice((-1, 0, 1)) * config.drift for name in names}
         super().__init__(replicas, clients, config, factories, clock_rates)
@@ -83,20 +85,20 @@
         self.key_count = 0
         self.cuts: set[tuple[str, str]] = set()
         self.loss = 0.0
-        self.buffered: dict[str, list[Datagram]] = {}  # stopped process -> what came meanwhile
+        self.buffered: dict[str, list[Datagram]] = {}  # stopped process -> datagrams that wait for it
         self.trace = xxhash.xxh3_64()
         self._queue: list[tuple[int, int, Callable[..., None], tuple]] = []
         self._sequence = 0
 
     def play(self, seconds: int = 30) -> str:
-        """Return the digest of all that was sent; `InvariantError` where a key ran twice."""
+        """Run the seed; return the digest of all datagrams, or raise `InvariantError` if a key ran twice."""
         for name in self.machines:
             self._schedule(self.chance.randrange(TICK_US), self._tick, name)
-        self._schedule(0, self._new_key)
+        self._schedule(0, self._request_new_key)
         self._schedule(SECOND, self._inject_fault)
         end = self.now + seconds * SECOND
         while True:
-            self._send()
+            self._send_datagrams()
             when, _, action, arguments = heappop(self._queue)
             if when > end:
                 return self.trace.hexdigest()
@@ -110,16 +112,16 @@
 
     # ---- messages
 
-    def _send(self) -> None:
-        """Put what the machines sent on its way."""
+    def _send_datagrams(self) -> None:
+        """Schedule the delivery of the datagrams that the machines sent, with loss, duplicates and delays."""
         for datagram in self.in_flight:
             origin, target, data = datagram
             self.trace.update(f"{self.now} {origin} {target}".encode() + data)
             if (origin, target) in self.cuts or self.chance.random() < self.loss:
                 continue
             for _ in range(2 if self.chance.random() < self.loss else 1):
-                longest = self.chance.randrange(LONGEST_DELAY_US) if self.loss else 400
-                delay = self.chance.choice((200, 300, 5 * MS, longest))
+                max_delay = self.chance.randrange(MAX_DELAY_US) if self.loss else 400
+                delay = self.chance.choice((200, 300, 5 * MS, max_delay))
                 self._schedule(delay, self._receive, datagram)
         self.in_flight.clear()
 
@@ -135,36 +137,36 @@
         self.feed(name, Tick())
         self._schedule(TICK_US, self._tick, name)
 
-    def _new_key(self) -> None:
-        """Claim a new key at one or more clients at once, and again later elsewhere."""
+    def _request_new_key(self) -> None:
+        """Request a new key at one or more clients at once, and later again at random clients."""
         self.key_count += 1
         key = messages.key_digest("m", str(self.key_count))
         clients = [name for name in self.machines if not is_replica(name)]
         for name in self.chance.sample(clients, self.chance.choice((1, 1, 2, 3))):
-            self._claim(name, key)
+            self._request_key(name, key)
         for _ in range(self.chance.choice((0, 1, 2))):
             delay = self.chance.randrange(4 * SECOND)
-            self._schedule(delay, self._claim, self.chance.choice(clients), key)
-        self._schedule(self.chance.randrange(10 * MS, 400 * MS), self._new_key)
+            self._schedule(delay, self._request_key, self.chance.choice(clients), key)
+        self._schedule(self.chance.randrange(10 * MS, 400 * MS), self._request_new_key)
 
-    def _claim(self, name: str, key: Key) -> None:
-        self.feed(name, AcquireKeyLeases([KeyToLease(key, BODY_HASH, self.config.lease_duration)]))
+    def _request_key(self, name: str, key: Key) -> None:
+        self.feed(name, AcquireKeyLeases([KeyToLease(key, PAYLOAD_DIGEST, self.config.lease_duration)]))
 
-    def on_answer(self, name: str, key: Key, answer: int, result: bytes, by: int) -> None:
-        """Note what a client answers for a key, and command a granted one after a while."""
-        super().on_answer(name, key, answer, result, by)
+    def on_answer(self, name: str, key: Key, answer: int, result: bytes, run_before: int) -> None:
+        """Record a client's answer for a key, and command the run of a granted key after a delay."""
+        super().on_answer(name, key, answer, result, run_before)
         if answer == LeaseStatus.GRANTED:
             session = self.machines[name].session
             delay = self.chance.choice((0, 100, 50 * MS))
             self._schedule(delay, self._command_granted, name, key, session)
 
     def _command_granted(self, name: str, key: Key, session: int) -> None:
-        if name in self.stopped:  # before its last look at the clock
-            self._schedule(POLL_US, self._command_granted, name, key, session)
+        if name in self.stopped:  # it has not checked the command timeout yet
+            self._schedule(STOPPED_POLL_US, self._command_granted, name, key, session)
             return
         if (name, key) not in self.granted or self.machines[name].session != session:
             return
-        if self.chance.random() < REJECTED_PART:
+        if self.chance.random() < REJECTED_FRACTION:
             del self.granted[name, key]
             self.feed(name, KeyLeaseRunCancelled(key))
             return
@@ -175,7 +177,7 @@
 
     def _end_run(self, name: str, key: Key, session: int) -> None:
         if name in self.stopped:
-            self._schedule(POLL_US, self._end_run, name, key, session)
+            self._schedule(STOPPED_POLL_US, self._end_run, name, key, session)
         elif (name, key) in self.running and self.machines[name].session == session:
             self.end(
                 name,
@@ -199,10 +201,10 @@
             self.loss = LOSS
             self._schedule(span, self._end_loss)
         else:
-            self._restart_some(kind, names)
+            self._inject_restarts(kind, names)
         self._schedule(self.chance.randrange(500 * MS, 4 * SECOND), self._inject_fault)
 
-    def _restart_some(self, kind: KeyLeaseFault, names: list[str]) -> None:
+    def _inject_restarts(self, kind: KeyLeaseFault, names: list[str]) -> None:
         replicas = [name for name in names if is_replica(name)]
         if kind == KeyLeaseFault.RESTART_CLIENT:
             self.start(self.chance.choice([name for name in names if not is_replica(name)]))
@@ -214,12 +216,12 @@
                 self._schedule(number * interval, self._restart, name)
 
     def _cut(self, kind: KeyLeaseFault, names: list[str], span: int) -> None:
-        some = set(self.chance.sample(names, self.chance.randrange(1, len(names))))
-        pairs = {(origin, target) for origin in some for target in names if target not in some}
+        group = set(self.chance.sample(names, self.chance.randrange(1, len(names))))
+        links = {(origin, target) for origin in group for target in names if target not in group}
         if kind == KeyLeaseFault.CUT:
-            pairs |= {(target, origin) for origin, target in pairs}
-        self.cuts |= pairs
-        self._schedule(span, self._heal, pairs)
+            links |= {(target, origin) for origin, target in links}
+        self.cuts |= links
+        self._schedule(span, self._restore_links, links)
 
     def _resume(self, name: str) -> None:
         if name in self.stopped:
@@ -231,8 +233,8 @@
         self.start(name)
         self.buffered.pop(name, None)
 
-    def _heal(self, pairs: set[tuple[str, str]]) -> None:
-        self.cuts -= pairs
+    def _restore_links(self, links: set[tuple[str, str]]) -> None:
+        self.cuts -= links
 
     def _end_loss(self) -> None:
         self.loss = 0.0
@@ -240,17 +242,17 @@
 
 @dataclass(frozen=True)
 class KeyLeaseSeedResult:
-    """What a seed came to."""
+    """The result of a run of one seed."""
 
-    breach: str | None  # what did not hold
+    breach: str | None  # the invariant that was violated
     steps: int
     keys: int
-    answers: dict[int, int]  # how often each answer was given
+    answers: dict[int, int]  # `LeaseStatus` of an answer -> number of such answers
     runs: int
 
 
 def play_seed(seed: int, seconds: int = 30, factories: KeyLeaseFactories | None = None) -> KeyLeaseSeedResult:
-    """Play one seed."""
+    """Run one seed and return its result."""
     run = KeyLeaseFaultRun(seed, factories=factories)
     breach = None
     try:
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -1,8 +1,8 @@
-"""Key leases on the virtual clock: replicas and clients, messages under way one by one, and the runs made.
+"""Simulates key leases on a virtual clock: replicas, clients, the messages in flight and the runs of keys.
 
-Owns the truth: which run of a key was commanded when. Two drivers play it: seeded runs, with clocks that
-drift, and a bounded search of all orders, losses, copies, restarts and pauses. It must never take a
-machine's word for a run.
+This module owns the record of the runs: which client commanded a run of a key, and at which time. Two drivers
+use the simulation: seeded runs with clocks that drift, and a bounded exhaustive search of the orders of
+events and faults. The simulation must never rely on what a state machine reports about a run.
 """
 
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 from finchcart.key_leases.replica import KeyLeaseReplica
 
 TICK_US = 50 * MS
-BOOT_US = 10**12  # on the boot clocks at the start: replicas are past their quiet period
+BOOT_CLOCK_US = 10**12  # initial reading of boot clocks, so that replicas are past their quiet period
 RESULT = b"ok"
-REPLICA_NET = 0  # third part of replicas' addresses
-CLIENT_NET = 1
+REPLICA_SUBNET = 0  # third octet of the replicas' addresses
+CLIENT_SUBNET = 1  # third octet of the clients' addresses
 
 Key = bytes
 ClientKey = tuple[str, Key]  # (name of the client, key)
 
 
 class Datagram(NamedTuple):
-    """A message under way."""
+    """A message in flight."""
 
     origin: str
     target: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class KeyLeaseFactories:
-    """What makes the state machines, so that planted defects can be played."""
+    """Factories of the state machines; tests replace them to plant defects."""
 
     replica: Callable[..., KeyLeaseReplica] = KeyLeaseReplica
     client: Callable[..., KeyLeaseClient] = KeyLeaseClient
@@ -49,7 +49,7 @@
 class KeyLeaseRun:
     """A run of a key."""
 
-    began: int  # in true time
+    started_at: int  # in simulation time
     client: str
     session: int  # of the client's process
     outcome: LeaseStatus | None = None  # how it ended
@@ -58,7 +58,7 @@
 class KeyLeaseSimulation:
     """Replicas k0, k1, ... and clients h0, h1, ...
 
-    `clock_rates` are of the processes' clocks to true time.
+    `clock_rates` are the rates of the processes' clocks, relative to simulation time.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         factories: KeyLeaseFactories | None = None,
         clock_rates: dict[str, float] | None = None,
     ) -> None:
-        addresses = tuple(f"10.0.{REPLICA_NET}.{number + 1}:1" for number in range(replicas))
+        addresses = tuple(f"10.0.{REPLICA_SUBNET}.{number + 1}:1" for number in range(replicas))
         self.config = KeyLeaseConfig(**{**(config or KeyLeaseConfig()).__dict__, "replicas": addresses})
         self.factories = factories or KeyLeaseFactories()
         self.now = 0
@@ -79,7 +79,7 @@
         self.stopped: set[str] = set()
         self.in_flight: list[Datagram] = []
         self.runs: dict[Key, list[KeyLeaseRun]] = {}
-        self.granted: dict[ClientKey, int] = {}  # not commanded yet -> by when it has to be
+        self.granted: dict[ClientKey, int] = {}  # not commanded yet -> latest start on the client's clock
         self.running: dict[ClientKey, KeyLeaseRun] = {}
         self.answers: dict[ClientKey, list[int]] = {}
         for number in range(replicas):
@@ -88,18 +88,18 @@
             self.start(f"h{number}")
 
     def clock(self, name: str) -> int:
-        """Return what the process's own clock reads."""
-        return BOOT_US + int(self.now * self.clock_rates.get(name, 1))
+        """Return the time on the process's own clock."""
+        return BOOT_CLOCK_US + int(self.now * self.clock_rates.get(name, 1))
 
-    def start(self, name: str, before: int = 0) -> None:
-        """Start a process, so long before now.
+    def start(self, name: str, uptime: int = 0) -> None:
+        """Start or restart a process, as if it had started `uptime` microseconds ago.
 
-        Nothing is left of an earlier one but what is under way, and its runs in the worker pool.
+        Of an earlier process with the name, only messages in flight and runs in the worker pool remain.
         """
         self.lives += 1
         self.stopped.discard(name)
         if is_replica(name):
-            self.machines[name] = self.factories.replica("f", self.config, self.clock(name) - before)
+            self.machines[name] = self.factories.replica("f", self.config, self.clock(name) - uptime)
             return
         self.machines[name] = self.factories.client(
             name, "f", self.config, Random(self.lives), self.clock(name)
@@ -110,16 +110,16 @@
 
     def address(self, name: str) -> tuple[str, int]:
         """Return the address of a process."""
-        net = REPLICA_NET if is_replica(name) else CLIENT_NET
-        return f"10.0.{net}.{int(name[1:]) + 1}", 1
+        subnet = REPLICA_SUBNET if is_replica(name) else CLIENT_SUBNET
+        return f"10.0.{subnet}.{int(name[1:]) + 1}", 1
 
     def name_at(self, address: tuple[str, int]) -> str:
         """Return the name of the process at that address."""
-        _, _, net, number = address[0].split(".")
-        return f"{'kh'[int(net)]}{int(number) - 1}"
+        _, _, subnet, number = address[0].split(".")
+        return f"{'kh'[int(subnet)]}{int(number) - 1}"
 
     def feed(self, name: str, machine_input: tuple) -> None:
-        """Hand an input to a process's state machine; a stopped one loses it."""
+        """Feed an input to a process's state machine, or drop the input if the process is stopped."""
         if name in self.stopped:
             return
         for effect in self.machines[name].reduce(self.clock(name), machine_input):
@@ -128,56 +128,58 @@
             else:
                 self.on_answer(name, *effect)
 
-    def on_answer(self, name: str, key: Key, answer: int, result: bytes, by: int) -> None:
-        """Note what a client answers for a key; a grant has to be commanded by `by` on its clock."""
+    def on_answer(self, name: str, key: Key, answer: int, result: bytes, run_before: int) -> None:
+        """Record a client's answer for a key; `run_before` is the latest start of a granted run."""
         self.answers.setdefault((name, key), []).append(answer)
         if answer == LeaseStatus.GRANTED:
-            self.granted[name, key] = by
+            self.granted[name, key] = run_before
         elif answer == LeaseStatus.COMPLETED and not any(
             run.outcome == LeaseStatus.COMPLETED for run in self.runs.get(key, ())
         ):
-            raise InvariantError(f"{self.now / SECOND:.3f} s: {name} is told a result that no run made")
+            raise InvariantError(
+                f"{self.now / SECOND:.3f} s: {name} received a result, but no run of the key completed"
+            )
 
     def command(self, name: str, key: Key) -> None:
-        """Take the client's last look at the clock, and run the key if there is time."""
-        by = self.granted.pop((name, key))
-        if self.clock(name) >= by:
+        """Check the client's clock, and run the key unless its latest start has passed."""
+        run_before = self.granted.pop((name, key))
+        if self.clock(name) >= run_before:
             self.feed(name, KeyLeaseRunCancelled(key))
             return
         run = KeyLeaseRun(self.now, name, self.machines[name].session)
         runs = self.runs.setdefault(key, [])
         for other in runs:
-            if self.now - other.began < self.config.run_spacing_bound():
-                ago = (self.now - other.began) / SECOND
+            if self.now - other.started_at < self.config.run_spacing_bound():
+                elapsed_s = (self.now - other.started_at) / SECOND
                 raise InvariantError(
-                    f"{self.now / SECOND:.3f} s: {key.hex()[:4]} runs at {name}, and did at "
-                    f"{other.client} {ago:.3f} s ago"
+                    f"{self.now / SECOND:.3f} s: {key.hex()[:4]} runs at {name}, and its run at "
+                    f"{other.client} started only {elapsed_s:.3f} s earlier"
                 )
         runs.append(run)
         self.running[name, key] = run
 
     def end(self, name: str, key: Key, outcome: LeaseStatus = LeaseStatus.COMPLETED) -> None:
-        """End a run."""
+        """End a run with an outcome, and report it to the client."""
         self.running.pop((name, key)).outcome = outcome
         result = RESULT if outcome == LeaseStatus.COMPLETED else b""
         self.feed(name, KeyLeaseRunEnded(key, outcome, result))
 
-    def deliver(self, index: int, keep: bool = False) -> None:
-        """Hand over one of the messages under way, and keep it there as well if asked to."""
-        datagram = self.in_flight[index] if keep else self.in_flight.pop(index)
+    def deliver(self, index: int, keep_copy: bool = False) -> None:
+        """Deliver one of the messages in flight; with `keep_copy`, a copy of it stays in flight."""
+        datagram = self.in_flight[index] if keep_copy else self.in_flight.pop(index)
         self.feed(datagram.target, DatagramReceived(self.address(datagram.origin), datagram.data))
 
-    def lose(self, index: int) -> None:
-        """Lose one of the messages under way."""
+    def drop(self, index: int) -> None:
+        """Drop one of the messages in flight."""
         del self.in_flight[index]
 
     def pass_time(self, span: int) -> None:
-        """Let so many microseconds pass and all processes tick."""
+        """Advance time by `span` microseconds and let all processes tick."""
         self.now += span
         for name in self.machines:
             self.feed(name, Tick())
 
 
 def is_replica(name: str) -> bool:
-    """Whether this is the name of a replica; else it is a client's."""
+    """Whether this is the name of a replica and not of a client."""
     return name[0] == "k"
--- a/finchcart/fault_injection/key_leases/state_space.py
+++ b/finchcart/fault_injection/key_leases/state_space.py
@@ -1,7 +1,8 @@
-"""A bounded exhaustive search of key leases: all orders, losses, copies, restarts and pauses.
+"""Exhaustive search of key leases, with a bounded number of steps and faults.
 
-Owns what may come next. Two clients claim one key at once; everything that may follow is tried, with a
-bounded number of faults, to a bounded depth. The frame of the search is in virtual_time/state_space.py.
+This module owns the choices of each step. Two clients request the same key at once. The search then tries
+every order of deliveries, runs and ticks, with lost and duplicated messages, restarts, long pauses and
+repeated requests as faults. The search algorithm itself is in virtual_time/state_space.py.
 """
 
 import pickle
@@ -27,19 +28,14 @@
 from finchcart.key_leases.inputs import AcquireKeyLeases, KeyToLease
 
 KEY = messages.key_digest("m", "t")
-BODY_HASH = 7
-LIFE_US = 12 * SECOND
-NOT_STATE = (
-    "counts",
-    "effects",
-    "config",
-    "random",
-    "replicas",
-)  # fields that don't change what a machine does
+PAYLOAD_DIGEST = 7
+LEASE_US = 12 * SECOND
+# Fields that don't influence the behaviour of a machine.
+IGNORED_FIELDS = ("counts", "effects", "config", "random", "replicas")
 
 
 class Choice(NamedTuple):
-    """One thing that may come next: `action(simulation, *arguments)`."""
+    """A possible next step: a call of `action(simulation, *arguments)`."""
 
     name: str
     is_fault: bool
@@ -48,64 +44,64 @@
 
 
 def claim(simulation: KeyLeaseSimulation, client: str) -> None:
-    """Let a client claim the key."""
-    simulation.feed(client, AcquireKeyLeases([KeyToLease(KEY, BODY_HASH, LIFE_US)]))
+    """Let a client request the key."""
+    simulation.feed(client, AcquireKeyLeases([KeyToLease(KEY, PAYLOAD_DIGEST, LEASE_US)]))
 
 
 def choices(simulation: KeyLeaseSimulation, with_faults: bool) -> Iterator[Choice]:
-    """Yield all that may come next."""
+    """Yield all possible next steps."""
     for index, (origin, target, _) in enumerate(simulation.in_flight):
         link = f"{origin} to {target}"
         yield Choice(link, False, KeyLeaseSimulation.deliver, (index,))
         if with_faults:
-            yield Choice(f"{link} lost", True, KeyLeaseSimulation.lose, (index,))
-            yield Choice(f"{link} and once more", True, KeyLeaseSimulation.deliver, (index, True))
+            yield Choice(f"{link} lost", True, KeyLeaseSimulation.drop, (index,))
+            yield Choice(f"{link} duplicated", True, KeyLeaseSimulation.deliver, (index, True))
     for client, key in simulation.granted:
         yield Choice(f"{client} commands", False, KeyLeaseSimulation.command, (client, key))
     for client, key in simulation.running:
         yield Choice(f"{client} ends", False, KeyLeaseSimulation.end, (client, key))
-    yield Choice("time", False, KeyLeaseSimulation.pass_time, (TICK_US,))
+    yield Choice("a tick", False, KeyLeaseSimulation.pass_time, (TICK_US,))
     if with_faults:
         yield from process_faults(simulation)
 
 
 def process_faults(simulation: KeyLeaseSimulation) -> Iterator[Choice]:
-    """Yield the faults that are not of a message."""
-    yield Choice("time, long", True, KeyLeaseSimulation.pass_time, (simulation.config.command_timeout,))
+    """Yield long pauses, restarts and repeated requests."""
+    yield Choice("a long pause", True, KeyLeaseSimulation.pass_time, (simulation.config.command_timeout,))
     for name in simulation.machines:
-        yield Choice(f"{name} anew", True, KeyLeaseSimulation.start, (name,))
+        yield Choice(f"{name} restarts", True, KeyLeaseSimulation.start, (name,))
     busy = {client for client, _ in (*simulation.granted, *simulation.running)}
     for name in simulation.machines:
         if not is_replica(name) and name not in busy:
-            yield Choice(f"{name} claims again", True, claim, (name,))
+            yield Choice(f"{name} requests the key again", True, claim, (name,))
 
 
 def digest(simulation: KeyLeaseSimulation) -> bytes:
-    """Return a digest of the state, by which it is known again."""
+    """Return a digest that identifies the state."""
     parts = [
         simulation.now,
         sorted(simulation.in_flight),
         sorted(simulation.granted.items()),
         sorted(simulation.running),
-        [[run.began, run.client, run.outcome] for run in simulation.runs.get(KEY, ())],
+        [[run.started_at, run.client, run.outcome] for run in simulation.runs.get(KEY, ())],
     ]
     parts += [
-        {field: value for field, value in vars(machine).items() if field not in NOT_STATE}
+        {field: value for field, value in vars(machine).items() if field not in IGNORED_FIELDS}
         for machine in simulation.machines.values()
     ]
     return xxhash.xxh3_128_digest(pickle.dumps(parts))
 
 
 class KeyLeaseSearch(StateSpaceSearch[KeyLeaseSimulation, Choice]):
-    """The search of key leases; its budget is (steps, faults)."""
+    """The search of key leases; its budget is (steps, faults), both as numbers that are left."""
 
     def choices(self, state: KeyLeaseSimulation, budget: Budget) -> Sequence[Choice]:
-        """Return all that may come next."""
+        """Return all possible next steps, with faults if the budget has any left."""
         _, faults = budget
         return list(choices(state, faults > 0))
 
     def perform(self, state: KeyLeaseSimulation, choice: Choice) -> None:
-        """Carry out a choice."""
+        """Run the choice on the state."""
         choice.action(state, *choice.arguments)
 
     def label(self, state: KeyLeaseSimulation, choice: Choice) -> str:
@@ -133,10 +129,10 @@
     most: int = NO_BOUND,
     share: tuple[int, int] = (0, 1),
 ) -> SearchResult:
-    """Return the number of states, and the first breach with what led to it, or None.
+    """Return the number of states, and the first breach with the choices that led to it, or None.
 
-    At most `faults` faults are made within `depth` steps, and about `most` states entered; `share` (k, n)
-    plays the k-th of n parts of the first choices.
+    The search injects up to `faults` faults within `depth` steps and enters about `most` states. `share`
+    (k, n) searches only the k-th of n parts of the first choices.
     """
     simulation = KeyLeaseSimulation(factories=factories)
     for client in ("h0", "h1"):
