--- a/finchcart/fault_injection/key_leases/state_space.py
+++ b/finchcart/fault_injection/key_leases/state_space.py
@@ -43,7 +43,7 @@
     arguments: tuple = ()
 
 
-def claim(simulation: KeyLeaseSimulation, client: str) -> None:
+def request_key(simulation: KeyLeaseSimulation, client: str) -> None:
     """Let a client request the key."""
     simulation.feed(client, AcquireKeyLeases([KeyToLease(KEY, PAYLOAD_DIGEST, LEASE_US)]))
 
@@ -73,7 +73,7 @@
     busy = {client for client, _ in (*simulation.granted, *simulation.running)}
     for name in simulation.machines:
         if not is_replica(name) and name not in busy:
-            yield Choice(f"{name} requests the key again", True, claim, (name,))
+            yield Choice(f"{name} requests the key again", True, request_key, (name,))
 
 
 def digest(simulation: KeyLeaseSimulation) -> bytes:
@@ -136,5 +136,5 @@
     """
     simulation = KeyLeaseSimulation(factories=factories)
     for client in ("h0", "h1"):
-        claim(simulation, client)
+        request_key(simulation, client)
     return KeyLeaseSearch(share).explore(simulation, (depth, faults), most)
--- a/tests/test_key_leases.py
+++ b/tests/test_key_leases.py
@@ -9,7 +9,7 @@
 
 from finchcart.fault_injection.key_leases.fault_run import KeyLeaseFaultRun
 from finchcart.fault_injection.key_leases.simulation import TICK_US, KeyLeaseSimulation
-from finchcart.fault_injection.key_leases.state_space import KEY, claim, explore
+from finchcart.fault_injection.key_leases.state_space import KEY, explore, request_key
 from finchcart.fleet_settings.configs import key_lease_config
 from finchcart.fleet_settings.file import check_settings
 from finchcart.key_leases import messages
@@ -153,7 +153,7 @@
 
 def test_a_lease_is_granted_when_messages_arrive_in_random_order():
     simulation, rng = KeyLeaseSimulation(), random.Random(3)
-    claim(simulation, "h0")
+    request_key(simulation, "h0")
     for _ in range(30):
         if simulation.in_flight:
             simulation.deliver(rng.randrange(len(simulation.in_flight)))
