--- a/finchcart/fault_injection/membership/__init__.py
+++ b/finchcart/fault_injection/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership under faults, on the virtual clock."""
+"""Simulation of membership under faults, on a virtual clock."""
--- a/finchcart/fault_injection/membership/faults.py
+++ b/finchcart/fault_injection/membership/faults.py
@@ -4,17 +4,17 @@
 
 
 class MembershipFault(StrEnum):
-    """What a fault does."""
+    """Kinds of faults."""
 
     KILL = "kill"
     STOP = "stop"
     TERMINATE = "term"
-    STARVE = "starve"
+    STARVE = "starve"  # the ticks of a member are delayed, as without CPU time
     CUT = "cut"
     LOSS = "loss"
     DUPLICATE_NAME = "twin"
-    CLOCK_SET_BACK = "back"  # killed, and started with its wall clock set back
-    FORGE = "forge"
+    CLOCK_SET_BACK = "back"  # the member is killed, and restarted with its wall clock set back
+    FORGE = "forge"  # a member receives invalid datagrams
 
 
 class CutKind(StrEnum):
@@ -23,15 +23,16 @@
     ONE_WAY = "pair"
     BOTH_WAYS = "both"
     FLAPPING = "flap"
-    MEMBER = "star"
-    MEMBER_IN = "deaf"
-    MEMBER_OUT = "mute"
+    MEMBER = "star"  # all links of a member
+    MEMBER_IN = "deaf"  # all inbound links of a member
+    MEMBER_OUT = "mute"  # all outbound links of a member
     ZONE = "zone"
     ZONE_IN = "zone deaf"
     ZONE_OUT = "zone mute"
-    RING = "ring"
+    RING = "ring"  # the link from each member to the next one
 
 
+# A kind that is listed twice is chosen twice as often.
 KINDS = (
     MembershipFault.KILL,
     MembershipFault.STOP,
--- a/finchcart/fault_injection/membership/seed_sweep.py
+++ b/finchcart/fault_injection/membership/seed_sweep.py
@@ -1,4 +1,4 @@
-"""A sweep over seeds: each is a run of members with faults, in some processes side by side."""
+"""Runs many seeds of members under faults, in several processes in parallel."""
 
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
@@ -7,11 +7,11 @@
 from finchcart.fault_injection.membership.fault_run import MembershipFaultRun
 from finchcart.fault_injection.virtual_time.invariants import InvariantError
 
-SEEDS_AT_ONCE = 4  # that a process is given
+SEEDS_PER_TASK = 4  # handed to a worker process at a time
 
 
 class MembershipSeedResult(NamedTuple):
-    """What a seed came to: the digest of its run, or what did not hold."""
+    """The result of a run of one seed: its digest, or the invariant that was violated."""
 
     seed: int
     digest: str | None
@@ -19,7 +19,7 @@
 
 
 def play_seed(seed: int) -> MembershipSeedResult:
-    """Play one seed."""
+    """Run one seed and return its result."""
     try:
         return MembershipSeedResult(seed, MembershipFaultRun(seed).play(), None)
     except InvariantError as error:
@@ -27,6 +27,6 @@
 
 
 def play_seeds(first: int, count: int, jobs: int) -> Iterator[MembershipSeedResult]:
-    """Play seeds in `jobs` processes; yield their results in order."""
+    """Run seeds in `jobs` processes; yield their results in order."""
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_seed, range(first, first + count), chunksize=SEEDS_AT_ONCE)
+        yield from pool.map(play_seed, range(first, first + count), chunksize=SEEDS_PER_TASK)
