--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -33,7 +33,7 @@
 PAYLOAD_DIGEST = 7
 STOPPED_POLL_US = 50 * MS  # interval at which a stopped client is checked again
 LOSS = 0.3
-REJECTED_FRACTION = 0.1  # of the granted keys, which the node then rejects
+REJECTED_FRACTION = 0.1  # fraction of the granted keys that the node rejects
 MAX_DELAY_US = 3 * SECOND
 
 
@@ -161,7 +161,7 @@
             self._schedule(delay, self._command_granted, name, key, session)
 
     def _command_granted(self, name: str, key: Key, session: int) -> None:
-        if name in self.stopped:  # it has not checked the command timeout yet
+        if name in self.stopped:  # the client has not checked its clock yet
             self._schedule(STOPPED_POLL_US, self._command_granted, name, key, session)
             return
         if (name, key) not in self.granted or self.machines[name].session != session:
--- a/finchcart/fault_injection/membership/fault_run.py
+++ b/finchcart/fault_injection/membership/fault_run.py
@@ -46,7 +46,7 @@
 RECOVERY_US = 12 * SECOND  # every member knows all others again after this time without faults
 FORGET_AFTER_US = 600 * SECOND
 CLOCK_SET_BACK_MS = -3_600_000
-MAX_DISTURBED = 4  # at once, so that more than half of every member's links lead to undisturbed members
+MAX_DISTURBED = 4  # leaves every member with more than half of its links undisturbed
 FLAP_INTERVAL_US = 700_000
 DISTURBED_LOSS = 0.4  # assumed loss rate of a disturbed link
 
@@ -54,7 +54,7 @@
 
 
 class MembershipFaultRun:
-    """A run of one seed; `make` creates a member, which tests replace to plant a defect."""
+    """A run of one seed; `make` creates a member; tests replace it to plant a defect."""
 
     def __init__(
         self, seed: int, make: MemberFactory = Member, kinds: Sequence[MembershipFault] | None = None
@@ -68,8 +68,8 @@
         self.kinds = kinds or KINDS
         self.faults_over = False
         self.loss = 0.0
-        self.down: dict[str, int] = {}  # name -> time at which it was killed or left
-        # name -> time until which it may lack links, or be considered failed
+        self.down: dict[str, int] = {}  # name -> time at which the member was killed or left
+        # name -> time until which the member may have too few links or be considered failed
         self.disturbed: dict[str, int] = {}
         self.duplicated: str | None = None  # the member name that two processes have
         self.last_records: dict[tuple[str, int], dict] = {}  # (name, life) -> id -> last record
--- a/finchcart/fault_injection/quota/fault_run.py
+++ b/finchcart/fault_injection/quota/fault_run.py
@@ -17,7 +17,7 @@
 ELECTION_END_US = 12 * SECOND  # a planner leads and grants leases by this time
 RECOVERY_US = 30 * SECOND  # the longest that a fault stops a process
 STABLE_PERIOD_US = 5 * SECOND
-MIN_UTILIZATION = 0.5  # fraction of the limit, while every node's demand reaches the limit
+MIN_UTILIZATION = 0.5  # fraction of the limit that is used while every node's demand reaches it
 SECOND_INSTANCE_DEMAND = 5
 SECOND_INSTANCE_US = 20 * SECOND
 MAX_INITIAL_DEMAND = 40
@@ -299,7 +299,7 @@
 
 
 def seconds_to_follow_demand(mode: str, holders: int = 16) -> float | None:
-    """Return how many seconds the sharing takes to follow when all demand moves to one node.
+    """Return how many seconds the allocation takes to follow when all demand moves to one node.
 
     The time ends when the node has nine tenths of the calls in progress that an ideal allocation would give
     it. The result is None if that takes more than 20 s.
--- a/finchcart/fault_injection/quota/process.py
+++ b/finchcart/fault_injection/quota/process.py
@@ -32,12 +32,12 @@
 class QuotaProcess(SimulatedProcess):
     """A planner or a node: its clock, and for a node its calls in progress at the store."""
 
-    clock_rate: float = 1.0  # of the process's clock, relative to simulation time
+    clock_rate: float = 1.0  # rate of the process's clock, relative to simulation time
     clock_origin: int = 0  # the time at which the process's clock equalled simulation time
     limiter: Any = None
     demand: int = 0  # wanted calls in progress, or attempts per second
     overstates_demand: bool = False
-    reporting: bool = False  # set during a usage report, as a report can lead to calls and these to a report
+    reporting: bool = False  # prevents nested reports: a report can cause calls, which report usage
     attempted_at: int | None = None
     owed_attempts: float = 0.0  # attempts that are due under a rate limit and not made yet
     calls: list[StoreCall] = field(default_factory=list)
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -91,7 +91,7 @@
         self.counted_at = self.now
         self.worst: float = 0  # most calls in progress, or the highest level of the rate bucket
         self.remainder = 0  # most calls in progress that stopped processes wrote too late
-        self.level = 0.0  # of a leaky bucket that drains at the limit's rate
+        self.level = 0.0  # level of a leaky bucket that drains at the limit's rate
         self.level_at = self.now
         self.taken = 0  # calls admitted under a rate limit since the last step
 
