--- a/finchcart/fault_injection/soak/run.py
+++ b/finchcart/fault_injection/soak/run.py
@@ -164,7 +164,7 @@
 
     def _watch(self) -> None:
         while not self._ended.wait(WATCH_INTERVAL_S):
-            self._store_load.append((time.monotonic(), self._store.truth()["used"]))
+            self._store_load.append((time.monotonic(), self._store.snapshot()["used"]))
             for node in self._nodes:
                 node.watch()
 
--- a/finchcart/simulated_peers/__main__.py
+++ b/finchcart/simulated_peers/__main__.py
@@ -16,10 +16,10 @@
 from finchcart.net.clock import boot_clock
 from finchcart.simulated_peers.registry import SimulatedRegistry
 from finchcart.simulated_peers.server import parse_address
-from finchcart.simulated_peers.store import Capacity, FaultStates, SimulatedStore, StoreState, write_truth
+from finchcart.simulated_peers.store import Capacity, FaultStates, SimulatedStore, StoreState, write_snapshots
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-TRUTH_INTERVAL_S = 0.2
+SNAPSHOT_INTERVAL_S = 0.2
 
 
 def parse_arguments() -> argparse.Namespace:
@@ -117,7 +117,7 @@
     print("worker pools, store and registry are up; Ctrl-C ends them", flush=True)
     with suppress(KeyboardInterrupt):
         if arguments.truth and peers.store:
-            write_truth(peers.store, arguments.truth, TRUTH_INTERVAL_S)
+            write_snapshots(peers.store, arguments.truth, SNAPSHOT_INTERVAL_S)
         threading.Event().wait()
 
 
--- a/finchcart/simulated_peers/store.py
+++ b/finchcart/simulated_peers/store.py
@@ -160,7 +160,7 @@
         """Calls since the start."""
         return self.account.calls
 
-    def truth(self) -> dict:
+    def snapshot(self) -> dict:
         """Return the store's own count at this moment, a line of the truth file."""
         with self.lock:
             return self.account.snapshot()
@@ -235,9 +235,9 @@
         return False, work > limit
 
 
-def write_truth(store: SimulatedStore, path: str, interval: float) -> None:
+def write_snapshots(store: SimulatedStore, path: str, interval: float) -> None:
     """Append the store's own count to a file every `interval` seconds, for ever."""
     while True:
         time.sleep(interval)
         with Path(path).open("a", encoding="utf-8") as file:
-            file.write(json.dumps(store.truth()) + "\n")
+            file.write(json.dumps(store.snapshot()) + "\n")
