--- a/finchcart/simulated_peers/__init__.py
+++ b/finchcart/simulated_peers/__init__.py
@@ -1,5 +1,5 @@
 """Simulated peers of a node: worker pool, store, registry, clients and a load generator.
 
-Owns test doubles written from the protocol's pages, for examples, tests and fault injection. It must never
-be imported by a node, nor know how a node decides.
+The peers are test doubles for examples, tests and fault injection. They are written from the description of
+the protocols and are independent of a node's decisions. Code of a node must never import this package.
 """
--- a/finchcart/simulated_peers/__main__.py
+++ b/finchcart/simulated_peers/__main__.py
@@ -1,8 +1,8 @@
-"""Starts simulated worker pools, a store and a registry at the addresses of nodes' configurations.
+"""Run simulated worker pools, a store and a registry at the addresses in node configurations.
 
     python -m finchcart.simulated_peers example/config.json
 
-For trying nodes out by hand, for loopback tests and for the fault-injection suite.
+The command is used to try nodes out by hand, in loopback tests and in the fault-injection suite.
 """
 
 import argparse
@@ -23,26 +23,26 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("config", nargs="+", help="configurations of nodes: a worker pool for each")
-    parser.add_argument("--work-ms", type=float, default=50.0, help="of a run")
-    parser.add_argument("--spin", action="store_true", help="runs keep a core busy instead of sleeping")
-    parser.add_argument("--pools-only", action="store_true", help="store and registry are elsewhere")
-    parser.add_argument("--store-work-ms", type=float, default=0.0, help="of a call")
-    parser.add_argument("--limit", type=int, help="calls in hand that the store bears")
-    parser.add_argument("--rate", type=float, help="calls a second that the store bears")
-    parser.add_argument("--burst", type=int, default=0, help="calls at once beside the rate")
-    parser.add_argument("--effects", help="bodies of all runs are written here, line by line")
-    parser.add_argument("--place", action="append", default=[], help="one more place of the store")
-    parser.add_argument("--faults", help="a file with the states of the store's places")
-    parser.add_argument("--truth", help="the store's own count is written here, line by line")
+    parser.add_argument("config", nargs="+", help="node configurations; each gets its own worker pool")
+    parser.add_argument("--work-ms", type=float, default=50.0, help="duration of a run")
+    parser.add_argument("--spin", action="store_true", help="runs use CPU time instead of sleeping")
+    parser.add_argument("--pools-only", action="store_true", help="start no store and no registry")
+    parser.add_argument("--store-work-ms", type=float, default=0.0, help="duration of a call to the store")
+    parser.add_argument("--limit", type=int, help="capacity of the store in concurrent calls")
+    parser.add_argument("--rate", type=float, help="capacity of the store in calls per second")
+    parser.add_argument("--burst", type=int, default=0, help="burst size allowed on top of --rate, in calls")
+    parser.add_argument("--effects", help="file to which the body of each run is appended, one per line")
+    parser.add_argument("--place", action="append", default=[], help="additional address of the store")
+    parser.add_argument("--faults", help="JSON file with the state of each address")
+    parser.add_argument("--truth", help="file to which the store's counts are appended, one JSON line each")
     return parser.parse_args()
 
 
 def effect_writer(path: str) -> Callable[[bytes], None]:
-    """Return a function that appends a run's body and the time of its effect to the file."""
-    file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115  (open for as long as the process lives)
+    """Return a function that appends the time of a run's effect and the run's body to the file."""
+    file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115  (stays open until the process ends)
     lock = threading.Lock()
 
     def write(body: bytes) -> None:
@@ -54,7 +54,7 @@
 
 
 class SimulatedPeers:
-    """The peers of all configurations; they serve in threads from their making on."""
+    """The simulated peers of all node configurations; the constructor starts their threads."""
 
     def __init__(self, arguments: argparse.Namespace) -> None:
         self.arguments = arguments
@@ -92,7 +92,7 @@
         return self.faults.state(host) == StoreState.FAILING
 
     def _serve_store(self, address: str) -> None:
-        """Serve the one store at one more address."""
+        """Start the store at this address, or make the running store listen at it too."""
         if address in self.store_addresses:
             return
         self.store_addresses.add(address)
@@ -111,10 +111,10 @@
 
 
 def main() -> None:
-    """Serve until the process is ended."""
+    """Start the peers and serve until the process is interrupted."""
     arguments = parse_arguments()
     peers = SimulatedPeers(arguments)
-    print("worker pools, store and registry are up; Ctrl-C ends them", flush=True)
+    print("simulated peers are running; press Ctrl-C to stop them", flush=True)
     with suppress(KeyboardInterrupt):
         if arguments.truth and peers.store:
             write_snapshots(peers.store, arguments.truth, SNAPSHOT_INTERVAL_S)
--- a/finchcart/simulated_peers/server.py
+++ b/finchcart/simulated_peers/server.py
@@ -1,4 +1,4 @@
-"""What the simulated servers share: parsing an address, starting a thread, accepting connections."""
+"""Helpers of the simulated peers: parse an address, start a thread, run a threaded TCP server."""
 
 import socket
 import threading
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return `(host, port)` of "HOST:PORT"."""
+    """Parse "HOST:PORT" into `(host, port)`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -19,19 +19,19 @@
 
 
 class Server:
-    """A TCP server that handles each connection by `serve(connection)` in a thread of its own."""
+    """A TCP server that calls `serve(connection)` in a new thread for each accepted connection."""
 
     def __init__(self, address: Address) -> None:
-        self.accepted = 0  # connections since the start
+        self.accepted = 0  # number of connections accepted since the start
         self.listen(address)
 
     def listen(self, address: Address) -> None:
-        """Listen at this address from now on; connections made earlier are kept."""
+        """Listen at one more address; earlier listeners and connections stay open."""
         self.listener = socket.create_server(address)
         start_thread(self._accept_connections, self.listener)
 
     def serve(self, connection: socket.socket) -> None:
-        """Handle one connection until it ends; called in a thread of its own."""
+        """Handle one connection until it ends; subclasses override this."""
         raise NotImplementedError
 
     def _accept_connections(self, listener: socket.socket) -> None:
--- a/finchcart/simulated_peers/store.py
+++ b/finchcart/simulated_peers/store.py
@@ -1,4 +1,7 @@
-"""A simulated store: it answers calls and counts those in hand, the truth that limits are held against."""
+"""A simulated store, which answers calls and counts them.
+
+Its counts are the reference against which the fault-injection runs check the nodes' limits on calls.
+"""
 
 import json
 import select
@@ -16,23 +19,23 @@
 
 US_PER_S = 1_000_000
 FAULTS_READ_INTERVAL_S = 0.05
-SLOW_FACTOR = 10  # a slow store takes so many times its usual time,
-SLOW_LEAST_S = 0.2  # and at least so long
-HANG_S = 3600.0
+SLOW_FACTOR = 10  # ratio of a slow call's duration to the usual duration
+SLOW_MIN_S = 0.2  # lower bound on the duration of a slow call
+HANG_DURATION_S = 3600.0
 
 
 class StoreState(StrEnum):
-    """State of the store at one of its addresses, as the file of faults names it."""
+    """State of the store at one of its addresses; the values appear in the faults file."""
 
     OK = "ok"
-    DOWN = "down"  # a call breaks the connection
-    HANG = "hang"  # a call gets no answer
+    DOWN = "down"  # each call closes its connection without a reply
+    HANG = "hang"  # calls get no reply before their time limit
     SLOW = "slow"
-    FAILING = "failing"  # of a worker pool: its runs fail
+    FAILING = "failing"  # state of a worker pool's address: its runs fail
 
 
 class FaultStates:
-    """States of addresses as a JSON file gives them; the file is read again now and then."""
+    """State of each address, read from a JSON file that is polled for changes."""
 
     def __init__(self, path: str | None) -> None:
         self.path = path
@@ -40,105 +43,108 @@
         self.states: dict[str, str] = {}
 
     def state(self, host: str) -> str:
-        """Return the state of that address; "ok" where the file says nothing."""
+        """Return the state of an address; "ok" if the file does not list it."""
         now = time.monotonic()
         if self.path and now - self.read_at > FAULTS_READ_INTERVAL_S:
             self.read_at = now
-            with suppress(OSError, ValueError):  # not there yet
+            with suppress(OSError, ValueError):  # the file is missing or only partly written
                 self.states = json.loads(Path(self.path).read_text(encoding="utf-8"))
         return self.states.get(host, StoreState.OK)
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """The capacity of the store: calls in flight, or `rate` calls a second with `burst` at once."""
+    """Capacity of the store: `limit` calls in flight, or `rate` calls a second with bursts of `burst`."""
 
     limit: int | None = None
     rate: float | None = None
     burst: int = 0
 
 
-class CallAccount:
-    """Counts of calls, with times on the boot clock in microseconds; the owner holds a lock."""
+class CallStatistics:
+    """Counts of calls, with times in microseconds on the boot clock.
+
+    The class is not thread-safe: its owner has to hold a lock around `change` and `snapshot`.
+    """
 
     def __init__(self, capacity: Capacity) -> None:
         self.capacity = capacity
         self.calls = 0
-        self.late = 0  # calls whose time was over
-        self.wasted = 0  # calls that came while the store was down at their address
-        self.slowed = 0  # calls that came while it was slow
-        self.in_hand = 0
-        self.most = 0  # the most in hand at once,
-        self.most_lately = 0  # and since the last snapshot
-        self.used = 0.0  # call-seconds
-        self.counted_at = boot_clock()
-        # A bucket that empties at the rate.
-        self.level = 0.0
-        self.level_at = boot_clock()
-        self.fullest = 0.0
-        # Moments beyond the limit: (from, until, most at once).
-        self.over: list[tuple[int, int, int]] = []
-        self.over_from = 0
-        self.over_peak = 0
+        self.late = 0  # calls that exceeded their time limit
+        self.wasted = 0  # calls received at an address whose state is DOWN or HANG
+        self.slowed = 0  # calls received at an address whose state is SLOW
+        self.in_flight = 0
+        self.max_in_flight = 0  # since the start
+        self.recent_max_in_flight = 0  # since the last snapshot
+        self.used_call_seconds = 0.0  # integral of the calls in flight over time, up to `used_until`
+        self.used_until = boot_clock()
+        # Leaky bucket: each call adds 1, and it drains at the rate of the capacity.
+        self.bucket_level = 0.0
+        self.bucket_updated_at = boot_clock()
+        self.max_bucket_level = 0.0
+        # Periods with more calls in flight than the limit: (began, ended, highest number in flight).
+        self.excess_periods: list[tuple[int, int, int]] = []
+        self.excess_began = 0
+        self.excess_peak = 0
 
     def change(self, change: int) -> None:
-        """Count a call that came (+1) or ended (-1)."""
+        """Count a call that began (`change` is +1) or ended (-1)."""
         now = boot_clock()
-        self.used += self.in_hand * (now - self.counted_at) / US_PER_S
-        self.counted_at = now
-        before = self.in_hand
-        self.in_hand += change
-        self.most = max(self.most, self.in_hand)
-        self.most_lately = max(self.most_lately, self.in_hand)
+        self.used_call_seconds += self.in_flight * (now - self.used_until) / US_PER_S
+        self.used_until = now
+        before = self.in_flight
+        self.in_flight += change
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
+        self.recent_max_in_flight = max(self.recent_max_in_flight, self.in_flight)
         if change > 0:
             self.calls += 1
             self._fill_bucket(now)
         if self.capacity.limit is not None:
-            self._watch_limit(now, before, self.capacity.limit)
+            self._record_excess(now, before, self.capacity.limit)
 
     def _fill_bucket(self, now: int) -> None:
         if self.capacity.rate:
-            emptied = (now - self.level_at) * self.capacity.rate / US_PER_S
-            self.level = max(0.0, self.level - emptied) + 1
-            self.level_at = now
-            self.fullest = max(self.fullest, self.level)
-
-    def _watch_limit(self, now: int, before: int, limit: int) -> None:
-        if before <= limit < self.in_hand:
-            self.over_from = now
-            self.over_peak = self.in_hand
-        self.over_peak = max(self.over_peak, self.in_hand)
-        if self.in_hand <= limit < before:
-            self.over.append((self.over_from, now, self.over_peak))
+            drained = (now - self.bucket_updated_at) * self.capacity.rate / US_PER_S
+            self.bucket_level = max(0.0, self.bucket_level - drained) + 1
+            self.bucket_updated_at = now
+            self.max_bucket_level = max(self.max_bucket_level, self.bucket_level)
+
+    def _record_excess(self, now: int, before: int, limit: int) -> None:
+        if before <= limit < self.in_flight:
+            self.excess_began = now
+            self.excess_peak = self.in_flight
+        self.excess_peak = max(self.excess_peak, self.in_flight)
+        if self.in_flight <= limit < before:
+            self.excess_periods.append((self.excess_began, now, self.excess_peak))
 
     def snapshot(self) -> dict:
-        """Return the counts at this moment, under the names of the truth file."""
+        """Return the current counts under the keys of the `--truth` file, and reset the recent maximum."""
         now = boot_clock()
-        over = list(self.over)
-        if self.capacity.limit is not None and self.in_hand > self.capacity.limit:
-            over.append((self.over_from, now, self.over_peak))
-        most_lately = self.most_lately
-        self.most_lately = self.in_hand
+        excess_periods = list(self.excess_periods)
+        if self.capacity.limit is not None and self.in_flight > self.capacity.limit:
+            excess_periods.append((self.excess_began, now, self.excess_peak))
+        recent_max_in_flight = self.recent_max_in_flight
+        self.recent_max_in_flight = self.in_flight
         return {
             "t_us": now,
-            "in_hand": self.in_hand,
-            "most": self.most,
-            "lately": most_lately,
+            "in_hand": self.in_flight,
+            "most": self.max_in_flight,
+            "lately": recent_max_in_flight,
             "calls": self.calls,
             "late": self.late,
-            "used": self.used + self.in_hand * (now - self.counted_at) / US_PER_S,
-            "over": over,
-            "fullest": self.fullest,
+            "used": self.used_call_seconds + self.in_flight * (now - self.used_until) / US_PER_S,
+            "over": excess_periods,
+            "fullest": self.max_bucket_level,
             "wasted": self.wasted,
             "slowed": self.slowed,
         }
 
 
 class SimulatedStore(Server):
-    """The store: it answers each call with the call's body, reversed, after `work` seconds.
+    """A simulated store that answers each call with the reversed body of the call after `work` seconds.
 
-    It ends a call itself when the call's time is over, and abandons those of a connection that closes.
-    `override_reply(id, body)`, where set, returns the bytes of the reply, or None to break the connection.
+    A call that exceeds its time limit gets the reply LATE, and a call whose connection closes is abandoned.
+    `override_reply(id, body)`, if set, returns the bytes of the reply, or None to close the connection.
     """
 
     def __init__(
@@ -152,31 +158,31 @@
         self.faults = faults or FaultStates(None)
         self.override_reply: Callable[[bytes, bytes], bytes | None] | None = None
         self.lock = threading.Lock()
-        self.account = CallAccount(capacity or Capacity())
+        self.statistics = CallStatistics(capacity or Capacity())
         super().__init__(address)
 
     @property
     def calls(self) -> int:
-        """Calls since the start."""
-        return self.account.calls
+        """Number of calls since the start."""
+        return self.statistics.calls
 
     def snapshot(self) -> dict:
-        """Return the store's own count at this moment, a line of the truth file."""
+        """Return the current counts, which make up one line of the `--truth` file."""
         with self.lock:
-            return self.account.snapshot()
+            return self.statistics.snapshot()
 
     def serve(self, connection: socket.socket) -> None:
-        """Answer the calls of one connection, one after the other."""
+        """Answer the calls of one connection in sequence."""
         with suppress(OSError):  # the node has closed the connection
             host = connection.getsockname()[0]
             lines = connection.makefile("rb")
             for line in lines:
                 if not line.endswith(b"\r\n"):
-                    return  # the link was cut within a line; a whole line that is wrong still fails here
-                words = line.split()
-                if words[0] != b"CALL":
+                    return  # the connection broke within a line; a complete but malformed line raises below
+                fields = line.split()
+                if fields[0] != b"CALL":
                     continue
-                _, call_id, limit_ms, length = words
+                _, call_id, limit_ms, length = fields
                 body = lines.read(int(length) + 2)[:-2]
                 if not self._answer(connection, host, call_id, int(limit_ms) / 1000, body):
                     return
@@ -184,21 +190,21 @@
     def _answer(
         self, connection: socket.socket, host: str, call_id: bytes, limit: float, body: bytes
     ) -> bool:
-        """Answer one call within `limit` seconds; return whether the connection is still of use."""
+        """Answer one call within `limit` seconds; return whether the connection can take another call."""
         state = self.faults.state(host)
-        self.account.wasted += state in (StoreState.DOWN, StoreState.HANG)
-        self.account.slowed += state == StoreState.SLOW
+        self.statistics.wasted += state in (StoreState.DOWN, StoreState.HANG)
+        self.statistics.slowed += state == StoreState.SLOW
         if state == StoreState.DOWN:
-            self.account.calls += 1
+            self.statistics.calls += 1
             return False
-        self._count(+1)
+        self._count_call(+1)
         try:
             abandoned, late = self._wait(connection, limit, self._work_time(state))
         finally:
-            self._count(-1)
+            self._count_call(-1)
         if abandoned:
             return False
-        self.account.late += late
+        self.statistics.late += late
         reply = self._reply(call_id, body, late)
         if reply is None:
             connection.shutdown(socket.SHUT_RDWR)
@@ -206,14 +212,14 @@
         connection.sendall(reply)
         return True
 
-    def _count(self, change: int) -> None:
+    def _count_call(self, change: int) -> None:
         with self.lock:
-            self.account.change(change)
+            self.statistics.change(change)
 
     def _work_time(self, state: str) -> float:
         if state == StoreState.SLOW:
-            return max(SLOW_LEAST_S, SLOW_FACTOR * self.work)
-        return HANG_S if state == StoreState.HANG else self.work
+            return max(SLOW_MIN_S, SLOW_FACTOR * self.work)
+        return HANG_DURATION_S if state == StoreState.HANG else self.work
 
     def _reply(self, call_id: bytes, body: bytes, late: bool) -> bytes | None:
         if self.override_reply:
@@ -223,7 +229,7 @@
         return b"%s OK %d\r\n%s\r\n" % (call_id, len(body), body[::-1])
 
     def _wait(self, connection: socket.socket, limit: float, work: float) -> tuple[bool, bool]:
-        """Wait while the call is worked on; return (whether the node abandoned it, whether it was late)."""
+        """Wait for the duration of a call; return whether the node abandoned it, and whether it was late."""
         if not work:
             return False, False
         if select.select([connection], [], [], min(work, limit))[0]:
@@ -236,7 +242,7 @@
 
 
 def write_snapshots(store: SimulatedStore, path: str, interval: float) -> None:
-    """Append the store's own count to a file every `interval` seconds, for ever."""
+    """Append a snapshot of the store's counts to a file every `interval` seconds; never returns."""
     while True:
         time.sleep(interval)
         with Path(path).open("a", encoding="utf-8") as file:
--- a/finchcart/simulated_peers/worker_pool.py
+++ b/finchcart/simulated_peers/worker_pool.py
@@ -1,4 +1,4 @@
-"""A simulated worker pool: runs sleep, or keep a core busy, and answer with their body in capitals."""
+"""A simulated worker pool, whose runs sleep or use CPU time and return their body in upper case."""
 
 import json
 import socket
@@ -13,14 +13,14 @@
 
 from finchcart.simulated_peers.server import Address, Server, start_thread
 
-GATE_TIMEOUT_S = 30  # longest time that a run waits at a closed gate
-REPLY_TIMEOUT_S = 10  # longest time that a run waits for the answer to its call
-CORRUPT_NOTICE_BYTES = 20  # a corrupt notice is cut off after so many bytes
+GATE_TIMEOUT_S = 30  # longest time that a run waits for `SimulatedWorkerPool.gate` to be set
+REPLY_TIMEOUT_S = 10  # longest time that a run waits for the reply to its call
+CORRUPT_NOTICE_BYTES = 20  # length to which a corrupt notice is truncated
 MS_PER_S = 1000
 
 
 class LoadSample(NamedTuple):
-    """How many runs wanted a core from this moment on."""
+    """The number of runs that need a core, valid from `at` until the next sample."""
 
     at: float  # on the monotonic clock
     on_cores: int
@@ -28,18 +28,20 @@
 
 @dataclass
 class RunTiming:
-    """When a run was active, on the monotonic clock."""
+    """Start, end and wait time of one run, on the monotonic clock."""
 
     handle: str
     method: str
     body: bytes
     began: float
     ended: float | None = None
-    wait_began: float | None = None  # for the answer to its call: off the cores
+    wait_began: float | None = (
+        None  # start of the wait for the reply to its call; a waiting run needs no core
+    )
     wait_ended: float | None = None
 
     def spans_on_cores(self) -> list[tuple[float, float | None]]:
-        """Return when it wanted a core: from, until; None: until now."""
+        """Return the periods in which the run needed a core as (began, ended); None if it still does."""
         if self.wait_began is None:
             return [(self.began, self.ended)]
         spans: list[tuple[float, float | None]] = [(self.began, self.wait_began)]
@@ -50,35 +52,38 @@
 class SimulatedRun:
     """One run of a method."""
 
-    waits: bool = False  # for the answer to its call
+    waits: bool = False  # whether it is waiting for the reply to its call
     reply: bytes | None = None
     replied: threading.Event = field(default_factory=threading.Event)
 
 
 def highest_mean(samples: Sequence[LoadSample], window_s: float) -> float:
-    """Return the highest mean of a load over any window of that length that ends at one of the samples."""
+    """Return the highest mean load over all windows of `window_s` seconds that end at a sample."""
     highest = 0.0
-    area = 0.0  # under the load since the first sample
-    first = 0  # sample that the window begins in
-    areas = [0.0]
+    area = 0.0  # integral of the load since the first sample
+    first = 0  # index of the sample that is valid when the window begins
+    cumulative_areas = [0.0]
     for before, after in pairwise(samples):
         area += before.on_cores * (after.at - before.at)
-        areas.append(area)
+        cumulative_areas.append(area)
         begin = after.at - window_s
         while samples[first + 1].at <= begin:
             first += 1
-        outside = areas[first] + samples[first].on_cores * max(0.0, begin - samples[first].at)
-        highest = max(highest, (area - outside) / window_s)
+        area_before_window = cumulative_areas[first] + samples[first].on_cores * max(
+            0.0, begin - samples[first].at
+        )
+        highest = max(highest, (area - area_before_window) / window_s)
     return highest
 
 
 class SimulatedWorkerPool(Server):
     """The worker pool of one node.
 
-    Notices are numbered from 1; a connection that binds is sent those after its cursor.
+    Notices are numbered from 1. A connection that sends `bind` receives all notices after the cursor in that
+    message.
 
-    `methods` maps each method's name to whether its runs make a call, `work` is the duration of a run in
-    seconds, and with `spin` a run uses that much CPU time in place of sleeping. While `is_failing()` is true
+    `methods` maps each method's name to whether its runs make a call. `work` is the duration of a run in
+    seconds; with `spin`, a run uses that much CPU time instead of sleeping. While `is_failing()` is true,
     runs fail at once. `on_effect(body)` is called at the moment of each run's effect.
     """
 
@@ -101,16 +106,16 @@
         self.lock = threading.Lock()
         self.connection: socket.socket | None = None
         self.notices: list[dict] = []
-        self.highest_cursor = 0  # of the notices that the node said it had read, in its life
-        self.fate = "old"  # whether the process is the one that the node knew: "old" or "new"
+        self.last_cursor = 0  # cursor of the last `bind`; the node has read the notices up to it
+        self.fate = "old"  # "new" once the pool has restarted, which the node learns from `bound`
         self.runs: dict[str, SimulatedRun] = {}
         self.started = time.monotonic()
-        self.spawned: list[tuple[str, str, bytes]] = []  # (id, method, body) of every run
-        self.history: list[RunTiming] = []  # the same, with times
-        self.load: list[LoadSample] = [LoadSample(self.started, 0)]  # at each change
-        self.polls = 0  # how often the node asked for the gauges
-        self.corrupt_notices: dict[str, int] = {}  # id -> how many more of its notices can't be read
-        self.gate = threading.Event()  # runs start to work while it is set
+        self.spawned: list[tuple[str, str, bytes]] = []  # (id, method, body) of every run since the start
+        self.history: list[RunTiming] = []  # timing of every run since the start
+        self.load: list[LoadSample] = [LoadSample(self.started, 0)]  # one sample for each change
+        self.polls = 0  # number of polls for the gauges
+        self.corrupt_notices: dict[str, int] = {}  # run id -> number of its next notices to truncate
+        self.gate = threading.Event()  # while it is not set, new runs wait before they work
         self.gate.set()
         super().__init__(address)
 
@@ -123,7 +128,7 @@
         for line in self._lines(connection):
             try:
                 message = json.loads(line)
-            except ValueError:  # no command, or half of one
+            except ValueError:  # a malformed or truncated command
                 with suppress(OSError):
                     connection.shutdown(socket.SHUT_RDWR)
                 return
@@ -143,7 +148,7 @@
             if self.corrupt_notices[handle] >= 0:
                 line = line[:CORRUPT_NOTICE_BYTES]
         if connection is not None:
-            with suppress(OSError):  # the notice is kept for the next connection
+            with suppress(OSError):  # a lost notice is sent again on the next connection
                 connection.sendall(line + b"\n")
 
     def _notify(self, event: str, **message: object) -> None:
@@ -153,11 +158,11 @@
             self._write(self.connection, **message)
 
     def restart(self) -> None:
-        """Simulate a new, cold process: its runs are lost and notices are numbered from 1."""
+        """Simulate a restart of the process: all runs are lost, and notices are numbered from 1 again."""
         with self.lock:
             self.runs = {}
             self.notices = []
-            self.highest_cursor = 0
+            self.last_cursor = 0
             self.started = time.monotonic()
             for record in self.history:
                 record.ended = record.ended or self.started
@@ -168,17 +173,17 @@
         """Close the bound connection, if there is one."""
         with self.lock:
             if self.connection:
-                with suppress(OSError):  # it has ended
+                with suppress(OSError):  # the connection is already closed
                     self.connection.shutdown(socket.SHUT_RDWR)
 
-    # ---- messages: each handler returns whether the message was understood
+    # ---- message handlers; each returns whether it could handle the message
 
     def _bind(self, connection: socket.socket, message: dict) -> bool:
         with self.lock:
             self.connection = connection
-            if message["cursor"] == 0 and self.highest_cursor:
-                self.notices.clear()  # the node has restarted: numbers begin at 1 again
-            self.highest_cursor = message["cursor"]
+            if message["cursor"] == 0 and self.last_cursor:
+                self.notices.clear()  # the node has restarted and expects numbers from 1
+            self.last_cursor = message["cursor"]
             age_ms = int((time.monotonic() - self.started) * MS_PER_S)
             self._write(connection, event="bound", fate=self.fate, lasted=age_ms)
             for notice in self.notices[message["cursor"] :]:
@@ -198,7 +203,7 @@
         method = message["entry"]
         if method not in self.methods:
             return False
-        if handle not in self.runs:  # one that ended is not known any more: it runs again
+        if handle not in self.runs:  # a finished run is forgotten, so its id starts a new run
             run = self.runs[handle] = SimulatedRun()
             start_thread(self._execute, handle, run, method, b64decode(message["arg"]))
         return True
@@ -213,17 +218,17 @@
 
     # ---- load
 
-    def _load_changed(self) -> None:
+    def _record_load(self) -> None:
         with self.lock:
             on_cores = sum(not run.waits for run in list(self.runs.values()))
             self.load.append(LoadSample(time.monotonic(), on_cores))
 
     def peak_load(self) -> int:
-        """Return the most runs that wanted a core at once."""
+        """Return the highest number of runs that needed a core at the same time."""
         return max(sample.on_cores for sample in self.load)
 
     def highest_mean_load(self, window_s: float) -> float:
-        """Return the highest mean of the runs that wanted a core, over any window of that length."""
+        """Return the highest mean number of runs that needed a core, over windows of `window_s` seconds."""
         return highest_mean(self.load, window_s)
 
     # ---- runs
@@ -233,15 +238,15 @@
         self.spawned.append((handle, method, body))
         record = RunTiming(handle, method, body, began)
         self.history.append(record)
-        self._load_changed()
+        self._record_load()
         failing = self.is_failing()
         self.gate.wait(GATE_TIMEOUT_S)
         fate, result = ("bad", b"") if failing else self._work(record, run)
         if self.runs.get(handle) is not run:
-            return  # lost with the process that it ran in
+            return  # the run was lost in a simulated restart
         del self.runs[handle]
         record.ended = time.monotonic()
-        self._load_changed()
+        self._record_load()
         self._notify(
             "finished",
             handle=handle,
@@ -251,7 +256,7 @@
         )
 
     def _work(self, record: RunTiming, run: SimulatedRun) -> tuple[str, bytes]:
-        """Do the work of a run; return its fate and its result."""
+        """Do the work of a run; return the `fate` field of its `finished` notice and its result."""
         fate = "good"
         body = record.body
         result = body.upper()
@@ -259,7 +264,7 @@
         if self.methods[record.method]:
             record.wait_began = time.monotonic()
             run.waits = True
-            self._load_changed()
+            self._record_load()
             self._notify("blocked", handle=record.handle, arg=b64encode(b"about " + body).decode())
             if run.replied.wait(REPLY_TIMEOUT_S):
                 result += b" " + (run.reply or b"")
@@ -267,14 +272,14 @@
                 fate = "cut"
             run.waits = False
             record.wait_ended = time.monotonic()
-            self._load_changed()
+            self._record_load()
         if self.on_effect:
             self.on_effect(body)
         self._work_half()
         return fate, result
 
     def _work_half(self) -> None:
-        """Spend half of a run's time; spinning counts the CPU time of this thread alone."""
+        """Spend half of a run's duration; with `spin`, measured in CPU time of this thread."""
         if not self.spin:
             time.sleep(self.work / 2)
             return
