--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The checks under tools/: what they report, and what they let pass."""
+"""Tests of the checks in tools/: what each check reports and what it accepts."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def tree(tmp_path):
-    """A source tree in which one module breaks two rules, and a test none that holds for tests."""
+    """Return a source tree in which only `bad.py` violates rules; tests are exempt from D100."""
     (tmp_path / "bad.py").write_text("import os\n")
     (tmp_path / "good.py").write_text('"""Good."""\n')
     (tmp_path / "tests").mkdir()
@@ -24,17 +24,17 @@
     return tmp_path
 
 
-def broken_in(tree, entries):
+def violated_in(tree, entries):
     text = PROJECT.format(entries=entries)
     (tree / "pyproject.toml").write_text(text)
-    return unfinished.broken_rules(tree, text), unfinished.listed_rules(text)
+    return unfinished.violated_rules(tree, text), unfinished.listed_rules(text)
 
 
 @pytest.mark.parametrize("entries", ["", '"bad.py" = ["D100", "F401"]\n', '"good.py" = ["D100"]\n'])
-def test_broken_rules_do_not_depend_on_the_list(tree, entries):
-    broken, _ = broken_in(tree, entries)
-    assert broken == {"bad.py": {"D100", "F401"}}
-    assert unfinished.format_entries(broken) == '"bad.py" = ["D100", "F401"]\n'
+def test_violated_rules_do_not_depend_on_the_list(tree, entries):
+    violated, _ = violated_in(tree, entries)
+    assert violated == {"bad.py": {"D100", "F401"}}
+    assert unfinished.format_entries(violated) == '"bad.py" = ["D100", "F401"]\n'
 
 
 @pytest.mark.parametrize(
@@ -48,20 +48,20 @@
         ),
     ],
 )
-def test_a_listed_rule_that_is_not_broken_is_stale(tree, entries, stale):
-    broken, listed = broken_in(tree, entries)
-    lines = unfinished.stale_entries(listed, broken)
+def test_a_listed_rule_that_is_not_violated_is_stale(tree, entries, stale):
+    violated, listed = violated_in(tree, entries)
+    lines = unfinished.stale_entries(listed, violated)
     assert len(lines) == len(stale)
     for line, start in zip(lines, stale, strict=True):
         assert line.startswith(f"pyproject.toml: {start} is listed")
 
 
-def test_the_list_needs_both_markers():
+def test_the_list_requires_both_markers():
     with pytest.raises(ValueError, match="begin: modules"):
         unfinished.split_at_markers('"a.py" = []\n# end: modules that are not finished\n')
 
 
-def test_links_that_lead_nowhere_are_told(tmp_path):
+def test_broken_links_are_reported(tmp_path):
     (tmp_path / "other.md").write_text("# One heading, `two`\n```\n# no heading\n```\n")
     page = tmp_path / "page.md"
     page.write_text(
@@ -85,36 +85,36 @@
 }
 
 
-def planted_circles(tmp_path, **planted):
-    """The report on a tree that has no circle, but for the modules that are planted."""
-    for name, text in {**MODULES, **planted}.items():
+def cycles_in_tree(tmp_path, **extra_modules):
+    """Return the report on a source tree without import cycles, after adding `extra_modules`."""
+    for name, text in {**MODULES, **extra_modules}.items():
         path = tmp_path / "finchcart" / f"{name}.py"
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(text)
-    return import_circles.report(tmp_path)
+    return import_circles.cycle_report(tmp_path)
 
 
-def test_a_tree_without_circles_passes(tmp_path):
-    assert planted_circles(tmp_path) == []
+def test_a_tree_without_cycles_passes(tmp_path):
+    assert cycles_in_tree(tmp_path) == []
 
 
 @pytest.mark.parametrize(
-    "back",
+    "import_back",
     [
         "from finchcart.a import one\n",
         "def later():\n    import finchcart.a.one\n",
         "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from finchcart.a.one import name\n",
     ],
 )
-def test_a_planted_circle_is_found_wherever_the_import_stands(tmp_path, back):
-    assert planted_circles(tmp_path, **{"b/three": back}) == [
+def test_a_cycle_is_reported_wherever_the_import_is_written(tmp_path, import_back):
+    assert cycles_in_tree(tmp_path, **{"b/three": import_back}) == [
         "modules: finchcart.a.one <-> finchcart.a.two <-> finchcart.b.three",
         "packages: finchcart.a <-> finchcart.b",
     ]
 
 
-def test_packages_that_import_each_other_are_found_without_a_circle_of_modules(tmp_path):
-    assert planted_circles(tmp_path, **{"a/four": "", "c": "import finchcart.a.four\n"}) == [
+def test_a_package_cycle_is_reported_without_a_module_cycle(tmp_path):
+    assert cycles_in_tree(tmp_path, **{"a/four": "", "c": "import finchcart.a.four\n"}) == [
         "packages: finchcart.a <-> finchcart.b <-> finchcart.c"
     ]
 
@@ -132,21 +132,21 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "starts"),
+    ("listed", "line_starts"),
     [
         ([], ["bad.py:1: error: "]),
         (["bad"], []),
         (["bad", "good"], ["pyproject.toml: good is listed and passes mypy"]),
     ],
 )
-def test_the_list_of_the_type_checker_is_exact(tmp_path, listed, starts):
+def test_errors_of_unlisted_modules_and_listed_modules_that_pass_are_reported(tmp_path, listed, line_starts):
     (tmp_path / "bad.py").write_text('number: int = "text"\n')
     (tmp_path / "good.py").write_text("number: int = 1\n")
     entries = "".join(f'    "{module}",\n' for module in listed)
     text = TYPED_PROJECT.format(entries=entries)
     errors = type_checks.errors_by_module(tmp_path, text)
-    lines = type_checks.complaints(type_checks.listed_modules(text), errors)
-    assert len(lines) == len(starts)
-    for line, start in zip(lines, starts, strict=True):
+    lines = type_checks.violations(type_checks.listed_modules(text), errors)
+    assert len(lines) == len(line_starts)
+    for line, start in zip(lines, line_starts, strict=True):
         assert line.startswith(start)
     assert type_checks.format_entries(errors) == '    "bad",\n'
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the source tree that the linter does not have; run by `make lint` and `.ci/run`."""
+"""Checks of the source tree that complement the linter; run by `make lint` and `.ci/run`."""
--- a/tools/links.py
+++ b/tools/links.py
@@ -1,9 +1,10 @@
-"""Check that the relative links of the project's pages lead somewhere.
+"""Check that the targets of relative links in the project's Markdown files exist.
 
-Reads the Markdown files in the root, `docs/`, `example/` and `benchmarks/`. A link has to name a file or
-folder that exists and, after `#`, a heading of that page. Links with a scheme (`https:`) are left alone.
+The check reads the Markdown files in the root, `docs/`, `example/` and `benchmarks/`. The target of a link
+has to be an existing file or folder and, after `#`, a heading of that file. Links with a scheme (`https:`)
+are not checked.
 
-    python tools/links.py    # status 1, and a line for each, if links are broken
+    python tools/links.py    # prints a line for each broken link; exits with status 1 if there are any
 """
 
 import re
@@ -27,7 +28,7 @@
 
 
 def broken_links(root: Path, page: Path) -> Iterator[str]:
-    """One line for each link of the page that leads nowhere."""
+    """Yield one line for each broken link of the page."""
     for target in _LINK.findall(_FENCED_BLOCK.sub("", page.read_text())):
         if _SCHEME.match(target):
             continue
@@ -40,7 +41,7 @@
 
 
 def main() -> int:
-    """Check all pages; the result is the exit status."""
+    """Check all pages and return the exit status."""
     pages = sorted({page for pattern in PAGES for page in ROOT.glob(pattern)})
     broken = [line for page in pages for line in broken_links(ROOT, page)]
     if broken:
--- a/tools/type_checks.py
+++ b/tools/type_checks.py
@@ -1,10 +1,11 @@
-"""Run the type checker, and keep its list of unfinished modules exact, so that it only shrinks.
+"""Run the type checker, and check that the list of modules with known type errors is exact.
 
-The list stands in pyproject.toml, between two marker lines in the override with `ignore_errors`: the modules
-in which mypy finds errors. A module that is not listed, a new one above all, has to pass.
+The list is in pyproject.toml, between two marker lines in the override with `ignore_errors`, and names the
+modules in which mypy finds errors. A module that is not listed, such as a new one, has to pass. A listed
+module that passes has to be removed, so that the list only shrinks.
 
-    python tools/type_checks.py             # status 1 where an unlisted module fails or a listed one passes
-    python tools/type_checks.py --write     # make the list anew (`make unfinished`)
+    python tools/type_checks.py             # status 1 if an unlisted module fails or a listed one passes
+    python tools/type_checks.py --write     # regenerates the list (`make unfinished`)
 """
 
 import argparse
@@ -22,7 +23,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """Return the text of pyproject.toml before the list, the list, and what follows, without the markers."""
+    """Split pyproject.toml into the text up to the list, the list, and the text from its end marker on."""
     before, begin, rest = text.partition(BEGIN)
     listed, end, after = rest.partition(END)
     if not begin or not end:
@@ -38,12 +39,12 @@
 
 
 def module_name(path: str) -> str:
-    """Return the module of a source file."""
+    """Return the name of the module in a source file."""
     return path.removesuffix(".py").replace("/", ".").removesuffix(".__init__")
 
 
 def errors_by_module(root: Path, text: str) -> dict[str, list[str]]:
-    """Return the errors of each module when the list is left out of account."""
+    """Return the errors of each module, including the listed modules."""
     before, _, after = split_at_markers(text)
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "pyproject.toml"
@@ -52,15 +53,15 @@
         run = subprocess.run(command, cwd=root, stdout=subprocess.PIPE, text=True, check=False)
     errors: dict[str, list[str]] = {}
     for line in run.stdout.splitlines():
-        found = ERROR.match(line)
-        if found:
-            errors.setdefault(module_name(found["path"]), []).append(line)
+        match = ERROR.match(line)
+        if match:
+            errors.setdefault(module_name(match["path"]), []).append(line)
     if run.returncode != 0 and not errors:
         raise RuntimeError(f"mypy failed with status {run.returncode}: {run.stdout[:500]}")
     return errors
 
 
-def complaints(listed: set[str], errors: dict[str, list[str]]) -> list[str]:
+def violations(listed: set[str], errors: dict[str, list[str]]) -> list[str]:
     """Return the errors of modules that are not listed, and a line for each listed module that passes."""
     lines = [line for module, found in sorted(errors.items()) if module not in listed for line in found]
     for module in sorted(listed - set(errors)):
@@ -69,14 +70,14 @@
 
 
 def format_entries(errors: dict[str, list[str]]) -> str:
-    """Return the list as it stands in pyproject.toml, one module a line."""
+    """Return the entries of the list for pyproject.toml, one module per line."""
     return "".join(f'    "{module}",\n' for module in sorted(errors))
 
 
 def main() -> int:
-    """Run the command line; the result is the exit status."""
-    parser = argparse.ArgumentParser(description="Run the type checker and keep its list of modules exact.")
-    parser.add_argument("--write", action="store_true", help="make the list anew")
+    """Run the command line and return the exit status."""
+    parser = argparse.ArgumentParser(description="Run the type checker and check its list of modules.")
+    parser.add_argument("--write", action="store_true", help="regenerate the list")
     arguments = parser.parse_args()
 
     project = ROOT / "pyproject.toml"
@@ -87,7 +88,7 @@
         project.write_text(before + format_entries(errors) + after)
         print(f"{len(errors)} modules do not pass mypy, {sum(map(len, errors.values()))} errors")
         return 0
-    lines = complaints(listed_modules(text), errors)
+    lines = violations(listed_modules(text), errors)
     if lines:
         print("\n".join(lines), file=sys.stderr)
     return 1 if lines else 0
--- a/tools/unfinished.py
+++ b/tools/unfinished.py
@@ -1,12 +1,12 @@
-"""Keep the linter's list of unfinished modules in pyproject.toml exact, so that it only shrinks.
+"""Check that the list of known linter violations in pyproject.toml has no stale entries.
 
-The list stands between two marker lines in `[tool.ruff.lint.per-file-ignores]`: each module that breaks
-rules, with exactly those rules. Ruff itself reports a broken rule that is not listed; this script reports the
-opposite, a listed rule that is broken no longer.
+The list is between two marker lines in `[tool.ruff.lint.per-file-ignores]` and names each module that
+violates rules, with exactly these rules. Ruff itself reports a violated rule that is not listed. This script
+reports a listed rule that is no longer violated, so that the list only shrinks.
 
-    python tools/unfinished.py              # status 1, and a line for each, if entries are stale
-    python tools/unfinished.py --write      # make the list anew (`make unfinished`)
-    python tools/unfinished.py --summary    # how many modules break each rule
+    python tools/unfinished.py              # prints stale entries; exits with status 1 if there are any
+    python tools/unfinished.py --write      # regenerates the list (`make unfinished`)
+    python tools/unfinished.py --summary    # prints how many modules violate each rule
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 def split_at_markers(text: str) -> tuple[str, str, str]:
-    """Return the text of pyproject.toml before the list, the list, and what follows, without the markers."""
+    """Split pyproject.toml into the text up to the list, the list, and the text from its end marker on."""
     lines = text.splitlines(keepends=True)
     starts = [number for number, line in enumerate(lines) if line.startswith(BEGIN)]
     ends = [number for number, line in enumerate(lines) if line.startswith(END)]
@@ -49,59 +49,59 @@
     return {pattern: rules for pattern, rules in ignores.items() if pattern not in listed}
 
 
-def broken_rules(root: Path, text: str) -> RulesByFile:
-    """Return the rules that each file breaks when the list is left out of account."""
+def violated_rules(root: Path, text: str) -> RulesByFile:
+    """Return the rules that each file violates, including the listed ones."""
     ignores = json.dumps(permanent_ignores(text)).replace('":', '" =')
     command = [sys.executable, "-m", "ruff", "check", "--no-cache", "--exit-zero", "--output-format", "json"]
     command += ["--config", f"lint.per-file-ignores = {ignores}", "."]
     run = subprocess.run(command, cwd=root, check=True, stdout=subprocess.PIPE, text=True)
-    broken: RulesByFile = {}
+    violated: RulesByFile = {}
     for violation in json.loads(run.stdout):
         path = Path(violation["filename"]).relative_to(root.resolve()).as_posix()
-        broken.setdefault(path, set()).add(violation["code"])
-    return broken
+        violated.setdefault(path, set()).add(violation["code"])
+    return violated
 
 
-def stale_entries(listed: RulesByFile, broken: RulesByFile) -> list[str]:
-    """One line for each listed rule that its file does not break."""
+def stale_entries(listed: RulesByFile, violated: RulesByFile) -> list[str]:
+    """Return one line for each listed rule that its file does not violate."""
     return [
-        f"pyproject.toml: {path}: {rule} is listed and not broken any more: run `make unfinished`"
+        f"pyproject.toml: {path}: {rule} is listed but no longer violated: run `make unfinished`"
         for path, rules in sorted(listed.items())
-        for rule in sorted(rules - broken.get(path, set()))
+        for rule in sorted(rules - violated.get(path, set()))
     ]
 
 
-def format_entries(broken: RulesByFile) -> str:
-    """Return the list as it stands in pyproject.toml, one file a line."""
-    return "".join(f'"{path}" = {json.dumps(sorted(rules))}\n' for path, rules in sorted(broken.items()))
+def format_entries(violated: RulesByFile) -> str:
+    """Return the entries of the list for pyproject.toml, one file per line."""
+    return "".join(f'"{path}" = {json.dumps(sorted(rules))}\n' for path, rules in sorted(violated.items()))
 
 
-def summary(broken: RulesByFile) -> Iterable[str]:
-    """One line for each rule, with the number of files that break it, the most first."""
-    files_by_rule = Counter(rule for rules in broken.values() for rule in rules)
-    yield f"{len(broken)} modules, {files_by_rule.total()} rules"
+def summary(violated: RulesByFile) -> Iterable[str]:
+    """Yield the totals, and the number of files that violate each rule in descending order."""
+    files_by_rule = Counter(rule for rules in violated.values() for rule in rules)
+    yield f"{len(violated)} modules, {files_by_rule.total()} rules"
     for rule, files in files_by_rule.most_common():
         yield f"{files:5} {rule}"
 
 
 def main() -> int:
-    """Run the command line; the result is the exit status."""
-    parser = argparse.ArgumentParser(description="Keep the linter's list of unfinished modules exact.")
+    """Run the command line and return the exit status."""
+    parser = argparse.ArgumentParser(description="Check the list of known linter violations.")
     action = parser.add_mutually_exclusive_group()
-    action.add_argument("--write", action="store_true", help="make the list anew")
-    action.add_argument("--summary", action="store_true", help="tell how many modules break each rule")
+    action.add_argument("--write", action="store_true", help="regenerate the list")
+    action.add_argument("--summary", action="store_true", help="print how many modules violate each rule")
     arguments = parser.parse_args()
 
     project = ROOT / "pyproject.toml"
     text = project.read_text()
-    broken = broken_rules(ROOT, text)
+    violated = violated_rules(ROOT, text)
     if arguments.write:
         before, _, after = split_at_markers(text)
-        project.write_text(before + format_entries(broken) + after)
+        project.write_text(before + format_entries(violated) + after)
     if arguments.write or arguments.summary:
-        print("\n".join(summary(broken)))
+        print("\n".join(summary(violated)))
         return 0
-    stale = stale_entries(listed_rules(text), broken)
+    stale = stale_entries(listed_rules(text), violated)
     if stale:
         print("\n".join(stale), file=sys.stderr)
     return 1 if stale else 0
