--- a/finchcart/simulated_peers/client.py
+++ b/finchcart/simulated_peers/client.py
@@ -1,10 +1,10 @@
-"""A simulated client: sends a few RPCs to a node and prints the answers.
+"""A simulated client, which sends a few RPCs to a node and prints the answers.
 
     .venv/bin/python -m finchcart.simulated_peers.client example/config.json look-up "which bird is that"
     .venv/bin/python -m finchcart.simulated_peers.client example/config.json book "seat 12" "seat 12"
 
-Each text is one RPC; of a method with idempotency keys, equal texts are attempts of the same RPC and carry
-the same key.
+Each text is the body of one RPC. If the method takes idempotency keys, the key is derived from the text, so
+equal texts are attempts of the same RPC.
 """
 
 import hashlib
@@ -40,25 +40,25 @@
 
 
 class ClientOutcome(StrEnum):
-    """What became of an RPC; the values stand in result files."""
+    """Outcome of an RPC; the values are written to result files."""
 
     OK = "ok"
     NOT_GOOD = "not good"
     REJECTED = "pushed back"
     FAILED = "aborted"
     EXCEPTION = "exception"
-    ONEWAY = "oneway"  # a message that answers nothing
+    ONEWAY = "oneway"  # a message from the node that is not an answer
     NO_ANSWER = "no answer"
     NO_CONNECTION = "no connection"
 
 
 class Answer(NamedTuple):
-    """One message of a node."""
+    """One message from a node."""
 
-    name: str  # of the method, or "closing"
+    name: str  # name of the answered method, or "closing"
     sequence: int
     outcome: ClientOutcome
-    body: bytes  # or the text of an exception
+    body: bytes  # result of the RPC, or the text of an exception
     fields: dict[str, str]
 
 
@@ -68,13 +68,13 @@
     def __init__(self, address: Address, source: Address | None = None) -> None:
         self.sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=source)
         self.sequence = 0
-        self.submitted_bytes = 0  # written so far, of RPCs that were written whole
+        self.submitted_bytes = 0  # total size of the RPCs that were sent completely
         self.received_bytes = 0
 
-    def submit(self, method: str, body: bytes, key: str | None = None, **more: str) -> int:
+    def submit(self, method: str, body: bytes, key: str | None = None, **extra_fields: str) -> int:
         """Send an RPC, with an idempotency key if one is given; return its sequence number.
 
-        `more` are further fields of the protocol's header, or other values of the usual ones.
+        `extra_fields` are added to the header fields of the RPC, and override those of the same name.
         """
         fields = {
             "c": method,
@@ -84,7 +84,7 @@
             "h": "50.00",
             "m": "24.5",
             "p": "0.5000",
-            **more,
+            **extra_fields,
         }
         if key:
             fields["k"] = key
@@ -102,7 +102,11 @@
         return self.sequence
 
     def answer(self) -> Answer:
-        """Return the next message; `EOFError` where the node closed the connection."""
+        """Return the next message from the node.
+
+        Raises:
+            EOFError: the node closed the connection.
+        """
         reader = Reader(self._receive(LENGTH.unpack(self._receive(4))[0]))
         kind = reader.read_integer(I32) & 0xFF
         name = reader.read_string().decode()
@@ -112,23 +116,23 @@
             return Answer(name, sequence, ClientOutcome.EXCEPTION, _bytes_of(arguments[1, STRING]), {})
         if kind == ONEWAY:
             return Answer(name, sequence, ClientOutcome.ONEWAY, b"", {})
-        (field_number, _), inner = next(iter(arguments.items()))
-        if not isinstance(inner, dict):
-            raise ProtocolError(f"a reply to {name}: expected a struct, got {inner!r:.60}")
-        fields = decode_text_map(inner[(2 if field_number == 0 else 1), MAP]) or {}
+        (field_number, _), struct = next(iter(arguments.items()))
+        if not isinstance(struct, dict):
+            raise ProtocolError(f"reply to {name}: expected a struct, got {struct!r:.60}")
+        fields = decode_text_map(struct[(2 if field_number == 0 else 1), MAP]) or {}
         if field_number == 0:
-            outcome = ClientOutcome.OK if inner[3, BOOL] else ClientOutcome.NOT_GOOD
-            return Answer(name, sequence, outcome, _bytes_of(inner[1, STRING]), fields)
+            outcome = ClientOutcome.OK if struct[3, BOOL] else ClientOutcome.NOT_GOOD
+            return Answer(name, sequence, outcome, _bytes_of(struct[1, STRING]), fields)
         outcome = (ClientOutcome.REJECTED, ClientOutcome.FAILED)[field_number - 1]
         return Answer(name, sequence, outcome, b"", fields)
 
     def _receive(self, count: int) -> bytes:
         data = b""
         while len(data) < count:
-            part = self.sock.recv(count - len(data))
-            if not part:
+            chunk = self.sock.recv(count - len(data))
+            if not chunk:
                 raise EOFError("the node closed the connection")
-            data += part
+            data += chunk
         self.received_bytes += count
         return data
 
@@ -140,20 +144,20 @@
 
 
 def main() -> None:
-    """Send each text of the command line as one RPC and print the answers."""
+    """Send each text on the command line as one RPC and print the answers."""
     path, method, *texts = sys.argv[1:]
     config = json.loads(Path(path).read_text(encoding="utf-8"))
     effects = {service["name"]: service["effect"] for service in config["settings"]["services"]}
-    keyed = effects.get(method) == "idempotency_key"
+    takes_key = effects.get(method) == "idempotency_key"
     client = Client(parse_address(config["listen"]))
-    waiting = {}
+    pending = {}
     for text in texts:
-        key = hashlib.md5(text.encode()).hexdigest() if keyed else None
-        waiting[client.submit(method, text.encode(), key)] = text
-    while waiting:
+        key = hashlib.md5(text.encode()).hexdigest() if takes_key else None
+        pending[client.submit(method, text.encode(), key)] = text
+    while pending:
         answer = client.answer()
         if answer.name == "submit":
-            text = waiting.pop(answer.sequence)
+            text = pending.pop(answer.sequence)
             body = answer.body.decode(errors="replace")
             print(f"{text!r}: {answer.outcome} {body!r} {answer.fields or ''}".rstrip())
 
--- a/finchcart/simulated_peers/load_generator.py
+++ b/finchcart/simulated_peers/load_generator.py
@@ -1,9 +1,9 @@
-"""Clients that put a steady load on many nodes.
+"""Load generator: clients that send RPCs to many nodes at a constant mean rate.
 
     python -m finchcart.simulated_peers.load_generator ADDRESS ... --rate R --seconds S --out FILE
 
-Owns the connections and the outcome of each RPC. Open loop: RPCs go out at seeded random times, whatever
-comes back. It must never judge: it writes figures.
+The load is open loop: RPCs are sent at seeded random times, regardless of the answers. The module owns the
+connections and records the outcome of each RPC. It only writes figures; it must never evaluate them.
 """
 
 import argparse
@@ -21,23 +21,23 @@
 from finchcart.simulated_peers.server import Address, parse_address, start_thread
 
 RECONNECT_INTERVAL_S = 0.2
-FOCUS_READ_INTERVAL_S = 0.05
+FOCUS_POLL_INTERVAL_S = 0.05
 RETRY_DELAY_S = 0.05
-KEYED_PART = 0.3  # of the RPCs that are of the method with idempotency keys
-DUPLICATE_PART = 0.05  # of the keys that go to two nodes at once
-LONGEST_DEADLINE_S = 5.0  # and more
+KEYED_FRACTION = 0.3  # fraction of the RPCs that call the method with idempotency keys
+DUPLICATE_FRACTION = 0.05  # fraction of the keys that are sent to two nodes at once
+ANSWER_WAIT_S = 5.0  # longer than the deadline of any RPC
 
 
 class SentRpc(NamedTuple):
-    """An RPC that waits for its answer."""
+    """An RPC that was sent and is not answered yet."""
 
-    began: float
+    sent_at: float
     method: str
     key: str | None
 
 
 class Caller:
-    """A connection to one node, opened again when it ends."""
+    """A connection to one node; a lost connection is reopened."""
 
     def __init__(self, address: Address, load: "LoadGenerator") -> None:
         self.address = address
@@ -59,37 +59,37 @@
                 lost = list(self.sent.values())
                 self.sent = {}
             for rpc in lost:
-                self.load.done(ClientOutcome.NO_ANSWER, 0.0, key=rpc.key)
+                self.load.record_outcome(ClientOutcome.NO_ANSWER, 0.0, key=rpc.key)
             time.sleep(RECONNECT_INTERVAL_S)
 
     def _receive_answers(self, client: Client) -> None:
         while True:
             answer = client.answer()
             if answer.name == "closing":
-                self.client = None  # nothing new goes here; answers still come
+                self.client = None  # sends no new RPCs here, but still receives answers
             if answer.name != "submit":
                 continue
             with self.lock:
                 rpc = self.sent.pop((client, answer.sequence), None)
             if rpc is not None:
-                self.load.done(answer.outcome, time.monotonic() - rpc.began, rpc.method, rpc.key)
+                self.load.record_outcome(answer.outcome, time.monotonic() - rpc.sent_at, rpc.method, rpc.key)
 
-    def send(self, method: str, body: bytes, key: str | None, **more: str) -> None:
-        """Send one RPC, or count it as one without a connection."""
+    def send(self, method: str, body: bytes, key: str | None, **extra_fields: str) -> None:
+        """Send one RPC; without a connection, record the outcome `NO_CONNECTION`."""
         client = self.client
         if client is None:
-            self.load.done(ClientOutcome.NO_CONNECTION, 0.0, key=key)
+            self.load.record_outcome(ClientOutcome.NO_CONNECTION, 0.0, key=key)
             return
-        with self.lock, suppress(OSError):  # a lost connection is counted by the thread that reads
+        with self.lock, suppress(OSError):  # the reading thread records RPCs on a lost connection
             self.sent[client, client.sequence + 1] = SentRpc(time.monotonic(), method, key)
-            client.submit(method, body, key, **more)
+            client.submit(method, body, key, **extra_fields)
 
 
 class LoadGenerator:
-    """RPCs of two methods to all nodes.
+    """Sends RPCs of two methods to all nodes.
 
-    `connections` is the number to each node; `focus` names a JSON file with the numbers of the nodes that all
-    RPCs go to while it is there.
+    `connections` is the number of connections to each node. `focus` is the path of a JSON file with a list of
+    node indexes: while the file exists, all RPCs go to these nodes.
     """
 
     def __init__(
@@ -97,16 +97,16 @@
     ) -> None:
         self.random = random.Random(seed)
         self.lock = threading.Lock()
-        self.outcomes: Counter[str] = Counter()  # by outcome, and by method and outcome
-        self.latencies: list[float] = []  # of RPCs that were ok, in seconds
+        self.outcomes: Counter[str] = Counter()  # keys: outcome, and "method outcome"
+        self.latencies: list[float] = []  # latencies of RPCs with outcome OK, in seconds
         self.connections = connections
         self.focus = focus
-        self.focus_read_at = 0.0
-        self.focused_nodes: list[int] | None = None
+        self.focus_checked_at = 0.0
+        self.target_nodes: list[int] | None = None
         self.callers = [Caller(address, self) for address in addresses for _ in range(connections)]
 
-    def done(self, outcome: str, latency: float, method: str = "", key: str | None = None) -> None:
-        """Count an RPC that ended; `latency` in seconds."""
+    def record_outcome(self, outcome: str, latency: float, method: str = "", key: str | None = None) -> None:
+        """Count an RPC that ended; `latency` is in seconds."""
         with self.lock:
             self.outcomes[outcome] += 1
             if method:
@@ -114,41 +114,41 @@
             if outcome == ClientOutcome.OK:
                 self.latencies.append(latency)
 
-    def callers_in_focus(self) -> list[Caller]:
-        """Return the callers that RPCs go to."""
+    def target_callers(self) -> list[Caller]:
+        """Return the callers to choose from for the next RPC."""
         now = time.monotonic()
-        if self.focus and now - self.focus_read_at > FOCUS_READ_INTERVAL_S:
-            self.focus_read_at = now
+        if self.focus and now - self.focus_checked_at > FOCUS_POLL_INTERVAL_S:
+            self.focus_checked_at = now
             path = Path(self.focus)
-            self.focused_nodes = json.loads(path.read_text(encoding="utf-8")) if path.exists() else None
-        if not self.focused_nodes:
+            self.target_nodes = json.loads(path.read_text(encoding="utf-8")) if path.exists() else None
+        if not self.target_nodes:
             return self.callers
         return [
             self.callers[node * self.connections + connection]
-            for node in self.focused_nodes
+            for node in self.target_nodes
             for connection in range(self.connections)
         ]
 
     def run(self, rate: float, seconds: float) -> None:
-        """Send `rate` RPCs a second for so many seconds."""
+        """Send RPCs at a mean rate of `rate` a second for `seconds` seconds."""
         due = time.monotonic()
         end = due + seconds
         while due < end:
             time.sleep(max(0.0, due - time.monotonic()))
-            keyed = self.random.random() < KEYED_PART
-            callers = self.callers_in_focus()
+            keyed = self.random.random() < KEYED_FRACTION
+            callers = self.target_callers()
             connected = [caller for caller in callers if caller.client is not None]
             self.submit(connected or callers, keyed)
             due += self.random.expovariate(rate)
 
     def submit(self, callers: list[Caller], keyed: bool) -> None:
-        """Send one RPC by one of the callers."""
+        """Send one RPC through a random one of the callers."""
         method = "book" if keyed else "look-up"
         key = secrets.token_hex(16) if keyed else None
         self.random.choice(callers).send(method, b"x" * 100, key)
 
     def statistics(self) -> dict:
-        """Return counts by outcome and the latencies in milliseconds."""
+        """Return the counts by outcome, and the median and p99 latency in milliseconds."""
         with self.lock:
             latencies = sorted(self.latencies) or [0.0]
             return {
@@ -159,7 +159,7 @@
 
 
 class KeyAttempts:
-    """How often a key was sent, and by which caller last."""
+    """The number of attempts of a key, and the caller that sent the last one."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -167,10 +167,10 @@
 
 
 class KeyedLoadGenerator(LoadGenerator):
-    """RPCs with idempotency keys alone, which their bodies tell.
+    """Sends only RPCs with idempotency keys; the body of each RPC is its key.
 
-    What was not ok is sent again to another node, `most_attempts` times at most; some go to two nodes at
-    once.
+    An RPC whose outcome is not OK is retried through another caller, up to `max_attempts` attempts in all.
+    Some RPCs are also sent as a duplicate through a second caller at the same time.
     """
 
     def __init__(
@@ -179,16 +179,16 @@
         connections: int,
         seed: int,
         focus: str | None = None,
-        most_attempts: int = 3,
+        max_attempts: int = 3,
     ) -> None:
-        self.most_attempts = most_attempts
-        self.retries: list[tuple[float, str]] = []  # (when, key)
+        self.max_attempts = max_attempts
+        self.retries: list[tuple[float, str]] = []  # (due time, key)
         self.answered: dict[str, list[str]] = {}  # key -> outcomes
         self.attempts: dict[str, KeyAttempts] = {}
         super().__init__(addresses, connections, seed, focus)
 
     def submit(self, callers: list[Caller], keyed: bool) -> None:
-        """Send the retries that are due, and a new key."""
+        """Send the retries that are due, and one RPC with a new key."""
         now = time.monotonic()
         with self.lock:
             due = [key for when, key in self.retries if when <= now]
@@ -198,28 +198,28 @@
         key = secrets.token_hex(16)
         self.attempts[key] = KeyAttempts()
         self._send(callers, key)
-        if self.random.random() < DUPLICATE_PART:
+        if self.random.random() < DUPLICATE_FRACTION:
             self._send(callers, key)
 
-    def _send(self, callers: list[Caller], key: str, **more: str) -> None:
+    def _send(self, callers: list[Caller], key: str, **extra_fields: str) -> None:
         attempts = self.attempts[key]
         others = [caller for caller in callers if caller is not attempts.last_caller] or callers
         attempts.count += 1
         attempts.last_caller = self.random.choice(others)
-        attempts.last_caller.send("book", key.encode(), key, **more)
+        attempts.last_caller.send("book", key.encode(), key, **extra_fields)
 
-    def done(self, outcome: str, latency: float, method: str = "", key: str | None = None) -> None:
-        """Count an RPC that ended, and schedule its retry where it was not ok."""
-        super().done(outcome, latency, method)
+    def record_outcome(self, outcome: str, latency: float, method: str = "", key: str | None = None) -> None:
+        """Count an RPC that ended, and schedule a retry if its outcome is not OK."""
+        super().record_outcome(outcome, latency, method)
         if key is None:
             return
         with self.lock:
             self.answered.setdefault(key, []).append(outcome)
-            if outcome != ClientOutcome.OK and self.attempts[key].count < self.most_attempts:
+            if outcome != ClientOutcome.OK and self.attempts[key].count < self.max_attempts:
                 self.retries.append((time.monotonic() + RETRY_DELAY_S, key))
 
     def statistics(self) -> dict:
-        """Return the counts of `LoadGenerator`, those by key, and the keys that were answered ok."""
+        """Return the figures of `LoadGenerator`, counts of keys, and the outcomes of keys answered OK."""
         with self.lock:
             first = [outcomes for outcomes in self.answered.values() if outcomes[0] == ClientOutcome.OK]
             later = [
@@ -240,27 +240,29 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("where", nargs="+")
-    parser.add_argument("--rate", type=float, required=True, help="RPCs a second, all nodes together")
+    parser.add_argument("--rate", type=float, required=True, help="RPCs per second, over all nodes")
     parser.add_argument("--seconds", type=float, required=True)
     parser.add_argument("--links", type=int, default=1, help="connections to each node")
     parser.add_argument("--out", required=True)
-    parser.add_argument("--focus", help="a file with the numbers of the nodes to go to, while it is there")
+    parser.add_argument("--focus", help="JSON file with the indexes of the nodes to send to, while it exists")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keyed", action="store_true", help="keys alone, sent again to other nodes")
+    parser.add_argument(
+        "--keyed", action="store_true", help="send only RPCs with idempotency keys, and retry at other nodes"
+    )
     return parser.parse_args()
 
 
 def main() -> None:
-    """Play the load and write its figures."""
+    """Generate the load and write its figures to the output file."""
     arguments = parse_arguments()
     load_type = KeyedLoadGenerator if arguments.keyed else LoadGenerator
     addresses = [parse_address(text) for text in arguments.where]
     load = load_type(addresses, arguments.links, arguments.seed, arguments.focus)
     load.run(arguments.rate, arguments.seconds)
-    time.sleep(LONGEST_DEADLINE_S)
+    time.sleep(ANSWER_WAIT_S)
     Path(arguments.out).write_text(json.dumps(load.statistics()), encoding="utf-8")
 
 
--- a/finchcart/simulated_peers/worker_pool.py
+++ b/finchcart/simulated_peers/worker_pool.py
@@ -35,9 +35,7 @@
     body: bytes
     began: float
     ended: float | None = None
-    wait_began: float | None = (
-        None  # start of the wait for the reply to its call; a waiting run needs no core
-    )
+    wait_began: float | None = None  # start of the wait for a call's reply, which needs no core
     wait_ended: float | None = None
 
     def spans_on_cores(self) -> list[tuple[float, float | None]]:
@@ -69,10 +67,10 @@
         begin = after.at - window_s
         while samples[first + 1].at <= begin:
             first += 1
-        area_before_window = cumulative_areas[first] + samples[first].on_cores * max(
+        before_window = cumulative_areas[first] + samples[first].on_cores * max(
             0.0, begin - samples[first].at
         )
-        highest = max(highest, (area - area_before_window) / window_s)
+        highest = max(highest, (area - before_window) / window_s)
     return highest
 
 
