--- a/finchcart/simulated_peers/load_generator.py
+++ b/finchcart/simulated_peers/load_generator.py
@@ -39,9 +39,9 @@
 class Caller:
     """A connection to one node; a lost connection is reopened."""
 
-    def __init__(self, address: Address, load: "LoadGenerator") -> None:
+    def __init__(self, address: Address, load_generator: "LoadGenerator") -> None:
         self.address = address
-        self.load = load
+        self.load_generator = load_generator
         self.lock = threading.Lock()
         self.client: Client | None = None
         self.sent: dict[tuple[Client, int], SentRpc] = {}
@@ -59,7 +59,7 @@
                 lost = list(self.sent.values())
                 self.sent = {}
             for rpc in lost:
-                self.load.record_outcome(ClientOutcome.NO_ANSWER, 0.0, key=rpc.key)
+                self.load_generator.record_outcome(ClientOutcome.NO_ANSWER, 0.0, key=rpc.key)
             time.sleep(RECONNECT_INTERVAL_S)
 
     def _receive_answers(self, client: Client) -> None:
@@ -72,13 +72,15 @@
             with self.lock:
                 rpc = self.sent.pop((client, answer.sequence), None)
             if rpc is not None:
-                self.load.record_outcome(answer.outcome, time.monotonic() - rpc.sent_at, rpc.method, rpc.key)
+                self.load_generator.record_outcome(
+                    answer.outcome, time.monotonic() - rpc.sent_at, rpc.method, rpc.key
+                )
 
     def send(self, method: str, body: bytes, key: str | None, **extra_fields: str) -> None:
         """Send one RPC; without a connection, record the outcome `NO_CONNECTION`."""
         client = self.client
         if client is None:
-            self.load.record_outcome(ClientOutcome.NO_CONNECTION, 0.0, key=key)
+            self.load_generator.record_outcome(ClientOutcome.NO_CONNECTION, 0.0, key=key)
             return
         with self.lock, suppress(OSError):  # the reading thread records RPCs on a lost connection
             self.sent[client, client.sequence + 1] = SentRpc(time.monotonic(), method, key)
--- a/finchcart/simulated_peers/store.py
+++ b/finchcart/simulated_peers/store.py
@@ -18,7 +18,7 @@
 from finchcart.simulated_peers.server import Address, Server
 
 US_PER_S = 1_000_000
-FAULTS_READ_INTERVAL_S = 0.05
+FAULTS_POLL_INTERVAL_S = 0.05
 SLOW_FACTOR = 10  # ratio of a slow call's duration to the usual duration
 SLOW_MIN_S = 0.2  # lower bound on the duration of a slow call
 HANG_DURATION_S = 3600.0
@@ -45,9 +45,9 @@
     def state(self, host: str) -> str:
         """Return the state of an address; "ok" if the file does not list it."""
         now = time.monotonic()
-        if self.path and now - self.read_at > FAULTS_READ_INTERVAL_S:
+        if self.path and now - self.read_at > FAULTS_POLL_INTERVAL_S:
             self.read_at = now
-            with suppress(OSError, ValueError):  # the file is missing or only partly written
+            with suppress(OSError, ValueError):  # the file is missing or incomplete
                 self.states = json.loads(Path(self.path).read_text(encoding="utf-8"))
         return self.states.get(host, StoreState.OK)
 
@@ -64,7 +64,7 @@
 class CallStatistics:
     """Counts of calls, with times in microseconds on the boot clock.
 
-    The class is not thread-safe: its owner has to hold a lock around `change` and `snapshot`.
+    The class is not thread-safe: its owner has to hold a lock around `record_change` and `snapshot`.
     """
 
     def __init__(self, capacity: Capacity) -> None:
@@ -87,7 +87,7 @@
         self.excess_began = 0
         self.excess_peak = 0
 
-    def change(self, change: int) -> None:
+    def record_change(self, change: int) -> None:
         """Count a call that began (`change` is +1) or ended (-1)."""
         now = boot_clock()
         self.used_call_seconds += self.in_flight * (now - self.used_until) / US_PER_S
@@ -214,7 +214,7 @@
 
     def _count_call(self, change: int) -> None:
         with self.lock:
-            self.statistics.change(change)
+            self.statistics.record_change(change)
 
     def _work_time(self, state: str) -> float:
         if state == StoreState.SLOW:
--- a/finchcart/simulated_peers/worker_pool.py
+++ b/finchcart/simulated_peers/worker_pool.py
@@ -35,7 +35,7 @@
     body: bytes
     began: float
     ended: float | None = None
-    wait_began: float | None = None  # start of the wait for a call's reply, which needs no core
+    wait_began: float | None = None  # start of the wait for a call's reply; a waiting run needs no core
     wait_ended: float | None = None
 
     def spans_on_cores(self) -> list[tuple[float, float | None]]:
@@ -162,8 +162,8 @@
             self.notices = []
             self.last_cursor = 0
             self.started = time.monotonic()
-            for record in self.history:
-                record.ended = record.ended or self.started
+            for timing in self.history:
+                timing.ended = timing.ended or self.started
             self.fate = "new"
         self.break_connection()
 
@@ -234,16 +234,16 @@
     def _execute(self, handle: str, run: SimulatedRun, method: str, body: bytes) -> None:
         began = time.monotonic()
         self.spawned.append((handle, method, body))
-        record = RunTiming(handle, method, body, began)
-        self.history.append(record)
+        timing = RunTiming(handle, method, body, began)
+        self.history.append(timing)
         self._record_load()
         failing = self.is_failing()
         self.gate.wait(GATE_TIMEOUT_S)
-        fate, result = ("bad", b"") if failing else self._work(record, run)
+        fate, result = ("bad", b"") if failing else self._work(timing, run)
         if self.runs.get(handle) is not run:
             return  # the run was lost in a simulated restart
         del self.runs[handle]
-        record.ended = time.monotonic()
+        timing.ended = time.monotonic()
         self._record_load()
         self._notify(
             "finished",
@@ -253,23 +253,23 @@
             arg=b64encode(result if fate == "good" else b"").decode(),
         )
 
-    def _work(self, record: RunTiming, run: SimulatedRun) -> tuple[str, bytes]:
+    def _work(self, timing: RunTiming, run: SimulatedRun) -> tuple[str, bytes]:
         """Do the work of a run; return the `fate` field of its `finished` notice and its result."""
         fate = "good"
-        body = record.body
+        body = timing.body
         result = body.upper()
         self._work_half()
-        if self.methods[record.method]:
-            record.wait_began = time.monotonic()
+        if self.methods[timing.method]:
+            timing.wait_began = time.monotonic()
             run.waits = True
             self._record_load()
-            self._notify("blocked", handle=record.handle, arg=b64encode(b"about " + body).decode())
+            self._notify("blocked", handle=timing.handle, arg=b64encode(b"about " + body).decode())
             if run.replied.wait(REPLY_TIMEOUT_S):
                 result += b" " + (run.reply or b"")
             else:
                 fate = "cut"
             run.waits = False
-            record.wait_ended = time.monotonic()
+            timing.wait_ended = time.monotonic()
             self._record_load()
         if self.on_effect:
             self.on_effect(body)
