--- a/finchcart/cli/planner_process.py
+++ b/finchcart/cli/planner_process.py
@@ -85,7 +85,7 @@
         self._random = random.Random(random.SystemRandom().getrandbits(64))
 
     def make_machines(self, now: int) -> dict[bytes, StateMachine]:
-        """Return, by channel, the planner of limits and the key lease replica, as far as configured."""
+        """Return the configured state machines by channel: the planner of limits, the key lease replica."""
         machines: dict[bytes, StateMachine] = {}
         if self._quota:
             machines[quota_messages.CHANNEL] = Planner(
@@ -96,7 +96,7 @@
         return machines
 
     def reload(self) -> list[tuple[bytes, MachineInput]]:
-        """Read the settings file again; return the resulting inputs by channel, or none if it is rejected."""
+        """Read the settings file again; return pairs of channel and input, or [] if the file is rejected."""
         settings = reread_settings(self._path, self._changed_fixed_fields)
         quota = quota_config(settings) if settings else None
         if not self._quota or not quota:
--- a/finchcart/fleet_settings/file.py
+++ b/finchcart/fleet_settings/file.py
@@ -17,7 +17,7 @@
 from finchcart.fleet_settings.rules import Mistake, find_mistakes
 from finchcart.fleet_settings.schema import Settings
 
-MIN_NAME_SIMILARITY = 0.5  # of a suggested setting to the unknown name, from 0 to 1
+MIN_NAME_SIMILARITY = 0.5  # a setting is suggested if it is this similar (0 to 1) to the unknown name
 
 
 def load_settings(path: str) -> Settings:
--- a/finchcart/fleet_settings/rules.py
+++ b/finchcart/fleet_settings/rules.py
@@ -23,9 +23,9 @@
 from finchcart.quota import limits as quota
 
 MAX_LIMITS = 16
-ANY_HOST_PREFIX = "0.0.0.0:"  # of an address to listen on all interfaces
+ANY_HOST_PREFIX = "0.0.0.0:"  # an address with this prefix listens on all interfaces
 ASSUMED_LOSS = 0.5  # fraction of messages lost when the maximum age of a view is compared with `forget_after`
-SPARE_DATAGRAMS = 8  # per period, in addition to heartbeats and probes
+SPARE_DATAGRAMS = 8  # required in each period in addition to those for heartbeats and probes
 
 
 class Mistake(NamedTuple):
--- a/finchcart/fleet_settings/schema.py
+++ b/finchcart/fleet_settings/schema.py
@@ -13,7 +13,10 @@
 
 
 class FleetSettings(Struct, forbid_unknown_fields=True):
-    """The address and the membership of a node; the suffix of a name is its unit, as in all sections."""
+    """The block `fleet`: the node's address and the settings of its membership.
+
+    In all blocks, the suffix of a field's name is the unit of its value, such as `_ms` for milliseconds.
+    """
 
     name: Text
     listen: Address
@@ -37,8 +40,8 @@
 
     name: Text
     in_hand: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # number in flight; excludes `rate`
-    rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # per second
-    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # maximum at once with `rate`
+    rate: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # maximum number per second
+    burst: Annotated[int, Meta(ge=1, le=1_000_000)] | UnsetType = UNSET  # maximum number at once under `rate`
     mode: Literal["strict", "loose"] = "strict"
     floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # guaranteed to each node during any failure
     weight: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # relative share of this node in a strict limit
--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -16,7 +16,7 @@
 from finchcart.membership.records import GONE, KnownMember, MemberState, MemberTable, state_when_connected
 from finchcart.membership.view import Graph, connected_members, watch_graph
 
-IDLE_LINK_PERIODS = 10  # without a heartbeat, after which a link to an unwatched member is closed
+IDLE_LINK_PERIODS = 10  # a link to an unwatched member is closed after so many periods without a heartbeat
 LATENESS_DECAY_DIVISOR = 16  # each tick reduces the measured lateness by 1/16
 
 
@@ -121,7 +121,7 @@
         table.is_view_outdated = True
 
     def _review_links(self, now: int) -> None:
-        """Update which watched links are down, and declare these in the own record."""
+        """Update which watched links are down, and declare the links that are down in the own record."""
         timeout = self.config.link_timeout(self.loss.value, self.lateness)
         unreachable = []
         is_detecting = now >= self.detection_paused_until
--- a/finchcart/membership/gossip.py
+++ b/finchcart/membership/gossip.py
@@ -14,8 +14,8 @@
 from finchcart.membership.messages import GossipEntry
 from finchcart.membership.records import MemberTable
 
-MAX_RELAYED_PER_HEARTBEAT = 12  # entries of other members
-RELAYS_IN_FULL_MESH = 2  # per entry, if every member exchanges heartbeats with every other one
+MAX_RELAYED_PER_HEARTBEAT = 12  # maximum number of entries of other members in a heartbeat
+RELAYS_IN_FULL_MESH = 2  # relays of an entry if all members exchange heartbeats with each other
 
 EntryKey = tuple[int, int]  # (member id, topic)
 Counters = list[tuple[int, int, int]]
--- a/finchcart/membership/heartbeats.py
+++ b/finchcart/membership/heartbeats.py
@@ -15,7 +15,8 @@
 from finchcart.membership.records import IN_FLEET, MemberState, MemberTable
 
 SEEDS_PER_PROBE = 2
-JITTERED_HEARTBEATS = 2  # of each new link; the heartbeat after each of them is sent early by a random time
+# On a new link, the heartbeat after each of the first so many heartbeats is sent early by a random time.
+JITTERED_HEARTBEATS = 2
 
 
 class HeartbeatSender:
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -14,8 +14,8 @@
     """Monitors whether this process is isolated.
 
     The process is isolated while it has two-way contact with no member, or while the members in contact with
-    it exclude it. After a suspension it is also isolated until it has two-way contact with half of the
-    members that it watches, or until the time allowed for that is over.
+    it exclude it. After a suspension, contact also counts as missing until the process has two-way contact
+    with half of the members that it watches, or until failure detection resumes.
 
     Arguments:
         table: the records and states of all members.
@@ -49,7 +49,7 @@
             self.table.outbox.emit(IsolationChanged(is_isolated, reason))
 
     def on_clock_gap(self, now: int) -> None:
-        """Stay isolated after a suspension until contact is proven again."""
+        """Count contact as missing after a suspension, until `review` resets `is_resuming`."""
         self.is_resuming = True
         self._no_contact_since = now
         self._contact_since = None
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -50,8 +50,10 @@
         self.digest = record.digest()
         self.state = MemberState.ALIVE
         self.state_since = now
-        self.pending_change_since: int | None = None  # since when its connection contradicts the state
-        self.failed_precedence: Version | None = None  # of its record when it was set to failed
+        # Since when the state of the member has contradicted whether the member is connected.
+        self.pending_change_since: int | None = None
+        # The precedence of the member's record at the time when its state was set to failed.
+        self.failed_precedence: Version | None = None
 
     @property
     def is_in_digest(self) -> bool:
--- a/finchcart/membership/view.py
+++ b/finchcart/membership/view.py
@@ -18,8 +18,10 @@
 
 from xxhash import xxh3_64_intdigest
 
-STAY_CONNECTED_FRACTION = 0.5  # of a member's links that must be up for it to stay connected
-RECONNECT_FRACTION = 0.6  # of an excluded member's links that must be up for it to be connected again
+# The fraction of its links that must be up for a connected member to stay connected, and for an excluded
+# member to be connected again.
+STAY_CONNECTED_FRACTION = 0.5
+RECONNECT_FRACTION = 0.6
 
 Graph = Mapping[int, Set[int]]  # member id -> ids of the members that it is linked to; symmetric
 
--- a/finchcart/net/connections.py
+++ b/finchcart/net/connections.py
@@ -6,8 +6,8 @@
 These threads must never touch the node's state: they report through the core's input queue.
 
 Reading is in reader.py, writing to a slow peer in writer.py, and discarding what a peer still sends after the
-node has closed its direction in discarding.py. Which events may occur concurrently here, and the result of
-each combination: docs/design/crossings.md.
+node has closed its direction in discarding.py. The page docs/design/crossings.md lists which events may occur
+concurrently here, and the result of each combination.
 """
 
 import errno
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -28,8 +28,8 @@
 
 DEFAULT_TICK_US = 100_000  # the tick interval, unless a state machine requires a shorter one
 RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams while this process is stopped or gets no CPU time
-MAX_DATAGRAMS_PER_TICK = 512  # processed at most before a tick that is due
-SHUTDOWN_REPETITIONS = 2  # the notice of the shutdown is sent so many times, as datagrams may be lost
+MAX_DATAGRAMS_PER_TICK = 512  # maximum number of datagrams that are processed before a tick that is due
+SHUTDOWN_REPETITIONS = 2  # the shutdown notice is sent so many times, because a datagram may be lost
 STOP_TIMEOUT_S = 1.0
 MICROSECONDS_PER_SECOND = 1e6
 
--- a/finchcart/net/deferred_threads.py
+++ b/finchcart/net/deferred_threads.py
@@ -12,7 +12,7 @@
 from finchcart.net.sockets import start_thread
 from finchcart.net.transient_errors import SHORTAGE_PAUSE_S, retry_at_start
 
-MAX_START_ATTEMPTS = 300  # one attempt per `SHORTAGE_PAUSE_S`
+MAX_START_ATTEMPTS = 300  # attempts are `SHORTAGE_PAUSE_S` apart
 
 
 class DeferredThread:
--- a/finchcart/net/transient_errors.py
+++ b/finchcart/net/transient_errors.py
@@ -18,7 +18,7 @@
 )
 # Error of bind(2) and listen(2) while another process still uses the port, which it may be about to release.
 PORT_IN_USE = errno.EADDRINUSE
-# Errors of accept(2) that concern the connection that it would have returned, not the listening socket.
+# Errors of accept(2) that concern only the connection being accepted, not the listening socket.
 CONNECTION_ERRORS = frozenset(
     (errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENOPROTOOPT, errno.EOPNOTSUPP)
     + (errno.ENETDOWN, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.ENETUNREACH)
--- a/finchcart/thrift/connection_closer.py
+++ b/finchcart/thrift/connection_closer.py
@@ -113,9 +113,9 @@
     def announce_all(self) -> None:
         """Announce the close of every open connection.
 
-        Busy connections are never idle, so without the notice the kill would break them with RPCs in
-        flight. Connections that are opened later are closed when they are idle or when the node ends: with
-        an immediate notice, their callers would reconnect for each RPC.
+        A busy connection is never idle. Without the notice, it would stay open until the platform kills the
+        node, and its RPCs in flight would be lost. Connections that are opened later are closed when they
+        are idle or when the node ends: with an immediate notice, their callers would reconnect for each RPC.
         """
         for connection in list(self.table.connections.values()):
             self.announce(connection)
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -1,7 +1,7 @@
 """The state of the dispatchers' connections, and how a connection is ended.
 
 A `DispatcherConnectionTable` owns the state of each connection. It must never close a connection that has a
-response pending, unless the dispatcher has gone or the kill is due.
+response pending, unless the dispatcher has closed it, it broke, or the platform is about to kill the node.
 """
 
 from enum import Enum
--- a/finchcart/thrift/fields.py
+++ b/finchcart/thrift/fields.py
@@ -24,7 +24,7 @@
 MAX_UNIX_MS = 1e14
 MIN_MEMORY_KB = 1e-9
 MAX_MEMORY_KB = 2000
-MAX_QUOTED_CHARACTERS = 40  # of a field's value in an error message
+MAX_QUOTED_CHARACTERS = 40  # a longer value of a field is cut in error messages
 NO_SHED_RANK = -1  # stands for a missing shed rank
 US_PER_MS = 1000
 
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -101,7 +101,7 @@
         if connection is None:
             return  # an UNREADABLE connection may end later, while responses to earlier RPCs are pending
         if fault is not None:
-            # RPCs that were read before the fault are answered; then this connection is closed.
+            # The connection is closed once the RPCs that were read before the invalid bytes are answered.
             pending = len(connection.open_rpcs)
             text = f"connection {number}: {fault}; closing it once {pending} pending answers are sent"
             self.effect_buffer.log_fault(PARTY, "unreadable", text)
