--- a/finchcart/cli/trial_commands.py
+++ b/finchcart/cli/trial_commands.py
@@ -55,7 +55,7 @@
     times: int | None,
     verdicts: str,
 ) -> None:
-    """Run a script and report; the status is 1 if a rule is breached."""
+    """Run a script and report; the exit status is 1 if a rule is breached."""
     import signal
 
     from finchcart.fault_injection.scripted_runs.runner import RunOptions, end_run, play
--- a/finchcart/fleet/field_problem.py
+++ b/finchcart/fleet/field_problem.py
@@ -9,5 +9,5 @@
 class FieldProblem(NamedTuple):
     """An error in a field of a configuration, or a value that is probably not intended."""
 
-    field: str  # its name in the settings file
+    field: str  # the name of the field in the settings file
     reason: str
--- a/finchcart/fleet/inputs.py
+++ b/finchcart/fleet/inputs.py
@@ -16,7 +16,7 @@
 class DatagramReceived(NamedTuple):
     """A datagram was received on the state machine's channel."""
 
-    address: HostPort  # of the sender
+    address: HostPort  # the address of the sender
     data: bytes
 
 
--- a/finchcart/fleet_queries.py
+++ b/finchcart/fleet_queries.py
@@ -23,7 +23,7 @@
 ViewResponse = quota.QuotaStatusResponse | consensus.ConsensusStatusResponse
 
 TIMEOUT_S = 2.0
-MAX_ATTEMPTS = 8  # of one query; each may take an equal share of the query's timeout
+MAX_ATTEMPTS = 8  # the timeout of a query is divided into this many equal attempts
 MAX_DATAGRAM_BYTES = 65_536
 MICROSECONDS_PER_SECOND = 1e6
 
--- a/finchcart/fleet_settings/schema.py
+++ b/finchcart/fleet_settings/schema.py
@@ -54,7 +54,8 @@
     """The planners that allocate the limits, and the timing of the allocation: see quota/limits.py."""
 
     planners: list[Address] = []
-    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET  # node processes, including stopped ones
+    # Maximum number of node processes, including stopped ones.
+    most: Annotated[int, Meta(ge=1, le=100_000)] | UnsetType = UNSET
     life_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
     round_ms: Annotated[int, Meta(ge=50, le=60_000)] | UnsetType = UNSET
     lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -28,13 +28,13 @@
 
     memory_bytes: int  # memory that the process may use
     descriptors: int  # files and sockets that the process may have open
-    stop_timeout_us: int  # from the drain notice until the earliest time of a kill
+    stop_timeout_us: int  # time from the drain notice until the earliest kill by the platform
 
     # ---- Memory and descriptors
 
     # Memory that the process uses without any connection, including the cached results.
     base_memory_bytes: int = 20 * 2**20
-    connection_memory_bytes: int = 64 * 1024  # per connection: two threads, a buffer and queued responses
+    connection_memory_bytes: int = 64 * 1024  # for two threads, a buffer and queued responses
     thread_stack_bytes: int = 128 * 1024
     buffer_bytes: int = 16 * 1024  # size of a receive buffer, and so the maximum size of a message
     spare_buffers: int = 64  # unused buffers that are kept for reuse; further ones are freed
--- a/finchcart/membership/failure_detection.py
+++ b/finchcart/membership/failure_detection.py
@@ -62,7 +62,7 @@
     # ---- inputs
 
     def on_clock_gap(self, now: int) -> None:
-        """Discard all proof of contact after a suspension of this process, and allow time to renew it."""
+        """Discard all proof of contact after a suspension, and pause detection until it can be renewed."""
         self.detection_paused_until = now + self.link_timeout() + self.config.period
         self.lateness = 0
         self._last_tick_at = now
--- a/finchcart/membership/isolation.py
+++ b/finchcart/membership/isolation.py
@@ -38,7 +38,8 @@
         self.config = config
         self.has_seeds = has_seeds
         self.is_isolated = has_seeds
-        self.is_resuming = False  # set by a suspension until contact is proven again
+        # True after a suspension, until there is enough contact or failure detection resumes.
+        self.is_resuming = False
         self._no_contact_since: int | None = now
         self._contact_since: int | None = None
 
--- a/finchcart/membership/member.py
+++ b/finchcart/membership/member.py
@@ -141,7 +141,7 @@
 
     @property
     def is_resuming(self) -> bool:
-        """Whether this process was suspended and has not re-established contact since."""
+        """Whether contact still counts as missing after a suspension; see `IsolationMonitor`."""
         return self.isolation.is_resuming
 
     @property
--- a/finchcart/membership/messages.py
+++ b/finchcart/membership/messages.py
@@ -55,8 +55,10 @@
     name: NodeName
     address: Address
     session: Unsigned64  # random number that distinguishes the processes of one name
-    started_ms: Unsigned53  # wall clock at start; of two processes of one name, the later one keeps it
-    incarnation: Unsigned53  # initially `started_ms`; raised after a suspension and over older records
+    started_ms: Unsigned53  # wall clock at start; the process that started later keeps a contested name
+    # Initially `started_ms`. The process raises its incarnation after a suspension, and above the incarnation
+    # in a record of another process with its name.
+    incarnation: Unsigned53
     version: Unsigned53
     status: Annotated[int, Meta(ge=DeclaredStatus.ALIVE.value, le=DeclaredStatus.LEFT.value)]
     unreachable: Annotated[list[Unsigned64], Meta(max_length=96)]  # ids of watched members with links down
--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -155,7 +155,10 @@
     def _rejection_reason(
         self, now: int, member_id: int, record: MemberRecord, is_direct: bool
     ) -> str | None:
-        """Return why a record cannot be used, or None; evict a member if the table is full and it is new."""
+        """Return why a record cannot be used, or None.
+
+        If the member is new and the table is full, evict a failed or left member to make room.
+        """
         try:
             parse_address(record.address)
         except DatagramError as error:
--- a/finchcart/net/datagrams.py
+++ b/finchcart/net/datagrams.py
@@ -105,7 +105,7 @@
         self._mailbox.put((channel, event))
 
     def post_now(self, channel: bytes | None, event: MachineInput) -> None:
-        """Queue an input for immediate processing: an empty datagram to itself wakes the thread."""
+        """Queue an input, and wake the thread by an empty datagram that the socket sends to itself."""
         self._mailbox.put((channel, event))
         with suppress(OSError):  # without the datagram, the input is processed at the next tick
             self.sock.sendto(b"", MSG_DONTWAIT, self.sock.getsockname())
--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -25,7 +25,7 @@
 
     frames: list[bytes]
     fault: ProtocolError | None
-    empty_at: int  # boot clock in microseconds; the receive buffer was empty then, before these bytes came
+    empty_at: int  # time (boot clock, microseconds) at which the receive buffer was empty before these bytes
     was_waiting: bool  # the reader was blocked when the first byte arrived
 
 
@@ -42,7 +42,7 @@
         buffers: Buffers,
         max_frames: int,
     ) -> None:
-        self.bytes_read = 0  # since the connection was opened
+        self.bytes_read = 0  # number of bytes received since the connection was opened
         self._number = number
         self._find_frame_end = find_frame_end
         self._buffers = buffers
--- a/finchcart/node_config.py
+++ b/finchcart/node_config.py
@@ -39,7 +39,7 @@
 
 
 class WatchConfig(NamedTuple):
-    """The key `watch`: settings that a shadow applies, which logs what it would decide with them."""
+    """The key `watch`: settings with which a shadow makes decisions that are only logged."""
 
     overrides: settings.SettingsOverrides
     period_us: int  # microseconds between two log lines of the shadow
@@ -50,7 +50,7 @@
 
     name: str  # the node's name in the registry
     listen: Address
-    addresses: NodeAddresses  # of peers; may change while the node runs
+    addresses: NodeAddresses  # the addresses of the peers, which may change while the node runs
     seed: int
     settings: NodeSettings
     limits: Limits
--- a/finchcart/protocol/messages.py
+++ b/finchcart/protocol/messages.py
@@ -48,7 +48,7 @@
 class CommandRejected(NamedTuple):
     """A command was rejected, because the worker pool does not know its run or method."""
 
-    was_start: bool  # the command was to start a run
+    was_start: bool  # whether the rejected command was to start a run
     rpc_name: str
 
 
--- a/finchcart/protocol/store_codec.py
+++ b/finchcart/protocol/store_codec.py
@@ -9,8 +9,8 @@
 from finchcart.protocol.framing import Codec
 from finchcart.protocol.messages import StoreReply
 
-MAX_LENGTH_DIGITS = 9  # in the length of a reply's body
-MAX_QUOTED_BYTES = 60  # of an invalid line in an error message
+MAX_LENGTH_DIGITS = 9  # maximum number of digits in the length of a reply's body
+MAX_QUOTED_BYTES = 60  # an error message quotes at most so many bytes of an invalid line
 LINE_END = b"\r\n"
 
 REPLY_OUTCOMES = {
--- a/finchcart/protocol/worker_pool_codec.py
+++ b/finchcart/protocol/worker_pool_codec.py
@@ -26,8 +26,8 @@
     WorkerPoolMessage,
 )
 
-MAX_BRACKETS = 100  # opening brackets and braces in a line
-MAX_ERROR_LENGTH = 120  # characters
+MAX_BRACKETS = 100  # maximum number of opening brackets and braces in a line
+MAX_ERROR_LENGTH = 120  # maximum number of characters
 
 RUN_OUTCOMES = {
     "good": Outcome.OK,
--- a/finchcart/simulator/events.py
+++ b/finchcart/simulator/events.py
@@ -63,7 +63,7 @@
     shed_rank: float | None = None  # from 0 to 1, derived from the RPC's user
     first_rpc: str | None = None  # if this RPC is a duplicate: the first RPC with its idempotency key
     service_time_hint: int = 0  # microseconds; 0: the RPC carries no hint
-    expires_at: int = 0  # the RPC's deadline; 0: the RPC carries none
+    expires_at: int = 0  # the RPC's deadline; 0: the RPC carries no deadline
     is_retry: bool = False
     waited: int = 0  # microseconds between the arrival at the machine and the time when it was read
 
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -67,7 +67,7 @@
         self.health_checked = False  # the connection has carried a health check
         self.state = DispatcherConnectionState.OPEN
         self.is_close_scheduled = False  # a timer for the next attempt to close is pending
-        self.close_attempts = 0  # since the last message
+        self.close_attempts = 0  # number of attempts to close since the last message
 
     @property
     def ended(self) -> bool:
