--- a/finchcart/cli/fleet_node.py
+++ b/finchcart/cli/fleet_node.py
@@ -146,7 +146,10 @@
     # ---- Effects of the core
 
     def publish_usage(self, limit: str, in_use: int, demand: int, priority_demand: int) -> None:
-        """Post this node's use of and demand for a limit, to the lease holder or to be gossiped."""
+        """Post this node's use of a limit and demand for it.
+
+        The lease holder receives the usage of a strict limit. The usage of any other limit is gossiped.
+        """
         usage = UsageReported(limit, in_use, demand, priority_demand)
         strict_limits = self._quota.strict_limits if self._quota else ()
         if any(strict.name == limit for strict in strict_limits):
--- a/finchcart/errors.py
+++ b/finchcart/errors.py
@@ -2,7 +2,7 @@
 
 An error that a peer, a caller or a configuration causes has a type of this module, or a subtype that is
 defined next to its codec. Its message says what was expected, what was found and where. Any other exception
-is a defect of the program and must not be caught, except where a comment explains why it is.
+is a defect of the program and must not be caught, except where a comment gives the reason.
 """
 
 
--- a/finchcart/net/clock.py
+++ b/finchcart/net/clock.py
@@ -1,8 +1,8 @@
 """The clock of the node, on which all its deadlines, timers and durations are measured.
 
 The node uses the boot clock. The wall clock can step, so nothing is ordered by it. CLOCK_MONOTONIC stops
-while the machine is suspended, but callers continue to wait in real time: a timer that was due during the
-suspension must be late afterwards. This module has no state.
+while the machine is suspended, but callers continue to wait in real time: a timer whose time has
+passed during the suspension must be due when the machine resumes. This module has no state.
 """
 
 from time import CLOCK_BOOTTIME, clock_gettime_ns, time_ns
--- a/finchcart/node_process.py
+++ b/finchcart/node_process.py
@@ -96,7 +96,7 @@
 
 
 def _handle_signals(signal_listeners: list[Callable[[Drain | ReloadConfig], None]]) -> None:
-    """Make each signal create an input, which all `signal_listeners` of that moment receive."""
+    """Install signal handlers that pass an input to each function in `signal_listeners` at that time."""
 
     def handle(number: int, _: FrameType | None) -> None:
         # The input holds the time of the signal, from which the grace period counts: the turn that processes
--- a/finchcart/thrift/connection_limiter.py
+++ b/finchcart/thrift/connection_limiter.py
@@ -52,8 +52,8 @@
 
         Prefers the connection that has been silent for the longest time after a single health check, as no
         RPC is expected on it. Otherwise drops the connection that has been silent for the longest time
-        without any call, as nothing of it has run. A connection that may be about to send is kept; if no
-        other is left, new connections wait in the backlog.
+        without any call, as no RPC of it can have run. A connection on which a request may be in transit is
+        kept; if there are only such connections, new connections wait in the backlog.
         """
         silent_since = self.effect_buffer.now - self.limits.crossing_window_us
         unused = (
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -120,8 +120,8 @@
         """Request the next batches, after a batch was received.
 
         For a connection that carries RPCs, several batches are requested ahead, so that the reader thread
-        need not be woken for each batch. Nothing is requested while writes are blocked: a dispatcher that
-        sends and never reads is read no further.
+        need not be woken for each batch. No batch is requested while writes are blocked, so the node
+        reads nothing more from a dispatcher that sends data and never reads.
         """
         connection.reads_requested -= 1
         carries_few_rpcs = connection.health_checked or connection.calls < 2
