--- a/finchcart/fleet_participant.py
+++ b/finchcart/fleet_participant.py
@@ -22,7 +22,7 @@
 
 
 class FleetParticipant(Protocol):
-    """A node's participant in a fleet: its thread, and the parts of the core that apply fleet decisions."""
+    """What connects a node to a fleet: the fleet's thread, and parts of the core that apply its decisions."""
 
     def limiters(self) -> "LimiterSet | None":
         """Return the limiters that enforce the fleet's limits, or None if no limits are configured."""
--- a/finchcart/membership/anti_entropy.py
+++ b/finchcart/membership/anti_entropy.py
@@ -68,9 +68,9 @@
             self._send_page(message.record, count, bucket, sorted(ids[bucket]))
 
     def on_page(self, message: BucketPage) -> None:
-        """Send the records that are newer here.
+        """Send the records that are newer in the own table than in the page.
 
-        If the sender has newer records, reply with a page of the versions held here to request them.
+        If the sender has newer records, request them by a reply with a page of the versions in the own table.
         """
         peer_versions = {
             member_id: (incarnation, version) for member_id, incarnation, version in message.versions
--- a/finchcart/membership/config.py
+++ b/finchcart/membership/config.py
@@ -34,7 +34,7 @@
 
     period: int = 500 * MS  # time between two heartbeats to the same member
     ticks_per_period: int = 5  # heartbeats are spread over the ticks of a period
-    patience: int = 4  # periods without two-way contact after which a link is down, without packet loss
+    patience: int = 4  # periods without two-way contact after which a link is down if no packets are lost
     max_patience: int = 10  # upper bound of `patience` as it is raised under packet loss
     link_error_rate: float = 0.01  # accepted probability that packet loss alone takes a link down
     suspicion_timeout: int = 500 * MS  # time after which a suspected member counts as failed
--- a/finchcart/net/deferred_threads.py
+++ b/finchcart/net/deferred_threads.py
@@ -1,7 +1,8 @@
-"""Starts threads later that could not be started because the system had no thread left.
+"""Retries the start of threads that could not be started because the system had no thread left.
 
-A `DeferredThreadStarter` owns the thread that does this, which runs from the beginning. A deferred thread
-must never be abandoned before `MAX_START_ATTEMPTS` attempts, which last longer than a temporary shortage.
+A `DeferredThreadStarter` owns the thread that makes the attempts, and starts this thread when it is created.
+A deferred thread must never be abandoned before `MAX_START_ATTEMPTS` attempts, which last longer than a
+temporary shortage.
 """
 
 import threading
