--- a/finchcart/membership/records.py
+++ b/finchcart/membership/records.py
@@ -50,8 +50,10 @@
         self.digest = record.digest()
         self.state = MemberState.ALIVE
         self.state_since = now
-        self.pending_change_since: int | None = None  # since when its connection contradicts the state
-        self.failed_precedence: Version | None = None  # of its record when it was set to failed
+        # Since when the state of the member has contradicted whether the member is connected.
+        self.pending_change_since: int | None = None
+        # The precedence of the member's record at the time when its state was set to failed.
+        self.failed_precedence: Version | None = None
 
     @property
     def is_in_digest(self) -> bool:
@@ -153,7 +155,10 @@
     def _rejection_reason(
         self, now: int, member_id: int, record: MemberRecord, is_direct: bool
     ) -> str | None:
-        """Return why a record cannot be used, or None; evict a member if the table is full and it is new."""
+        """Return why a record cannot be used, or None.
+
+        If the member is new and the table is full, evict a failed or left member to make room.
+        """
         try:
             parse_address(record.address)
         except DatagramError as error:
--- a/finchcart/thrift/dispatcher_connections.py
+++ b/finchcart/thrift/dispatcher_connections.py
@@ -1,7 +1,7 @@
 """The state of the dispatchers' connections, and how a connection is ended.
 
 A `DispatcherConnectionTable` owns the state of each connection. It must never close a connection that has a
-response pending, unless the dispatcher has gone or the kill is due.
+response pending, unless the dispatcher has closed it, it broke, or the platform is about to kill the node.
 """
 
 from enum import Enum
@@ -67,7 +67,7 @@
         self.health_checked = False  # the connection has carried a health check
         self.state = DispatcherConnectionState.OPEN
         self.is_close_scheduled = False  # a timer for the next attempt to close is pending
-        self.close_attempts = 0  # since the last message
+        self.close_attempts = 0  # number of attempts to close since the last message
 
     @property
     def ended(self) -> bool:
@@ -120,8 +120,8 @@
         """Request the next batches, after a batch was received.
 
         For a connection that carries RPCs, several batches are requested ahead, so that the reader thread
-        need not be woken for each batch. Nothing is requested while writes are blocked: a dispatcher that
-        sends and never reads is read no further.
+        need not be woken for each batch. No batch is requested while writes are blocked, so the node
+        reads nothing more from a dispatcher that sends data and never reads.
         """
         connection.reads_requested -= 1
         carries_few_rpcs = connection.health_checked or connection.calls < 2
