--- a/finchcart/decisions/admission.py
+++ b/finchcart/decisions/admission.py
@@ -17,7 +17,7 @@
 
 # A retry does not carry its age, so its objective is shortened by this factor times the retry ratio.
 RETRY_OBJECTIVE_REDUCTION = 4
-MAX_RETRY_OBJECTIVE_REDUCTION = 0.5  # fraction of the objective
+MAX_RETRY_OBJECTIVE_REDUCTION = 0.5  # upper bound of that reduction, as a fraction of the objective
 
 
 class Admission:
--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -16,7 +16,7 @@
 # On a free core, an RPC with a service time hint is run if its expected service time is below this fraction
 # of the time left. An RPC without a hint is always run on a free core.
 FREE_CORE_FRACTION = 0.8
-IDLE_NODE_FRACTION = 1.2  # the same fraction while less than half of the cores are in use
+IDLE_NODE_FRACTION = 1.2  # replaces FREE_CORE_FRACTION while less than half of the cores are in use
 # Probability of running an RPC that is expected to be late: without these runs, the estimates of a slow node
 # would stay high after its recovery.
 EXPLORATION_PROBABILITY = 0.1
@@ -106,7 +106,11 @@
         return rpc.shed_rank * self._rank_count - rpc.method.criticality_rank
 
     def _has_free_core(self, now: int, rpc: RpcHandle) -> bool:
-        """Return whether a core is free for the RPC, and its run is expected to fit in the time left."""
+        """Return whether the RPC may run at once on a free core.
+
+        A core must be free, the queue must be empty, and the run must be expected to fit in the time left.
+        Whether the run fits is ignored if the RPC carries no service time hint, and at random to explore.
+        """
         on_cores = self._runs.on_cores
         cores = self._runs.cores
         if on_cores >= cores or self._queue.entries:
--- a/finchcart/decisions/admission_control.py
+++ b/finchcart/decisions/admission_control.py
@@ -17,7 +17,7 @@
 # so is faster at lower latencies.
 PROBABILITY_GROWTH = 0.015
 MIN_GROWTH_BASE = 0.2  # lower bound of the relative latency in that division
-NEXT_RANK_PROBABILITY = 0.1  # a method is cut once all less critical ones have a probability below this
+NEXT_RANK_PROBABILITY = 0.1  # a method is cut only if all less critical ones have a lower probability
 
 
 class AdmissionControl:
@@ -33,12 +33,15 @@
         self._wait = wait
 
     def update(self, now: int, ingress_delay: float) -> None:
-        """Run one iteration; `ingress_delay` is the expected time until an RPC arriving now is read."""
+        """Update the relative latency and the admission probability of each method.
+
+        `ingress_delay` is the expected time until an RPC that arrives now is read.
+        """
         self._measure_latency(now, ingress_delay)
         self._adjust_probabilities()
 
     def _measure_latency(self, now: int, ingress_delay: float) -> None:
-        """Set each method's relative latency: the forecast for an RPC arriving now, over the setpoint."""
+        """Set each relative latency: the expected latency of an RPC arriving now, divided by the setpoint."""
         for method in self._methods.all:
             priority = (-method.criticality, now + method.latency_objective)
             latency = ingress_delay + self._wait.expected_wait(priority)
@@ -65,7 +68,7 @@
                 method.admission_probability = min(1.0, probability + growth)
 
     def _may_cut(self, method: Method) -> bool:
-        """Return whether all less critical methods are already cut, and none of them yields to this one."""
+        """Return whether all less critical methods are cut, and none has runs that yield to this method."""
         if any(self._pausing.yields(other, method.criticality) for other in method.less_critical):
             return False
         probability = max((other.admission_probability for other in method.less_critical), default=0)
--- a/finchcart/decisions/caller_reuse.py
+++ b/finchcart/decisions/caller_reuse.py
@@ -1,13 +1,13 @@
 """Caller reuse ratio: the fraction of the arrivals that come from recently seen callers.
 
-This module records when each caller was last seen. The ratio is used for the idle timeout of connections
-(idle_timeout.py) and for retry advice (rejection.py), the number of callers for the credit (feedback.py).
+This module records when each caller was last seen. The idle timeout of connections (idle_timeout.py) and the
+retry advice (rejection.py) depend on the ratio, and the credit (feedback.py) on the number of callers.
 """
 
 from finchcart.decisions.units import SECOND
 from finchcart.decisions.warm_up import WarmUp
 
-REUSE_WINDOW = 8 * SECOND  # longest idle timeout: a caller seen within it can reuse its connection
+REUSE_WINDOW = 8 * SECOND  # the longest idle timeout, within which a caller can reuse its connection
 REUSE_SAMPLES = 16  # arrivals over which the ratio is averaged
 MAX_CALLERS_REMEMBERED = 999  # with more callers, those not seen within the window are forgotten
 
@@ -23,7 +23,7 @@
         Within one window after each start or restart, unknown callers do not count as new in the ratio.
         """
         self._warm_up = warm_up
-        self.last_seen: dict[Caller, int] = {}  # time by caller
+        self.last_seen: dict[Caller, int] = {}  # when each caller was last seen
         self.ratio = 0.0  # fraction of the arrivals whose caller was seen within the window
 
     def record(self, now: int, caller: Caller) -> None:
--- a/finchcart/decisions/completion.py
+++ b/finchcart/decisions/completion.py
@@ -60,7 +60,7 @@
             self._port.stop(rpc.index)
 
     def drop_queued(self, now: int, rpc: RpcHandle, reason: RejectionReason) -> None:
-        """Remove an RPC from the queue and reject it, or fail it where it was paused and so has run."""
+        """Remove an RPC from the queue and reject the RPC; if its run was paused, fail the RPC instead."""
         self._queue.remove(rpc)
         if rpc.has_run:
             self.fail(now, rpc)
--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -11,12 +11,12 @@
 from finchcart.decisions.warm_up import WarmUp
 
 # Bounds of the runs in progress, including those that wait for calls.
-IN_PROGRESS_FRACTION = 0.8  # of the maximum concurrency
+IN_PROGRESS_FRACTION = 0.8  # upper bound as a fraction of the maximum concurrency
 MAX_RUNS_PER_CORE = 4
 
 # Bounds of the concurrency limit.
 LIMIT_PER_CORE = 2
-LIMIT_FRACTION = 0.4  # of the maximum concurrency
+LIMIT_FRACTION = 0.4  # upper bound as a fraction of the maximum concurrency
 LIMIT_GROWTH_DIVISOR = 4  # per maintenance interval, the limit grows by the number of cores divided by this
 LIMIT_CUT_FACTOR = 0.9  # factor by which a cut multiplies the limit, per maintenance interval
 
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -36,7 +36,7 @@
 
 SHORTEST_CALL_BIN = 2 * MS
 PRIOR_CALL_TIME = 30 * MS
-DEGRADE_MARGIN = 1.5  # a call is skipped if less time is left than this factor times the mean call takes
+DEGRADE_MARGIN = 1.5  # an optional call is skipped if the time for it is below this many mean call times
 # To leave time for a degraded response, a timeout is shortened to this quantile of the call times at most.
 USUAL_CALL_QUANTILE = 0.95
 BEFORE_ANY_CALL = -(10**15)
@@ -95,7 +95,7 @@
 
     def make_calls(self, now: int) -> None:
         """Make or skip the calls that runs await, as far as the limits allow."""
-        # The dependency may be cold after an outage: the share ramps up from when it was last unreachable.
+        # The dependency may be cold after an outage, so the share ramps up after a call failed to reach it.
         progress = self._settings.warm_up_progress(now - self.unreachable_at)
         share = self._share * progress
         size = BUCKET_FRACTION * share * self._window
--- a/finchcart/decisions/expected_wait.py
+++ b/finchcart/decisions/expected_wait.py
@@ -31,7 +31,7 @@
         slowdown = self._slowdown.factor
         pausing = self._pausing
         work = pausing.work_not_yielding(-priority[0]) if pausing.is_enabled else runs.expected_work
-        work *= slowdown / 2  # on average, half of the work of a run is done
+        work *= slowdown / 2  # a run in progress is taken to have half of its work left
         if runs.on_cores < limit:
             work *= runs.on_cores / limit / 2
         for queued_priority, _, rpc in self._queue.entries:
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -67,7 +67,7 @@
         return level
 
     def _publish_credit(self, now: int) -> None:
-        """Publish how many RPCs a caller may have open: its share of those that can end in time."""
+        """Publish how many RPCs each caller may have open: an equal share of those that can end in time."""
         callers = self._callers.count_seen_within(now, self._lifetime)
         service_times = (method.estimates.service_time.mean for method in self._methods.all)
         service_time = max(service_times, default=SECOND) * self._slowdown.factor
--- a/finchcart/decisions/gauges.py
+++ b/finchcart/decisions/gauges.py
@@ -13,9 +13,9 @@
     core_use: float | None = None  # utilization of the cores, averaged; None: not measured
     on_cores: float | None = None  # runs and reads that need a core now; None: not measured
     call_capacity: int | None = None  # concurrent calls that the fleet's limit allows; None: no such limit
-    ejected: bool = False  # decided by the consensus: this node must report itself unhealthy
-    min_shed_level: float = 0.0  # decided by the consensus: lowest shed level to publish and to apply
-    dependency_down: bool = False  # decided by the consensus; `call_capacity` then limits probe calls
+    ejected: bool = False  # the consensus is that this node must report itself unhealthy
+    min_shed_level: float = 0.0  # lowest shed level to publish and apply, set by the consensus
+    dependency_down: bool = False  # by consensus, the dependency is down; `call_capacity` limits probe calls
     input_busy: float = 0.0  # fraction of the time in which the host processed its inputs
     input_age: int = 0  # microseconds that the oldest recent input waited in the host
 
@@ -26,7 +26,7 @@
 
 
 class LatestGauges:
-    """The latest gauges, as plain fields, as they are read for each RPC.
+    """The latest gauges, in plain fields because admission reads them for each RPC.
 
     Invariant: a gauge that the host did not measure is derived from the counts of runs.
     """
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -63,7 +63,7 @@
         return self.grace_end is not None and rpc.reached_at > self.grace_end
 
     def outlives_grace(self, now: int, rpc: RpcHandle) -> bool:
-        """Return whether an RPC takes longer than it may after the grace period."""
+        """Return whether an RPC's run has exceeded the time that a run may take after the grace period."""
         if self.grace_end is None or not self.is_past_grace:
             return False
         began = max(self.grace_end, rpc.started_at)
--- a/finchcart/decisions/health.py
+++ b/finchcart/decisions/health.py
@@ -12,7 +12,7 @@
 
 # Thresholds of the ingress queueing delay, as fractions of the shortest latency objective.
 UNHEALTHY_DELAY = Hysteresis(enter=0.5, exit=0.1)
-READS_FRACTION = 0.5  # above this fraction of the cores, reads take core time that runs need
+READS_FRACTION = 0.5  # reads that need more than this fraction of the cores delay the runs
 
 
 class Health:
--- a/finchcart/decisions/idempotency_keys.py
+++ b/finchcart/decisions/idempotency_keys.py
@@ -26,7 +26,7 @@
         self._port = port
         self._memory = memory
         self._entry_kb = settings.key_entry_kb
-        self._expiry_margin = 2 * settings.tick_us  # by then the host has removed an expired key
+        self._expiry_margin = 2 * settings.tick_us  # the host removes a key within this time after its expiry
         self._expirations: list[tuple[int, int, RpcHandle]] = []  # heap of (time, index, RPC)
 
     def store(self, now: int, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/idle_timeout.py
+++ b/finchcart/decisions/idle_timeout.py
@@ -16,7 +16,7 @@
 MIN_IDLE_TIMEOUT = DRAINING_IDLE_TIMEOUT
 MAX_IDLE_TIMEOUT = REUSE_WINDOW
 
-# Idle connections are kept while the first or second value is above its thresholds, or the third below.
+# Idle connections are kept while the first or second value is above, or the third is below, its thresholds.
 KEPT_REUSE = Hysteresis(enter=0.75, exit=0.6)  # caller reuse ratio
 KEPT_DELAY = Hysteresis(enter=0.2, exit=0.04)  # ratio of ingress queueing delay to shortest objective
 KEPT_PROBABILITY = Hysteresis(enter=0.6, exit=0.9)  # lowest admission probability, if no level is published
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -15,7 +15,8 @@
 from finchcart.decisions.units import SECOND
 
 OBJECTIVE_WITHOUT_METHODS = SECOND
-# Fraction of the full speed. A lower configured speed is implausible and is raised to this one.
+# Lower bound of the speed of a cold node, as a fraction of the full speed. A lower setting is implausible and
+# is raised to this bound.
 MIN_COLD_SPEED = 0.1
 
 
--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -49,8 +49,8 @@
     name: str
     kind: MethodKind = MethodKind.NON_IDEMPOTENT
     criticality: float | None = None  # methods of lower criticality are shed first; None: not configured
-    deadline_us: int | None = None  # from arrival, for RPCs that carry no deadline; None: not configured
-    latency_objective_us: int | None = None  # None: the deadline
+    deadline_us: int | None = None  # time from the arrival, if an RPC carries none; None: not configured
+    latency_objective_us: int | None = None  # None: the objective is the deadline
     key_window_us: int = 0  # duplicates may arrive for this long after the first RPC with their key
     late_value: float = 0  # value of a response after the objective; 0: a late run may be stopped
     makes_call: bool = False  # a run calls the dependency
--- a/finchcart/decisions/rejection.py
+++ b/finchcart/decisions/rejection.py
@@ -12,7 +12,7 @@
 # If this fraction of an RPC's expected service time exceeds the time left, no node can serve the RPC in time.
 INFEASIBLE_FRACTION = 0.4
 FULL_FLEET_RETRY_RATIO = 0.1  # a higher ratio of retries shows that the whole fleet is full
-FULL_FLEET_PROBABILITY = 0.6  # without marked retries, a lower admission probability shows the same
+FULL_FLEET_PROBABILITY = 0.6  # if retries are not marked, a lower admission probability shows a full fleet
 MIN_ADVISED_WAIT = 50 * MS  # no advice is given for a shorter wait
 MIN_REUSE_FOR_ADVICE = 0.6  # advice is given only above this caller reuse ratio
 
--- a/finchcart/decisions/rpc.py
+++ b/finchcart/decisions/rpc.py
@@ -84,7 +84,7 @@
     )
 
     # Set on admission.
-    expected_service_time: float  # estimate, after a pause of the remaining time: admission.py, runs.py
+    expected_service_time: float  # after a pause, that of the remaining work: admission.py, runs.py
     objective_at: int  # latest time at which a response meets the latency objective: admission.py
     priority: tuple[float, float]  # sort key of the queue, the smallest first: admission.py
     # Set when the run needs a call.
@@ -101,8 +101,8 @@
         self._events = events
         self.index = index  # identifies the RPC in calls of the port
         self.method = method
-        self.memory_kb = arrival.memory_kb  # held until the RPC is completed
-        self.extra_run_kb = self.memory_kb * (run_factor - 1)  # held in addition from the start of the run
+        self.memory_kb = arrival.memory_kb  # memory that the RPC holds until its completion
+        self.extra_run_kb = self.memory_kb * (run_factor - 1)  # additional memory from the start of the run
         self.reached_at = now - arrival.waited  # when the RPC reached the machine
         self.due_at = arrival.expires_at or self.reached_at + method.deadline  # deadline of the response
         self.shed_rank = arrival.shed_rank
--- a/finchcart/decisions/rpc_events.py
+++ b/finchcart/decisions/rpc_events.py
@@ -12,7 +12,7 @@
 from finchcart.decisions.rpc import CALLING, COMPLETED, PAUSED, QUEUED, RUNNING, SHARING, RpcHandle
 from finchcart.decisions.run_starter import RunStarter
 
-MAX_CALL_ATTEMPTS = 2  # per run
+MAX_CALL_ATTEMPTS = 2  # attempts per run, including the first one
 
 
 class RpcEventHandler:
@@ -48,7 +48,7 @@
         if rpc.state is not SHARING:
             self._record_run(rpc, outcome, duration)
         if lacks_response:
-            self._port.fail(rpc.index)  # not a rejection, as the run may have had an effect
+            self._port.fail(rpc.index)  # a rejection would be wrong, as the run may have had an effect
         self._completion.complete(now, rpc)
         self._starter.start_queued(now)
 
@@ -89,7 +89,7 @@
 
     def _record_run(self, rpc: RpcHandle, outcome: Outcome, duration: int) -> None:
         rpc.failed = outcome is not Outcome.OK
-        # Of a run that did not start, nothing is learned, and its key is evicted on completion.
+        # A run that did not start changes no estimate, and the key of its RPC is evicted on completion.
         rpc.has_run = outcome is not Outcome.NOT_STARTED
         if rpc.has_run:
             self._slowdown.record_work(rpc.expected_service_time)
--- a/finchcart/decisions/run_queue.py
+++ b/finchcart/decisions/run_queue.py
@@ -7,7 +7,7 @@
 
 from finchcart.decisions.rpc import RpcHandle
 
-Priority = tuple[float, float]  # the smallest first
+Priority = tuple[float, float]  # the RPC with the smallest priority is the first in the queue
 
 
 class RunQueue:
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         """Begin with an empty queue."""
-        # (priority, index, RPC); other modules may read this list, but must not change it.
+        # The entries are (priority, index, RPC). Other modules may read this list, but must not change it.
         self.entries: list[tuple[Priority, int, RpcHandle]] = []
 
     def push(self, rpc: RpcHandle) -> None:
--- a/finchcart/decisions/runs.py
+++ b/finchcart/decisions/runs.py
@@ -74,4 +74,4 @@
         self.on_cores += change
         self.pausing.discard(rpc)
         expected_work = self.expected_work + change * rpc.expected_service_time
-        self.expected_work = expected_work * (self.on_cores > 0)  # clears the rounding error without runs
+        self.expected_work = expected_work * (self.on_cores > 0)  # no runs on cores: clears rounding errors
--- a/finchcart/decisions/service_time.py
+++ b/finchcart/decisions/service_time.py
@@ -10,7 +10,7 @@
 from finchcart.decisions.histogram import Histogram
 
 HISTOGRAM_SAMPLES = 120  # counts are halved at this number of samples, so that old samples decay
-MIN_HINT_RATIO_LOG2 = 0.5  # lower bound, as small and large hints that are closer give no reliable exponent
+MIN_HINT_RATIO_LOG2 = 0.5  # lower bound, as a small and a large hint that are close give no reliable exponent
 
 
 class ServiceTimeEstimates:
--- a/finchcart/decisions/slowdown.py
+++ b/finchcart/decisions/slowdown.py
@@ -27,7 +27,7 @@
         self._methods = methods
         self._runs = runs
         self.factor = 1.0
-        self.core_time_spent = 0.0  # by all runs
+        self.core_time_spent = 0.0  # sum over all runs
         self.work_completed = 0.0  # expected service time of the runs, or portions of runs, that ended
 
     def record_work(self, expected_service_time: float) -> None:
@@ -40,6 +40,7 @@
         self.core_time_spent = self.core_time_spent * SUM_DECAY + core_time
         self.work_completed *= SUM_DECAY
         service_times = sum(method.estimates.service_time.mean for method in self._methods)
-        usual = self._runs.cores * service_times / max(1, len(self._methods))  # keeps an idle node near 1
+        # This term keeps the factor of an idle node near 1.
+        usual = self._runs.cores * service_times / max(1, len(self._methods))
         factor = (self.core_time_spent + usual) / (self.work_completed + usual)
         self.factor = max(MIN_SLOWDOWN, min(MAX_SLOWDOWN, factor))
