--- a/finchcart/node/drain.py
+++ b/finchcart/node/drain.py
@@ -22,7 +22,10 @@
 
 
 class NodeDrain:
-    """The steps of a drain; implements `ShutdownHost`. Uses one timer while there is no worker pool."""
+    """The steps of a drain; implements `ShutdownHost`.
+
+    `NodeDrain` uses one timer, and only while the worker pool was never connected.
+    """
 
     controllers: ControllerHost  # `connect` sets this attribute and the three below
     shutdown: ShutdownSchedule
--- a/finchcart/node/fault_log.py
+++ b/finchcart/node/fault_log.py
@@ -21,7 +21,7 @@
 
 
 class FaultLog:
-    """Writes the faults of each origin. An origin has one record, until the end of its interval.
+    """Logs the faults of each origin. An origin has one record, until the end of its interval.
 
     Arguments:
         interval_us: the length of an origin's interval in microseconds; it begins with the first fault.
--- a/finchcart/node/fleet.py
+++ b/finchcart/node/fleet.py
@@ -35,7 +35,7 @@
     """The limiters, the observer and the members of the fleet. Times are whole microseconds.
 
     Bounds: at most as many members as the membership keeps; failed members and those that left are removed.
-    One host for each connection, until the connection is closed.
+    `FleetView` keeps one host for each connection, until the connection is closed.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
         self.limiters = limiters
         self.observer = observer
         self.limits_rpcs = limiters is not None or observer is not None
-        self.members: dict[str, FleetMember] = {}  # by name
+        self.members: dict[str, FleetMember] = {}  # member by its name
         self.isolated = False
-        self._hosts: dict[int, str | None] = {}  # by connection; empty without an observer
+        self._hosts: dict[int, str | None] = {}  # host by connection; empty without an observer
 
     # ---- Inputs from the fleet
 
@@ -106,7 +106,10 @@
     def quota_for(
         self, method: str, attributes: RpcAttributes
     ) -> "tuple[FleetQuota | None, Sequence[RpcLimiter]]":
-        """Return the quota of an RPC, None for no bound, and the limiters that count the RPC if admitted."""
+        """Return the quota of an RPC, and the limiters that count the RPC if it is admitted.
+
+        The quota is None if no limit applies to the RPC.
+        """
         quota = None
         limiters: Sequence[RpcLimiter] = ()
         caller = attributes.caller
--- a/finchcart/node/inputs.py
+++ b/finchcart/node/inputs.py
@@ -130,8 +130,8 @@
 
     key: bytes
     outcome: KeyLeaseOutcome
-    result: bytes  # the result of the run on another node, with ENDED
-    run_by: int | None  # with GRANTED: the run must be started before this time of the boot clock, or never
+    result: bytes  # if the outcome is ENDED: the result of the run on another node
+    run_by: int | None  # if GRANTED: the run must start before this time of the boot clock, or never
 
 
 class WallClockRead(NamedTuple):
--- a/finchcart/node/key_entry.py
+++ b/finchcart/node/key_entry.py
@@ -23,7 +23,7 @@
     def __init__(self, key: IdempotencyKey, index: int, digest: bytes) -> None:
         self.key = key
         self.index = index  # index of the RPC that holds the key
-        self.digest = digest  # digest of the body, which is the same for all RPCs of the key
+        self.digest = digest  # digest of the body; all RPCs of the key have the same body
         self.expires_at = 0
         self.result: bytes | NoResult = NoResult.PENDING
         self.waiting: list[int] = []  # indices of the duplicates that wait for the result
--- a/finchcart/node/key_leases.py
+++ b/finchcart/node/key_leases.py
@@ -65,10 +65,10 @@
         self.effect_buffer = effect_buffer
         self.lifetime_us = lifetime_us
         self.now_us = 0
-        self.waiting: dict[bytes, WaitingRpc] = {}  # by digest of the key
-        self.held: dict[int, HeldKeyLease] = {}  # by index of the RPC
+        self.waiting: dict[bytes, WaitingRpc] = {}  # waiting RPC by the digest of its key
+        self.held: dict[int, HeldKeyLease] = {}  # key lease by the index of its RPC
         self.counts: Counter[str] = Counter()
-        self._unsent: list[KeyToLease] = []  # requests of this turn
+        self._unsent: list[KeyToLease] = []  # requests of this turn of the event loop
         self._resolve_by: int | None = None  # time by which all requests must be resolved; None: not draining
 
     def request(
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -163,7 +163,7 @@
     def quota(self, limiters: Sequence[RpcLimiter]) -> FleetQuota | None:
         """Record the demand of one RPC, and return its quota.
 
-        The quota is that of the limiter with the least left; None: there are no limiters.
+        The quota is that of the limiter which can admit the fewest RPCs; None: there are no limiters.
         """
         for limiter in limiters:
             limiter.record_demand()
--- a/finchcart/node/limiters.py
+++ b/finchcart/node/limiters.py
@@ -27,7 +27,10 @@
     """The interface of the store client through which limiters read the number of calls in flight."""
 
     def in_flight(self, leased: bool) -> int:
-        """Return the number of calls beyond the floor of the fleet limit, or of those within the floor."""
+        """Return the number of calls in flight.
+
+        `leased` selects either the calls beyond the floor of the fleet limit, or those within the floor.
+        """
 
 
 class Usage(NamedTuple):
--- a/finchcart/node/methods.py
+++ b/finchcart/node/methods.py
@@ -13,11 +13,11 @@
     """The settings of one method. Times are whole microseconds."""
 
     is_idempotent: bool
-    is_keyed: bool  # whether its RPCs carry an idempotency key
+    is_keyed: bool  # whether the method's RPCs carry an idempotency key
     degraded_value: float  # the value of an answer without the optional call; 0 if the call is not optional
     deadline_us: int
     late_read_us: int  # how long after its arrival an RPC may still be read
-    has_priority: bool  # whether it is more critical than the least critical method
+    has_priority: bool  # whether the method is more critical than the least critical method
 
 
 def read_methods(settings: NodeSettings, late_read_us: int) -> dict[str, MethodInfo]:
--- a/finchcart/node/observer.py
+++ b/finchcart/node/observer.py
@@ -21,7 +21,7 @@
 # Indices of the counts, in the order of the fields of `SourceCounts`, `CallCounts` and `RunOutcomeCounts`.
 INVALID, OVER_LIMIT, RPCS = range(3)
 SUCCEEDED, FAILED, TIME = range(3)
-ENDED, ENDED_IN_ERROR = range(2)  # followed by TIME
+ENDED, ENDED_IN_ERROR = range(2)  # the third field, the duration of the runs, has the index TIME
 
 
 class NodeObserver:
--- a/finchcart/node/recording_port.py
+++ b/finchcart/node/recording_port.py
@@ -32,8 +32,8 @@
     def __init__(self, port: Port | None = None) -> None:
         self.port = port
         self.enabled = True
-        self.rejections: dict[int, RecordedRejection] = {}  # by index of the RPC
-        self.failed_or_paused: set[int] = set()  # indices of RPCs
+        self.rejections: dict[int, RecordedRejection] = {}  # rejection by the index of the RPC
+        self.failed_or_paused: set[int] = set()  # indices of the RPCs that failed or were paused
         self.feedback: float | None = None  # the last published shed level or credit
         self.healthy = True
 
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -15,9 +15,9 @@
 class FinalOutcome(Enum):
     """The three kinds of final answer."""
 
-    OK = "ok"  # carries the run's result, unchanged
+    OK = "ok"  # the run succeeded; the answer carries the result, unchanged
     REJECTED = "rejected"  # the RPC never ran on this node
-    FAILED = "failed"  # leaves open whether the RPC ran
+    FAILED = "failed"  # the RPC failed, and may or may not have run
 
 
 class RpcAttributes(NamedTuple):
@@ -104,19 +104,19 @@
         self.method = method
         self.body = body
         self.index = NOT_ACCEPTED
-        self.key_entry: KeyEntry | None = None  # the entry of its idempotency key
+        self.key_entry: KeyEntry | None = None  # the entry of the RPC's idempotency key
         self.handle: ControlledRpc | None = None  # returned by the decision module's `admit`; None before
         self.response_pending = True
         self.arrival_uncertainty_us = 0
         self.started = False  # set when the decision module starts the run
-        self.completed = False  # set when its run, or its wait as a duplicate, is over
+        self.completed = False  # set when the RPC's run, or a duplicate's wait, is over
         self.awaited_call: AwaitedCall | None = None
-        self.call_connection: int | None = None  # the store connection that carries its call
+        self.call_connection: int | None = None  # the store connection that carries the RPC's call
         self.calls_made = 0
         self.call_started_at = 0
-        self.joined_at: int | None = None  # when it began to wait for the first RPC of its key
-        self.call_timeout_capped = False  # a limit of this node shortened the timeout of its call
-        self.counted_by: tuple[InFlightCounter, ...] | None = None  # the limiters that count it as in flight
+        self.joined_at: int | None = None  # when a duplicate began to wait for the first RPC of its key
+        self.call_timeout_capped = False  # whether a limit of this node shortened the call's timeout
+        self.counted_by: tuple[InFlightCounter, ...] | None = None  # limiters that count the RPC as in flight
 
     @property
     def is_running(self) -> bool:
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -151,13 +151,13 @@
         _handle_of(rpc).run_ended(self.effect_buffer.now, outcome, spent_us)
 
     def run_not_started(self, index: int) -> None:
-        """Handle a run that was not started because its key lease had expired."""
+        """End a run that was not started because its key lease had expired."""
         rpc = self.rpcs.get(index)
         if rpc and rpc.is_running:
             self.run_ended(rpc, Outcome.NOT_STARTED, 0, b"")
 
     def run_lost(self, rpc: NodeRpc) -> None:
-        """Handle a run that the worker pool has lost."""
+        """End a run that the worker pool has lost, as a stopped run."""
         self.run_ended(rpc, Outcome.STOPPED, 0, b"")
 
     def duplicate_ready(self, index: int) -> None:
--- a/finchcart/node/wall_clock.py
+++ b/finchcart/node/wall_clock.py
@@ -33,10 +33,10 @@
 from typing import NamedTuple
 
 STEP_THRESHOLD_US = 10_000  # a larger change of the offset between two readings is a step, not slew
-MAX_PERIODS = 16  # the latest are kept; timestamps older than the deadlines are not valid anyhow
+MAX_PERIODS = 16  # the latest periods are kept; timestamps older than the deadlines are not valid anyhow
 TIMESTAMP_UNIT_US = 1_000  # timestamps are truncated to whole milliseconds
 DISTANT_PAST = -(1 << 62)
-MAX_OTHER_CLOCKS = 4  # the latest are kept
+MAX_OTHER_CLOCKS = 4  # the clocks that were recorded last are kept
 OTHER_CLOCK_ERROR_US = 1_000_000  # how long the RPC that defined an offset may have waited to be read
 MAX_CLOCK_DIFFERENCE_US = 24 * 3600 * 1_000_000  # errors of time zone or date are below one day
 
@@ -54,12 +54,12 @@
     __slots__ = ("begins", "ends", "offset")
 
     def __init__(self, begins: int, ends: int | None, offset: int) -> None:
-        self.begins = begins  # the earliest possible begin
-        self.ends = ends  # the latest possible end; None for the current period
+        self.begins = begins  # the earliest time at which the period can have begun
+        self.ends = ends  # the latest time at which the period can have ended; None for the current period
         self.offset = offset  # wall clock minus node's clock, in microseconds
 
     def includes(self, time_us: int) -> bool:
-        """Return whether the offset can have been in force at that time."""
+        """Return whether the period's offset can have been in force at that time."""
         return self.begins - TIMESTAMP_UNIT_US <= time_us and (self.ends is None or time_us <= self.ends)
 
 
@@ -80,7 +80,7 @@
             current.offset = offset
             step = 0
         elif abs(step) <= STEP_THRESHOLD_US:
-            current.offset = offset  # slew, not a step
+            current.offset = offset  # a change this small is slew, not a step
             step = 0
         else:
             current.ends = now
--- a/finchcart/node/worker_pool/connection.py
+++ b/finchcart/node/worker_pool/connection.py
@@ -26,9 +26,9 @@
     """The states of the connection. The values appear in log lines and in names of statistics counters."""
 
     DISCONNECTED = "disconnected"
-    BINDING = "binding"  # has requested the notices after the cursor; writes no commands yet
+    BINDING = "binding"  # the node has requested the notices after the cursor, and writes no commands yet
     BOUND = "bound"
-    CHANGING_ADDRESS = "moving"  # reconnects to a new address once all commands are read
+    CHANGING_ADDRESS = "moving"  # the node reconnects to a new address once all commands are read
 
 
 class PoolConnectionOwner(ConnectionOwner[WorkerPoolMessage], Protocol):
@@ -89,7 +89,7 @@
         self._owner = owner
         self._backoff = ReconnectBackoff(limits)
         self._bound_at = 0
-        self._address_change_ticket: str | None = None  # of the poll whose answer starts the reconnection
+        self._address_change_ticket: str | None = None  # the answer to this poll starts the reconnection
 
     def send(self, data: bytes) -> None:
         """Write data if there is a connection; commands that are lost with it are settled later."""
--- a/finchcart/node/worker_pool/restart_detector.py
+++ b/finchcart/node/worker_pool/restart_detector.py
@@ -11,7 +11,7 @@
     """Which process of the worker pool a new connection reached."""
 
     FIRST = "first"
-    SAME = "same"  # the process of the previous connection
+    SAME = "same"  # the process that the previous connection reached
     RESTARTED = "restarted"  # a new process, which lost all runs
 
 
