--- a/finchcart/decisions/concurrency.py
+++ b/finchcart/decisions/concurrency.py
@@ -50,8 +50,8 @@
     def adjust(self, now: int) -> None:
         """Raise the limit while cores are free and RPCs are queued; cut it while demand exceeds the cores.
 
-        This uses the present demand for cores: the averaged utilization lags, and following it would put too
-        many runs on cores at once.
+        The adjustment follows the present demand for cores. The averaged utilization lags behind the demand,
+        and an adjustment by the average would put too many runs on cores at once.
         """
         demand = self._gauges.on_cores
         if self._queue.entries and demand < self._cores and self._runs.on_cores >= self.limit - 1:
--- a/finchcart/decisions/controller.py
+++ b/finchcart/decisions/controller.py
@@ -95,7 +95,8 @@
     def drain(self, now: int, termination_deadline: int) -> None:
         """Begin the graceful shutdown.
 
-        The node serves until the grace period ends, and responds to every RPC before the deadline.
+        The node serves until the grace period ends, and responds to every RPC before the termination
+        deadline.
         """
         self.state.shutdown.begin(now, termination_deadline)
 
--- a/finchcart/decisions/duplicates.py
+++ b/finchcart/decisions/duplicates.py
@@ -11,7 +11,7 @@
 
 
 class Duplicates:
-    """Has duplicates share the result of the first RPC with the same idempotency key."""
+    """Answers duplicates with the result of the first RPC that has the same idempotency key."""
 
     def __init__(self, port: Port, state: NodeState, completion: Completion) -> None:
         """Look up first RPCs in this state."""
--- a/finchcart/decisions/expiry.py
+++ b/finchcart/decisions/expiry.py
@@ -21,7 +21,10 @@
         self._completion = completion
 
     def expire_overdue(self, now: int) -> None:
-        """Reject or fail each overdue RPC, in the order of arrival."""
+        """Reject or fail each overdue RPC, in the order of arrival.
+
+        An RPC is overdue if its response must be sent now, or if its result would have no value.
+        """
         for rpc in list(self._table.active.values()):
             if rpc.response_sent:
                 continue
--- a/finchcart/decisions/feedback.py
+++ b/finchcart/decisions/feedback.py
@@ -11,11 +11,11 @@
 from finchcart.decisions.units import SECOND
 
 LEVEL_STEP = 0.02  # smaller changes of the level are not published
-CLOSED_PROBABILITY = 0.06  # the level rises into the next rank once a rank's probability is at most this
+CLOSED_PROBABILITY = 0.06  # a rank is closed if its highest admission probability is at most this
 # A credit does not depend on criticality, so the queue needs a surplus of RPCs from which to run the most
 # critical ones.
 CREDIT_FACTOR = 4
-CREDIT_DEAD_BAND = 0.8, 1.25  # changes of the credit by a factor between these are not published
+CREDIT_DEAD_BAND = 0.8, 1.25  # a credit that changed by a factor between these is not published
 MIN_COMPARED_CREDIT = 0.001  # avoids a division by zero
 
 
@@ -36,7 +36,7 @@
         self.published = 0.0  # shed level or credit
 
     def publish(self, now: int) -> None:
-        """Publish the feedback that the settings select, if its value changed enough."""
+        """Publish the level or credit, as the settings select, if the value changed enough."""
         if self._kind is Feedback.LEVEL:
             self._publish_level()
         elif self._kind is Feedback.CREDIT:
@@ -53,8 +53,9 @@
     def _level(self) -> float:
         """Return this node's own shed level.
 
-        The level expresses the cut of the lowest rank, and of the next rank as soon as the lower one is
-        closed.
+        The level is the sum over the ranks, from the lowest, divided by the number of ranks. A closed rank
+        counts as 1. The first rank that is not closed counts as the fraction that is not admitted, and ends
+        the sum.
         """
         level = 0.0
         rank_count = self._methods.rank_count
--- a/finchcart/decisions/graceful_shutdown.py
+++ b/finchcart/decisions/graceful_shutdown.py
@@ -35,9 +35,9 @@
         self.is_past_grace = False
 
     def begin(self, now: int, termination_deadline: int) -> None:
-        """Handle a drain notice: report the node unhealthy and set the deadline.
+        """Handle a drain notice: report the node unhealthy and set the termination deadline.
 
-        A further notice can only move the deadline to an earlier time.
+        A further notice can only move the termination deadline to an earlier time.
         """
         if self.termination_deadline is None:
             self.grace_end = now + self._grace_period
@@ -51,7 +51,7 @@
         )
 
     def end_grace(self, now: int) -> None:
-        """End the grace period if its time is over; from then on, idle connections are closed."""
+        """End the grace period if it is over, and have idle connections closed from then on."""
         if self.grace_end is None or self.is_past_grace or now < self.grace_end:
             return
         self.is_past_grace = True
--- a/finchcart/node/effects.py
+++ b/finchcart/node/effects.py
@@ -89,7 +89,7 @@
 
 
 class PublishUsage(NamedTuple):
-    """Publish this node's usage of and demand for one of the fleet's limits."""
+    """Publish this node's usage and demand for one of the fleet's limits."""
 
     limit: str
     in_use: int
--- a/finchcart/node/limiter_set.py
+++ b/finchcart/node/limiter_set.py
@@ -99,10 +99,11 @@
             self._recovering_since = None if down else self.now_us
 
     def _recovery_capacity(self, calls: CallsInFlight) -> int | None:
-        """Return how many calls the consensus allows in flight, or None if it sets no bound.
+        """Return how many calls the consensus allows in flight, or None without such a bound.
 
         While the store is down, this is the share of this node in the probe calls. Once the store is up,
-        the capacity starts at 1 and doubles after each step, so that the nodes together don't overload it.
+        the capacity starts at 1 and doubles after each step, so that the nodes together don't overload
+        the store.
         """
         if self.probe is not None and self.probe.probing:
             return self.probe.capacity(calls)
--- a/finchcart/node/worker_pool/listeners.py
+++ b/finchcart/node/worker_pool/listeners.py
@@ -41,7 +41,7 @@
     """The listener for events of the worker pool itself."""
 
     def worker_pool_ready(self, cold: bool) -> None:
-        """Handle the first contact with the worker pool; `cold`: the worker pool has just started."""
+        """Handle the first contact with the worker pool; `cold` tells whether the pool has just started."""
 
     def worker_pool_restarted(self, cold: bool) -> None:
         """Handle a restart of the worker pool, which lost all runs."""
--- a/finchcart/node/worker_pool/notices.py
+++ b/finchcart/node/worker_pool/notices.py
@@ -51,7 +51,10 @@
             self._runs.awaiting_call(rpc, number, body)
 
     def command_rejected(self, was_start: bool, name: str) -> None:
-        """Handle the notice that the worker pool rejected a command; `was_start`: a start command."""
+        """Handle the notice that the worker pool rejected a command.
+
+        `was_start` tells whether the command was to start a run.
+        """
         rpc = self._runs.find_running(name)
         if rpc is None:
             return
