--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of nodes, and of the simulations of fault injection; see README.md."""
+"""Benchmarks of nodes and of the fault-injection simulations; see README.md."""
--- a/benchmarks/by_round.py
+++ b/benchmarks/by_round.py
@@ -1,6 +1,7 @@
-"""Results of `trial run` side by side: one row a kind of round, one column a way of playing it.
+"""Compare the results of several `trial run` folders: one row per kind of round, one column per mode.
 
-Owns how results.json of several runs are laid beside each other; what a cell says is the caller's.
+A mode is a variant of the fleet that played the rounds, for example with consensus on or off. This module
+merges the results.json files and lays out the table and the bar chart; its callers define the text of a cell.
 """
 
 import json
@@ -9,68 +10,74 @@
 
 Rows = list[dict]
 RowsByRound = dict[str, Rows]
-Ways = dict[str, RowsByRound]
+RowsByMode = dict[str, RowsByRound]
 
 BAR_HEIGHT = 0.24
 BAR_STEP = 0.26
 
 
 def read_side_by_side(
-    folders: Iterable[str], part: str, way_of: Callable[[str], str]
-) -> tuple[Ways, list[str]]:
-    """Return way -> round -> its rows, and the rounds in order, of the lists `part` in the runs' results.
+    folders: Iterable[str], part: str, mode_of: Callable[[str], str]
+) -> tuple[RowsByMode, list[str]]:
+    """Merge the list `part` of each folder's results.json.
 
-    `way_of` returns the way of playing by the name of a folder.
+    Return mode -> round -> rows, and the names of the rounds in the order of their first occurrence.
+    `mode_of` returns the mode for the name of a folder.
     """
-    ways: Ways = {}
+    rows_by_mode: RowsByMode = {}
     rounds: list[str] = []
     for folder in map(Path, folders):
         for row in json.loads((folder / "results.json").read_text())[part]:
             if row["round"] not in rounds:
                 rounds.append(row["round"])
-            ways.setdefault(way_of(folder.name), {}).setdefault(row["round"], []).append(row)
-    return ways, rounds
+            rows_by_mode.setdefault(mode_of(folder.name), {}).setdefault(row["round"], []).append(row)
+    return rows_by_mode, rounds
 
 
 def total(rows: Rows, column: str) -> float:
-    """Return the sum of a column."""
+    """Return the sum of a column over all rows."""
     return sum(row[column] for row in rows)
 
 
-def side_by_side_table(ways: Ways, rounds: Iterable[str], head: str, cell: Callable[[Rows], str]) -> str:
-    """Return a table; `cell(rows)` is the text of one kind of round played in one way."""
-    heads = " | ".join(f"{way}: {head}" for way in ways)
-    lines = [f"| round | {heads} |", "| --- " * (1 + len(ways)) + "|"]
+def side_by_side_table(
+    rows_by_mode: RowsByMode, rounds: Iterable[str], head: str, cell: Callable[[Rows], str]
+) -> str:
+    """Return a Markdown table; `cell(rows)` returns the text for the rows of one round and one mode."""
+    heads = " | ".join(f"{mode}: {head}" for mode in rows_by_mode)
+    lines = [f"| round | {heads} |", "| --- " * (1 + len(rows_by_mode)) + "|"]
     for name in rounds:
-        cells = [cell(rows[name]) if name in rows else "-" for rows in ways.values()]
+        cells = [cell(rows[name]) if name in rows else "-" for rows in rows_by_mode.values()]
         lines.append(f"| {name} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
 def save_bars(
     path: str,
-    ways: Ways,
+    rows_by_mode: RowsByMode,
     rounds: list[str],
     value: Callable[[Rows], float],
     label: str,
-    line: float | None = None,
+    reference: float | None = None,
 ) -> None:
-    """Draw `value(rows)` by kind of round into a file, a colour each way, and `line` for comparing."""
+    """Save a bar chart of `value(rows)` by kind of round, with one colour per mode.
+
+    `reference` is the value at which a vertical line is drawn for comparison.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(9, 0.42 * len(rounds) + 1.2))
-    for number, (way, rows) in enumerate(ways.items()):
+    for number, (mode, rows) in enumerate(rows_by_mode.items()):
         axes.barh(
             [position + BAR_STEP * (number - 1) for position in range(len(rounds))],
             [value(rows[name]) if name in rows else 0 for name in rounds],
             BAR_HEIGHT,
-            label=way,
+            label=mode,
         )
-    if line is not None:
-        axes.axvline(line, color="#999999", linewidth=0.8)
+    if reference is not None:
+        axes.axvline(reference, color="#999999", linewidth=0.8)
     axes.set_yticks(range(len(rounds)), rounds, fontsize=8)
     axes.invert_yaxis()
     axes.set_xlabel(label)
--- a/benchmarks/chart.py
+++ b/benchmarks/chart.py
@@ -1,8 +1,8 @@
-"""A chart of the benchmark's rows: CPU an RPC and latency against the rate, a line for each text.
+"""Draw the rows of the RPC benchmark: CPU per RPC and latency against the rate, one line per commit.
 
     .venv/bin/python -m benchmarks.chart docs/results/rpc.json docs/results/rpc.svg
 
-Owns the picture only; the figures are benchmarks/rpc.py's.
+benchmarks/rpc.py measures the rows; this module only draws them.
 """
 
 import json
@@ -18,17 +18,17 @@
 
 
 def draw_panel(panel: pyplot.Axes, rows: list[dict], column: str, label: str) -> None:
-    """Draw one column against the rate, a line for each text."""
-    for text in dict.fromkeys(row["text"] for row in rows):
-        mine = [row for row in rows if row["text"] == text]
-        rates = [row["rate"] for row in mine]
-        panel.plot(rates, [row[column] for row in mine], marker="o", label=text)
+    """Draw one column against the rate, with one line for each measured commit."""
+    for commit in dict.fromkeys(row["text"] for row in rows):
+        commit_rows = [row for row in rows if row["text"] == commit]
+        rates = [row["rate"] for row in commit_rows]
+        panel.plot(rates, [row[column] for row in commit_rows], marker="o", label=commit)
     panel.set(xlabel="RPCs a second asked for", ylabel=label, ylim=(0, None))
     panel.grid(alpha=0.3)
 
 
 def main() -> None:
-    """Draw the rows of the first file into the second."""
+    """Read rows from the JSON file named first and save their chart to the file named second."""
     source, target = sys.argv[1:]
     rows = json.loads(Path(source).read_text())
     figure, axes = pyplot.subplots(1, len(PANELS), figsize=(12, 3.6), constrained_layout=True)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,10 +1,10 @@
-"""Key leases on the virtual clock: seeded runs, the bounded search, and bytes of a replica's state.
+"""Benchmark key leases on the virtual clock: seeded runs, bounded search and memory of a replica.
 
     .venv/bin/python -m benchmarks.claims --seeds 1000 --jobs 8
     .venv/bin/python -m benchmarks.claims --explore --depth 7 --faults 1 --jobs 8
     .venv/bin/python -m benchmarks.claims --bytes
 
-Owns the measurement; it reports, and ends with status 1 where a key ran twice.
+The program prints its measurements and exits with status 1 if any key ran twice.
 """
 
 import argparse
@@ -22,106 +22,112 @@
 from finchcart.key_leases.config import SECOND, KeyLeaseConfig
 from finchcart.key_leases.replica import KeyLeaseReplica
 
-ANSWERS = {1: "mine", 2: "held elsewhere", 3: "result elsewhere", 4: "failed elsewhere", 6: "no majority"}
-MOST_PRINTED = 5  # breaches of seeds
-MOST_PRINTED_OF_SEARCH = 3
-PARTS_A_JOB = 4  # of the search
-KEYS_A_MESSAGE = 16
+ANSWER_NAMES = {
+    1: "mine",
+    2: "held elsewhere",
+    3: "result elsewhere",
+    4: "failed elsewhere",
+    6: "no majority",
+}
+MAX_PRINTED_SEED_BREACHES = 5
+MAX_PRINTED_SEARCH_BREACHES = 3
+SEARCH_PARTS_PER_JOB = 4
+KEYS_PER_MESSAGE = 16
 RESULT = b"r" * 30
-LIFE_US = 20 * SECOND
-STARTED_US = -(10**9)  # a replica that is past its quiet period
+LEASE_DURATION_US = 20 * SECOND
+STARTED_US = -(10**9)  # early enough that the replica's quiet period has ended at time 0
 CLIENT_ADDRESS = ("10.0.0.9", 1)
-BYTES_KEYS = 20_000
-BYTES_MESSAGES = 500
+MEMORY_TEST_KEYS = 20_000
+RATE_TEST_MESSAGES = 500
 
 
 def play_seeds(first: int, count: int, jobs: int) -> bool:
-    """Play seeds and print what they came to; return whether one has a breach."""
+    """Play seeds and print a summary of their results; return whether any seed has a breach."""
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(play_seed, range(first, first + count), chunksize=4))
     breaches = [result.breach for result in results if result.breach]
     answers: Counter[str] = Counter()
     for result in results:
-        for answer, times in result.answers.items():
-            answers[ANSWERS.get(answer, str(answer))] += times
+        for answer, occurrences in result.answers.items():
+            answers[ANSWER_NAMES.get(answer, str(answer))] += occurrences
     print(
         f"{count} seeds from {first}, {sum(result.steps for result in results)} steps, "
         f"{sum(result.keys for result in results)} keys, {sum(result.runs for result in results)} runs, "
         f"{len(breaches)} with a key that ran twice; answers {dict(answers)}"
     )
-    for breach in breaches[:MOST_PRINTED]:
+    for breach in breaches[:MAX_PRINTED_SEED_BREACHES]:
         print(breach)
     return bool(breaches)
 
 
 def explore_part(depth: int, faults: int, parts: int, part: int) -> tuple[int, str | None]:
-    """Search one part of the first choices."""
+    """Search the states that follow from one part of the first choices."""
     return explore(depth, faults, share=(part, parts))
 
 
 def search(depth: int, faults: int, jobs: int) -> bool:
-    """Search all orders; return whether one has a breach."""
+    """Search all orders of events up to the depth; return whether any part of the search has a breach."""
     began = time.monotonic()
-    parts = PARTS_A_JOB * jobs
+    parts = SEARCH_PARTS_PER_JOB * jobs
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(partial(explore_part, depth, faults, parts), range(parts)))
     breaches = [breach for _, breach in results if breach]
     states = sum(count for count, _ in results)
     print(
-        f"3 keepers, 2 holders, one key, depth {depth}, {faults} faults: {states} states, "
+        f"3 replicas, 2 clients, one key, depth {depth}, {faults} faults: {states} states, "
         f"{len(breaches)} breaches, {time.monotonic() - began:.0f} s"
     )
-    for breach in breaches[:MOST_PRINTED_OF_SEARCH]:
+    for breach in breaches[:MAX_PRINTED_SEARCH_BREACHES]:
         print(breach)
     return bool(breaches)
 
 
-def keys_of_message(method: str, first: int) -> list[bytes]:
-    """Return the keys of one message."""
-    return [messages.key_digest(method, str(first + number)) for number in range(KEYS_A_MESSAGE)]
+def message_keys(method: str, first: int) -> list[bytes]:
+    """Return `KEYS_PER_MESSAGE` keys of the method, numbered from `first`."""
+    return [messages.key_digest(method, str(first + number)) for number in range(KEYS_PER_MESSAGE)]
 
 
-def claim(replica: KeyLeaseReplica, keys: list[bytes], body_hash: int) -> None:
-    """Let a client ask a replica for these keys."""
-    asks = [messages.LeaseProposal(key, body_hash, 1, LIFE_US) for key in keys]
-    feed(replica, messages.AcquireLeases("a", 5, asks))
+def request_leases(replica: KeyLeaseReplica, keys: list[bytes], body_hash: int) -> None:
+    """Request leases on these keys from the replica, as a client does."""
+    proposals = [messages.LeaseProposal(key, body_hash, 1, LEASE_DURATION_US) for key in keys]
+    deliver(replica, messages.AcquireLeases("a", 5, proposals))
 
 
-def feed(replica: KeyLeaseReplica, message: object) -> None:
-    """Hand a client's message to a replica."""
+def deliver(replica: KeyLeaseReplica, message: object) -> None:
+    """Encode a client's message and pass it to the replica."""
     replica.reduce(0, DatagramReceived(CLIENT_ADDRESS, messages.CODEC.encode("f", message)))
 
 
 def fill(replica: KeyLeaseReplica, count: int) -> None:
-    """Let a replica hold so many keys with results."""
-    for first in range(0, count, KEYS_A_MESSAGE):
-        keys = keys_of_message("m", first)
-        claim(replica, keys, first)
-        ended = [messages.LeaseReport(key, 1, messages.LeaseStatus.COMPLETED, RESULT) for key in keys]
-        feed(replica, messages.ReportOutcomes("a", 5, ended))
+    """Store `count` keys with results in the replica."""
+    for first in range(0, count, KEYS_PER_MESSAGE):
+        keys = message_keys("m", first)
+        request_leases(replica, keys, first)
+        reports = [messages.LeaseReport(key, 1, messages.LeaseStatus.COMPLETED, RESULT) for key in keys]
+        deliver(replica, messages.ReportOutcomes("a", 5, reports))
 
 
-def print_state_bytes() -> None:
-    """Print the bytes of a replica that holds many keys with results, and the claims it takes a second."""
+def print_memory_and_rate() -> None:
+    """Print the memory that a replica uses for keys with results, and the proposals it handles per second."""
     replica = KeyLeaseReplica("f", KeyLeaseConfig(replicas=("10.0.0.1:1",)), STARTED_US)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    fill(replica, BYTES_KEYS)
+    fill(replica, MEMORY_TEST_KEYS)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     began = time.perf_counter()
-    for number in range(BYTES_MESSAGES):
-        claim(replica, keys_of_message("n", KEYS_A_MESSAGE * number), number)
-    rate = KEYS_A_MESSAGE * BYTES_MESSAGES / (time.perf_counter() - began)
-    kilobytes = 1000 * (after - before) / BYTES_KEYS / 1024
+    for number in range(RATE_TEST_MESSAGES):
+        request_leases(replica, message_keys("n", KEYS_PER_MESSAGE * number), number)
+    rate = KEYS_PER_MESSAGE * RATE_TEST_MESSAGES / (time.perf_counter() - began)
+    kilobytes = 1000 * (after - before) / MEMORY_TEST_KEYS / 1024
     print(
-        f"{len(replica.leases)} claims, {kilobytes:.0f} kB a 1,000 with results of 30 bytes; {rate:.0f} "
-        "claims a second in batches of 16, one core, sealing of the asks counted"
+        f"{len(replica.leases)} leases, {kilobytes:.0f} kB per 1,000 leases with results of 30 bytes; "
+        f"{rate:.0f} lease proposals per second in batches of 16 on one core, encoding included"
     )
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--seeds", type=int)
     parser.add_argument("--first", type=int, default=0)
@@ -134,16 +140,16 @@
 
 
 def main() -> None:
-    """Measure what the command line asks for."""
+    """Run the measurements that the command line selects."""
     arguments = parse_arguments()
-    broken = False
+    any_breach = False
     if arguments.seeds:
-        broken |= play_seeds(arguments.first, arguments.seeds, arguments.jobs)
+        any_breach |= play_seeds(arguments.first, arguments.seeds, arguments.jobs)
     if arguments.explore:
-        broken |= search(arguments.depth, arguments.faults, arguments.jobs)
+        any_breach |= search(arguments.depth, arguments.faults, arguments.jobs)
     if arguments.bytes:
-        print_state_bytes()
-    sys.exit(1 if broken else 0)
+        print_memory_and_rate()
+    sys.exit(1 if any_breach else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -1,15 +1,15 @@
-"""Limits of the fleet on the virtual clock: seeded runs, the bounded search, cost by size; and charts.
+"""Benchmark fleet-wide limits on the virtual clock: seeded runs, bounded search, cost by fleet size.
 
     .venv/bin/python -m benchmarks.quota --seeds 1000 --jobs 8 --mode strict --per in_hand
-    .venv/bin/python -m benchmarks.quota --seeds 500 --drift 2      # clocks off by twice the stated drift
+    .venv/bin/python -m benchmarks.quota --seeds 500 --drift 2   # clocks drift by twice the configured bound
     .venv/bin/python -m benchmarks.quota --explore --depth 8 --faults 2 --jobs 8
     .venv/bin/python -m benchmarks.quota --jumps
     .venv/bin/python -m benchmarks.quota --sizes
     .venv/bin/python -m benchmarks.quota --rounds DIR ... --chart docs/results/quota-rounds.svg
 
-Seeded runs make all faults and hold the limits against their bounds; `--rounds` puts the rounds that were
-played on processes into one table and chart. Owns the measurement; it reports, and ends with status 1 where
-a limit was not kept.
+Seeded runs inject all kinds of faults and check the limits against their bounds. `--rounds` combines rounds
+that were played on processes into one table and chart. The program prints its measurements and exits with
+status 1 if a limit was exceeded.
 """
 
 import argparse
@@ -26,17 +26,17 @@
 from finchcart.fault_injection.quota.state_space import DRIFTS, explore
 from finchcart.quota.limits import SECOND, Limit, QuotaConfig, Unit
 
-MOST_PRINTED = 10  # breaches of seeds
-MOST_PRINTED_OF_SEARCH = 5
-PARTS_A_JOB = 4  # of the search
+MAX_PRINTED_SEED_BREACHES = 10
+MAX_PRINTED_SEARCH_BREACHES = 5
+SEARCH_PARTS_PER_JOB = 4
 SIZES = (16, 100, 500)
-CALLS_A_NODE = 4
+CALLS_PER_NODE = 4
 ELECTION_US = 12 * SECOND
-COUNTED_S = 10
+MEASURED_S = 10
 
 
 def play_seeds(count: int, jobs: int, mode: str, per: Unit, drift: float | None) -> bool:
-    """Play seeds and print what they came to; return whether one has a breach."""
+    """Play seeds and print a summary of their results; return whether any seed has a breach."""
     play = partial(play_seed, mode=mode, per=per, drift=drift and drift * QuotaConfig().drift)
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(play, range(count), chunksize=5))
@@ -44,17 +44,17 @@
     steps = sum(result.steps for result in results)
     print(
         f"{mode}, {per}: {count} seeds, {steps} steps, {len(breaches)} breaches; "
-        f"worst {max(result.worst for result in results):.1f} of {results[0].limit}, besides at most "
-        f"{max(result.remainder for result in results)} written late by a stopped process; "
+        f"highest use {max(result.worst for result in results):.1f} of {results[0].limit}, and at most "
+        f"{max(result.remainder for result in results)} more written late by a stopped process; "
         f"use: {use_by_phase(results)}"
     )
-    for breach in breaches[:MOST_PRINTED]:
+    for breach in breaches[:MAX_PRINTED_SEED_BREACHES]:
         print(breach)
     return bool(breaches)
 
 
 def use_by_phase(results: Iterable[QuotaSeedResult]) -> str:
-    """Return the part of what was wanted that was used, by phase."""
+    """Return the fraction of the demand that was used in each phase, as text."""
     sums: dict[str, list[float]] = {}
     for result in results:
         for phase, (used, wanted) in result.use.items():
@@ -65,32 +65,32 @@
 
 
 def explore_part(depth: int, faults: int, parts: int, choice: tuple[int, int]) -> tuple[int, str | None]:
-    """Search one part of the first choices, with one way to drift."""
+    """Search the states that follow from one part of the first choices, with one pattern of clock drift."""
     part, drift = choice
     return explore(depth, faults, share=(part, parts), drift=drift)
 
 
 def search(depth: int, faults: int, jobs: int) -> bool:
-    """Search all placings of faults; return whether one has a breach."""
+    """Search all placements of the faults; return whether any part of the search has a breach."""
     began = time.monotonic()
-    parts = PARTS_A_JOB * jobs
+    parts = SEARCH_PARTS_PER_JOB * jobs
     choices = [(part, drift) for drift in range(len(DRIFTS)) for part in range(parts)]
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(partial(explore_part, depth, faults, parts), choices))
     breaches = [breach for _, breach in results if breach]
     print(
-        f"3 planners, 2 holders, {depth} steps, every placing of {faults} faults, "
-        f"{len(DRIFTS)} ways to drift: "
+        f"3 planners, 2 holders, {depth} steps, every placement of {faults} faults, "
+        f"{len(DRIFTS)} drift patterns: "
         f"{sum(states for states, _ in results)} states, {len(breaches)} breaches, "
         f"{time.monotonic() - began:.0f} s"
     )
-    for breach in breaches[:MOST_PRINTED_OF_SEARCH]:
+    for breach in breaches[:MAX_PRINTED_SEARCH_BREACHES]:
         print(breach)
     return bool(breaches)
 
 
 class CountingSimulation(QuotaSimulation):
-    """Counts messages and bytes by the process that sends them."""
+    """A quota simulation that counts the messages and bytes that each process sends."""
 
     def __init__(self, *args: object, **more: object) -> None:
         super().__init__(*args, **more)
@@ -105,30 +105,30 @@
 
 
 def size_row(count: int) -> str:
-    """Return the row of a fleet of so many nodes."""
-    limit = Limit("store", CALLS_A_NODE * count, 1)
+    """Return the table row for a fleet of `count` nodes."""
+    limit = Limit("store", CALLS_PER_NODE * count, 1)
     quota = QuotaConfig(limits=(limit,), max_processes=count + 10, max_holders=2 * count)
     fleet = CountingSimulation(1, holders=count, quota=quota)
     for name in fleet.processes:
         fleet.start(name)
     for node in fleet.nodes:
-        node.demand = CALLS_A_NODE
+        node.demand = CALLS_PER_NODE
     fleet.run(ELECTION_US)
     fleet.messages.clear()
     fleet.bytes.clear()
-    fleet.run(fleet.now + COUNTED_S * SECOND)
+    fleet.run(fleet.now + MEASURED_S * SECOND)
     leader = max((name for name in fleet.messages if name[0] == "p"), key=fleet.messages.get)
     nodes = [name for name in fleet.messages if name[0] == "n"]
-    messages = fmean(fleet.messages[name] for name in nodes) / COUNTED_S
-    size = fmean(fleet.bytes[name] for name in nodes) / COUNTED_S
+    messages = fmean(fleet.messages[name] for name in nodes) / MEASURED_S
+    size = fmean(fleet.bytes[name] for name in nodes) / MEASURED_S
     return (
-        f"| {count} | {fleet.messages[leader] / COUNTED_S:.0f} | {messages:.1f} "
-        f"| {fleet.bytes[leader] / COUNTED_S:.0f} | {size:.0f} |"
+        f"| {count} | {fleet.messages[leader] / MEASURED_S:.0f} | {messages:.1f} "
+        f"| {fleet.bytes[leader] / MEASURED_S:.0f} | {size:.0f} |"
     )
 
 
 def print_sizes() -> None:
-    """Print the messages of planners and nodes by the number of nodes."""
+    """Print a table of the messages that the leading planner and the nodes send, by fleet size."""
     print("| nodes | messages a second: the planner that shares out | a node | bytes: planner | node |")
     print("| --- | --- | --- | --- | --- |")
     for count in SIZES:
@@ -136,27 +136,27 @@
 
 
 def mean_use(rows: Rows) -> float:
-    """Return the mean use of the limit in a kind of round."""
+    """Return the mean use of the limit in one kind of round, weighted by the number of rounds."""
     return sum(row["use"] * row["rounds"] for row in rows) / total(rows, "rounds")
 
 
 def use_cell(rows: Rows) -> str:
-    """Return the text of a kind of round played in one way."""
+    """Return the table cell for one kind of round in one mode: rounds, mean use and highest use."""
     most = max(row["most"] for row in rows)
     return f"{total(rows, 'rounds')}, {mean_use(rows):.2f}, {most}"
 
 
 def print_rounds(folders: list[str], chart: str | None) -> None:
-    """Print use of the limit by kind of round and way of sharing, from the results of `trial run rounds`."""
-    ways, rounds = read_side_by_side(folders, "uses", lambda name: name.rpartition("-")[0])
-    print(side_by_side_table(ways, rounds, "played, use, most in hand", use_cell))
+    """Print the use of the limit by kind of round and sharing mode, from results of `trial run rounds`."""
+    rows_by_mode, rounds = read_side_by_side(folders, "uses", lambda name: name.rpartition("-")[0])
+    print(side_by_side_table(rows_by_mode, rounds, "played, use, most in hand", use_cell))
     if chart:
         label = "calls in hand, of the limit (48), where demand is always above it"
-        save_bars(chart, ways, rounds, mean_use, label, 1)
+        save_bars(chart, rows_by_mode, rounds, mean_use, label, 1)
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--seeds", type=int)
     parser.add_argument("--explore", action="store_true")
@@ -166,30 +166,34 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--mode", default="strict", choices=["strict", "loose", "static", "none"])
     parser.add_argument("--per", default="in_hand", choices=["in_hand", "rate"])
-    parser.add_argument("--drift", type=float, help="times the stated one")
+    parser.add_argument("--drift", type=float, help="clock drift, as a multiple of the configured bound")
     parser.add_argument("--jumps", action="store_true")
-    parser.add_argument("--rounds", nargs="*", help="folders of `trial run rounds`, named WAY-SEED")
+    parser.add_argument("--rounds", nargs="*", help="folders of `trial run rounds`, named MODE-SEED")
     parser.add_argument("--chart")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Measure what the command line asks for."""
+    """Run the measurements that the command line selects."""
     arguments = parse_arguments()
-    broken = False
+    any_breach = False
     if arguments.seeds:
-        broken |= play_seeds(arguments.seeds, arguments.jobs, arguments.mode, arguments.per, arguments.drift)
+        any_breach |= play_seeds(
+            arguments.seeds, arguments.jobs, arguments.mode, arguments.per, arguments.drift
+        )
     if arguments.explore:
-        broken |= search(arguments.depth, arguments.faults, arguments.jobs)
+        any_breach |= search(arguments.depth, arguments.faults, arguments.jobs)
     if arguments.jumps:
         for mode in ("strict", "loose", "static"):
             seconds = seconds_to_follow_demand(mode)
-            print(f"{mode}: demand jumps from 16 nodes to one: nine tenths of its part after {seconds} s")
+            print(
+                f"{mode}: demand moves from 16 nodes to one, which gets 90 % of its share after {seconds} s"
+            )
     if arguments.rounds:
         print_rounds(arguments.rounds, arguments.chart)
     if arguments.sizes:
         print_sizes()
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if any_breach else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,10 +1,11 @@
-"""Consensus of the fleet on the virtual clock: seeded rounds, cost by size; and charts of runs on processes.
+"""Benchmark fleet consensus on the state of the store: seeded rounds, cost by fleet size, process runs.
 
     .venv/bin/python -m benchmarks.verdicts --seeds 1000 --jobs 8
     .venv/bin/python -m benchmarks.verdicts --sizes 16 100 500
     .venv/bin/python -m benchmarks.verdicts --earned DIR ... --chart docs/results/verdicts.svg
 
-Owns the measurement; it reports, and ends with status 1 where a bound was not kept.
+Seeded rounds and fleet sizes run on the virtual clock; `--earned` tabulates and charts earlier runs on
+processes. The program prints its measurements and exits with status 1 if a seed broke a bound.
 """
 
 import argparse
@@ -24,18 +25,18 @@
 from finchcart.simulated_peers.client import ClientOutcome
 from finchcart.simulated_peers.store import StoreState
 
-MOST_PRINTED = 10
+MAX_PRINTED_BREACHES = 10
 JOIN_US = 8 * SECOND
-COUNTED_S = 6
-LONGEST_US = 60 * SECOND  # that the store's fall is waited for
-COLUMNS_OF_TIMES = 6
-COLUMNS_OF_SIZES = 7
+MEASURED_S = 6
+MAX_DETECTION_US = 60 * SECOND  # limit of the wait until all nodes hold the store to be down
+TIME_COLUMNS = 6
+SIZE_COLUMNS = 7
 MORE_CRITICAL = "book"
 LESS_CRITICAL = "look-up"
 
 
 def play_seeds(first: int, count: int, jobs: int, rounds: int) -> bool:
-    """Play seeds and print the times of each kind of round; return whether one has a breach."""
+    """Play seeds and print the times of each kind of round; return whether any seed has a breach."""
     with ProcessPoolExecutor(jobs) as pool:
         seeds = range(first, first + count)
         results = list(pool.map(partial(play_seed, rounds=rounds), seeds, chunksize=2))
@@ -46,19 +47,19 @@
         f"{max(result.most_flap_changes for result in results)}"
     )
     print_times(results)
-    for breach in breaches[:MOST_PRINTED]:
+    for breach in breaches[:MAX_PRINTED_BREACHES]:
         print(breach)
     return bool(breaches)
 
 
 def print_times(results: Iterable[ConsensusSeedResult]) -> None:
-    """Print the time of each kind against its bound: median and worst, and the most of the bound used."""
+    """Print reaction times by kind of round and event: median, worst, and worst ratio to the bound."""
     groups = defaultdict(list)
     for result in results:
         for timing in result.timings:
             groups[timing.kind, timing.event].append(timing)
     print("| round | what | times | median s | worst s | of its bound, at most |")
-    print("| --- " * COLUMNS_OF_TIMES + "|")
+    print("| --- " * TIME_COLUMNS + "|")
     for (kind, event), timings in sorted(groups.items()):
         took = sorted(timing.took / SECOND for timing in timings)
         part = max(timing.took / timing.bound for timing in timings)
@@ -66,22 +67,22 @@
         print(f"| {kind} | {event} | {len(took)} | {median:.2f} | {took[-1]:.2f} | {part:.2f} |")
 
 
-def counts(fleet: ConsensusSimulation, column: str) -> int:
-    """Return a count of all members together."""
+def total_count(fleet: ConsensusSimulation, column: str) -> int:
+    """Return the sum of one statistics counter over all members."""
     return sum(process.machine.counts.get(column, 0) for process in fleet.processes.values())
 
 
-def rates(fleet: ConsensusSimulation, count: int) -> list[float]:
-    """Return messages and bytes a node-second while nothing happens."""
+def send_rates(fleet: ConsensusSimulation, count: int) -> list[float]:
+    """Return the messages and the bytes that a node sends per second while no fault is active."""
     columns = ("sent", "bytes sent")
-    before = [counts(fleet, column) for column in columns]
-    fleet.run(fleet.now + COUNTED_S * SECOND)
-    after = [counts(fleet, column) for column in columns]
-    return [(after[n] - before[n]) / COUNTED_S / count for n in range(len(columns))]
+    before = [total_count(fleet, column) for column in columns]
+    fleet.run(fleet.now + MEASURED_S * SECOND)
+    after = [total_count(fleet, column) for column in columns]
+    return [(after[n] - before[n]) / MEASURED_S / count for n in range(len(columns))]
 
 
 def joined_fleet(count: int, on: bool) -> ConsensusSimulation:
-    """Return a fleet that knows each other, with consensus or without."""
+    """Return a fleet whose members have all joined; `on` says whether its nodes run consensus."""
     fleet = ConsensusSimulation(count, 1, on=on)
     fleet.start_all()
     if not on:
@@ -92,20 +93,22 @@
 
 
 def size_row(count: int) -> str:
-    """Return the row of a fleet of so many nodes.
+    """Return the table row for a fleet of `count` nodes.
 
-    The store goes down for all: the time until all hold that, and messages and bytes a node-second with
-    consensus and without, while nothing happens.
+    The row has the messages and bytes per node and second in a calm fleet, with consensus and without, and
+    the time from when the store goes down for all nodes until all nodes hold it to be down.
     """
     fleet = joined_fleet(count, on=True)
-    messages, size = rates(fleet, count)
+    messages, size = send_rates(fleet, count)
     fleet.store_states = dict.fromkeys(fleet.store_states, StoreState.DOWN)
     began = fleet.now
-    while not all(is_down(view) for view in fleet.node_views.values()) and fleet.now < began + LONGEST_US:
+    while (
+        not all(is_down(view) for view in fleet.node_views.values()) and fleet.now < began + MAX_DETECTION_US
+    ):
         fleet.run(fleet.now + POLL_US)
     bound = fleet.consensus_config.store_reaction_time_bound(fleet.config, count)
     took = (fleet.now - began) / SECOND
-    messages_without, size_without = rates(joined_fleet(count, on=False), count)
+    messages_without, size_without = send_rates(joined_fleet(count, on=False), count)
     return (
         f"| {count} | {messages:.0f} | {messages_without:.0f} | {size:.0f} | {size_without:.0f} "
         f"| {took:.2f} | {bound / SECOND:.2f} |"
@@ -113,10 +116,10 @@
 
 
 def print_sizes(sizes: Iterable[int], jobs: int) -> None:
-    """Print a row for each size."""
+    """Print a table with one row for each fleet size."""
     print(
         "| nodes | messages a node-second | without verdicts | bytes | without | all hold it down, s | "
-        "bound |\n" + "| --- " * COLUMNS_OF_SIZES + "|"
+        "bound |\n" + "| --- " * SIZE_COLUMNS + "|"
     )
     with ProcessPoolExecutor(jobs) as pool:
         for row in pool.map(size_row, sizes):
@@ -124,7 +127,7 @@
 
 
 def print_served(folder: Path) -> None:
-    """Print what became of RPCs in a run on processes."""
+    """Print the outcomes of more and less critical RPCs in one run on processes."""
     load = json.loads((folder / "results.json").read_text())["facts"]["load"]
     more, less = (
         {
@@ -133,56 +136,65 @@
         }
         for method in (MORE_CRITICAL, LESS_CRITICAL)
     )
-    print(f"{folder.name}: of more critical RPCs {more}, of less {less}; p99 {load['p99_ms']:.0f} ms")
+    print(f"{folder.name}: more critical RPCs {more}, less critical RPCs {less}; p99 {load['p99_ms']:.0f} ms")
 
 
 def calls_cell(rows: Rows) -> str:
-    """Return the text of a kind of round played in one way."""
+    """Return the table cell for one kind of round in one mode: rounds, calls, wasted calls, most in hand."""
     totals = [total(rows, column) for column in ("rounds", "calls", "wasted")]
     return ", ".join(map(str, [*totals, max(row["most"] for row in rows)]))
 
 
-def wasted_a_round(rows: Rows) -> float:
-    """Return the calls to a store that is down in one round."""
+def wasted_per_round(rows: Rows) -> float:
+    """Return the mean number of calls per round that went to a store that was down."""
     return total(rows, "wasted") / total(rows, "rounds")
 
 
-def print_earned(folders: list[str], chart: str | None) -> None:
-    """Print calls wasted and the most in hand by round, with consensus off, on, and known at once."""
+def print_process_runs(folders: list[str], chart: str | None) -> None:
+    """Print wasted calls and the most calls in hand by kind of round and mode.
+
+    In the modes, consensus is off, is on, or every node knows the state of the store at once.
+    """
     for folder in map(Path, folders):
         print_served(folder)
-    ways, rounds = read_side_by_side(folders, "calls", lambda name: name.split("-")[1])
-    print(side_by_side_table(ways, rounds, "played, calls, wasted, most in hand", calls_cell))
+    rows_by_mode, rounds = read_side_by_side(folders, "calls", lambda name: name.split("-")[1])
+    print(side_by_side_table(rows_by_mode, rounds, "played, calls, wasted, most in hand", calls_cell))
     if chart:
-        bad = [name for name in rounds if any(total(rows.get(name, []), "wasted") for rows in ways.values())]
-        ways = {f"verdicts {way}": rows for way, rows in ways.items()}
-        save_bars(chart, ways, bad, wasted_a_round, "calls to a store that is down, a round")
+        wasteful_rounds = [
+            name
+            for name in rounds
+            if any(total(rows.get(name, []), "wasted") for rows in rows_by_mode.values())
+        ]
+        rows_by_mode = {f"verdicts {mode}": rows for mode, rows in rows_by_mode.items()}
+        save_bars(
+            chart, rows_by_mode, wasteful_rounds, wasted_per_round, "calls to a store that is down, a round"
+        )
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--seeds", type=int)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--sizes", type=int, nargs="*")
-    parser.add_argument("--earned", nargs="*", help="folders of `trial run verdicts`, named v-WAY-SEED")
+    parser.add_argument("--earned", nargs="*", help="folders of `trial run verdicts`, named v-MODE-SEED")
     parser.add_argument("--chart")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Measure what the command line asks for."""
+    """Run the measurements that the command line selects."""
     arguments = parse_arguments()
-    broken = False
+    any_breach = False
     if arguments.seeds:
-        broken = play_seeds(arguments.first, arguments.seeds, arguments.jobs, arguments.rounds)
+        any_breach = play_seeds(arguments.first, arguments.seeds, arguments.jobs, arguments.rounds)
     if arguments.sizes:
         print_sizes(arguments.sizes, arguments.jobs)
     if arguments.earned:
-        print_earned(arguments.earned, arguments.chart)
-    sys.exit(1 if broken else 0)
+        print_process_runs(arguments.earned, arguments.chart)
+    sys.exit(1 if any_breach else 0)
 
 
 if __name__ == "__main__":
