--- a/benchmarks/lean_peers.py
+++ b/benchmarks/lean_peers.py
@@ -1,7 +1,8 @@
-"""Lean peers of one node under a steady load: those that it calls in one process, callers in another.
+"""Run minimal peers of the node that benchmarks/rpc.py measures.
 
-Owns the processes round the node that is measured. They are lean, so that two cores drive what one node
-carries; they must never share a process with the node, nor check rules: tests do that.
+The worker pool, the store and the registry share one process; the callers run in another. The peers do as
+little work as possible, so that two cores can load one node fully. They must never share a process with the
+node, and they check no protocol rules, which is the task of the tests.
 """
 
 import heapq
@@ -26,25 +27,26 @@
 
 LENGTH = struct.Struct(">i")
 FIELD_NUMBER = struct.Struct(">h")
-CLOSING_KIND = 4  # of a message that closes the connection to new RPCs
+CLOSING_KIND = 4  # message kind by which the node closes the connection to new RPCs
 REPLY_KIND = 2
 OUTCOMES = {
     0: ClientOutcome.OK,
     1: ClientOutcome.REJECTED,
     2: ClientOutcome.FAILED,
-}  # by the field of a reply
+}  # by the number of the field that a reply sets
 OTHER = "other"
 CORES = 512
 POOL_AGE_MS = 3_600_000
-LONGEST_REPORT = 200  # bytes, of a node to the registry
+MAX_REPORT_BYTES = 200  # of a datagram from the node to the registry
 BODY = b"x" * 200
-WARM_UP_PART = 0.2  # of the time, in which connections and histograms settle
+# Time of the warm-up, in which connections and histograms settle, as a fraction of the measured time.
+WARM_UP_FRACTION = 0.2
 SETTLE_S = 3
 LOWEST_PRIORITY = 19
 
 
 def read_until_closed(client: Client) -> None:
-    """Read answers and drop them until the node closes the connection."""
+    """Read answers and discard them until the node closes the connection."""
     with suppress(OSError, EOFError):
         while True:
             client.answer()
@@ -52,7 +54,7 @@
 
 
 def serve(address: Address, handle: Callable[[socket.socket], None]) -> None:
-    """Accept connections; `handle(connection)` has a thread for each."""
+    """Accept connections in a thread, and run `handle(connection)` in a new thread for each."""
     listener = socket.create_server(address, backlog=256)
 
     def accept() -> NoReturn:
@@ -68,26 +70,29 @@
 
 
 class LeanWorkerPool:
-    """Runs take `work` seconds and end well; those of methods in `calling` make one call at half time."""
+    """A worker pool whose runs all succeed after `work` seconds.
+
+    Each run of a method in `calling` makes one call to the store after half of that time.
+    """
 
     def __init__(self, address: Address, calling: Collection[str], work: float) -> None:
         self.calling = calling
         self.work = work
         self.condition = threading.Condition()
-        self.due: list[tuple[float, str]] = []  # heap of (when, run)
+        self.due: list[tuple[float, str]] = []  # heap of (due time, run)
         self.connection: socket.socket | None = None
         self.cursor = 0
-        self.will_call: dict[str, bool] = {}  # run -> whether its call is still to come
+        self.will_call: dict[str, bool] = {}  # run -> whether it has yet to make its call
         self.bodies: dict[str, str] = {}
         serve(address, self._read)
         threading.Thread(target=self._continue_runs, daemon=True).start()
 
     def _write(self, **message: object) -> None:
-        """Write a message; the caller holds the condition."""
+        """Send a message to the node; the caller of this method must hold the condition."""
         self.connection.sendall(json.dumps(message).encode() + b"\n")
 
     def _notify(self, event: str, **message: object) -> None:
-        """Write a numbered notice; the caller holds the condition."""
+        """Send a notice with the next cursor; the caller of this method must hold the condition."""
         self.cursor += 1
         self._write(event=event, cursor=self.cursor, **message)
 
@@ -138,7 +143,7 @@
 
 
 def serve_store(connection: socket.socket) -> None:
-    """Answer each call of a connection at once with its body."""
+    """Answer each call on a connection immediately with the body of the call."""
     lines = connection.makefile("rb")
     for line in lines:
         words = line.split()
@@ -148,19 +153,19 @@
 
 
 def serve_peers(addresses: Mapping[str, Address], calling: Collection[str], work: float) -> NoReturn:
-    """Be the worker pool, store and registry of a node until the process is ended."""
+    """Act as the worker pool, the store and the registry of a node until the process is killed."""
     LeanWorkerPool(addresses["pool"], calling, work)
     serve(addresses["store"], serve_store)
     registry = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     registry.bind(addresses["roster"])
     while True:
-        registry.recv(LONGEST_REPORT)
+        registry.recv(MAX_REPORT_BYTES)
 
 
 def keep_core_busy(cpu: int) -> NoReturn:
-    """Turn in the gaps that a core would sleep in, at the lowest priority.
+    """Run a busy loop on a core at the lowest priority, so that the core never sleeps.
 
-    A core that sleeps between two messages wakes with cold caches, and the figures are then of that.
+    A core that sleeps between two messages wakes up with cold caches, which would distort the measurement.
     """
     os.nice(LOWEST_PRIORITY)
     os.sched_setaffinity(0, {cpu})
@@ -172,14 +177,14 @@
 
 
 class LeanCaller:
-    """One connection of a caller: what was sent on it and is still unanswered."""
+    """One connection of a caller, with the RPCs sent on it that are still unanswered."""
 
-    def __init__(self, address: Address, done: Callable[[str, float], None]) -> None:
+    def __init__(self, address: Address, on_answer: Callable[[str, float], None]) -> None:
         self.sock = socket.create_connection(address)
-        self.done = done
-        self.sent: dict[int, float] = {}  # sequence number -> when
+        self.on_answer = on_answer
+        self.sent: dict[int, float] = {}  # sequence number -> send time
         self.sequence = 0
-        self.closing = False  # no further RPC goes out here
+        self.closing = False  # whether the node accepts no further RPCs on this connection
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         threading.Thread(target=self._read, daemon=True).start()
 
@@ -195,31 +200,32 @@
             head = stream.read(LENGTH.size)
             if len(head) < LENGTH.size:
                 return
-            self._take(stream.read(LENGTH.unpack(head)[0]))
+            self._handle_message(stream.read(LENGTH.unpack(head)[0]))
             if self.closing and not self.sent:
                 self.sock.shutdown(socket.SHUT_RDWR)
                 return
 
-    def _take(self, data: bytes) -> None:
-        """Take one message, read no further than is needed."""
+    def _handle_message(self, data: bytes) -> None:
+        """Handle one message, and decode only the fields that the benchmark needs."""
         now = time.monotonic()
         kind = data[3]
         if kind == CLOSING_KIND:
             self.closing = True
             return
-        at = 8 + LENGTH.unpack(data[4:8])[0]  # behind the method's name
+        offset = 8 + LENGTH.unpack(data[4:8])[0]  # end of the method's name
         outcome = OTHER
         if kind == REPLY_KIND:
-            field_number = FIELD_NUMBER.unpack(data[at + 5 : at + 7])[0]
+            field_number = FIELD_NUMBER.unpack(data[offset + 5 : offset + 7])[0]
             outcome = OUTCOMES.get(field_number, OTHER)
-        began = self.sent.pop(LENGTH.unpack(data[at : at + 4])[0])
-        self.done(outcome, now - began)
+        sent_at = self.sent.pop(LENGTH.unpack(data[offset : offset + 4])[0])
+        self.on_answer(outcome, now - sent_at)
 
 
 class Load:
-    """Open loop: RPCs go out at seeded random times over `connections` connections, whatever comes back.
+    """An open-loop load: sends RPCs at seeded random times over a number of connections.
 
-    `methods` are two pairs of a name and whether its RPCs have idempotency keys.
+    RPCs are sent whether or not earlier ones are answered. `methods` are two pairs: the name of a method, and
+    whether its RPCs have idempotency keys.
     """
 
     def __init__(
@@ -236,16 +242,16 @@
         self.random = random.Random(seed)
         self.latencies: list[float] = []
         self.outcomes: Counter[str] = Counter(dict.fromkeys((*OUTCOMES.values(), OTHER), 0))
-        self.callers = [LeanCaller(address, self._done) for _ in range(connections)]
+        self.callers = [LeanCaller(address, self._count_answer) for _ in range(connections)]
         self.closing_callers: list[LeanCaller] = []
 
-    def _done(self, outcome: str, latency: float) -> None:
+    def _count_answer(self, outcome: str, latency: float) -> None:
         self.outcomes[outcome] += 1
         if outcome == ClientOutcome.OK:
             self.latencies.append(latency)
 
     def run(self, seconds: float) -> None:
-        """Send RPCs for so many seconds."""
+        """Send RPCs for this number of seconds."""
         due = time.monotonic()
         end = due + seconds
         while due < end:
@@ -259,8 +265,8 @@
         number = self.random.randrange(len(self.callers))
         if self.callers[number].closing:
             self.closing_callers.append(self.callers[number])
-            self.callers[number] = LeanCaller(self.address, self._done)
-        method, keyed = self.methods[self.random.random() < 0.5]
+            self.callers[number] = LeanCaller(self.address, self._count_answer)
+        method, has_key = self.methods[self.random.random() < 0.5]
         fields = {
             "c": method,
             "i": f"{self.random.getrandbits(64):016x}",
@@ -270,17 +276,17 @@
             "m": "24.5",
             "p": f"{self.random.random():.4f}",
         }
-        if keyed:
+        if has_key:
             fields["k"] = f"{self.random.getrandbits(128):032x}"
         self.callers[number].send(fields, BODY)
 
     @property
     def unanswered(self) -> int:
-        """The number of RPCs that wait for their answers."""
+        """The number of RPCs that have no answer yet."""
         return sum(len(caller.sent) for caller in self.callers + self.closing_callers)
 
     def settle(self) -> int:
-        """Wait a while for the answers that are still to come; return how many never came."""
+        """Wait up to `SETTLE_S` seconds for outstanding answers; return the number still missing."""
         end = time.monotonic() + SETTLE_S
         while self.unanswered and time.monotonic() < end:
             time.sleep(0.01)
@@ -290,11 +296,14 @@
 def serve_load(
     pipe: Connection, address: Address, connections: int, methods: Sequence[tuple[str, bool]], seed: int
 ) -> NoReturn:
-    """In a process of its own: play each (rate, seconds) that the pipe brings, and send its figures."""
+    """Run each load (rate, seconds) received from the pipe, and send back its measurements.
+
+    This function is the main function of the callers' process. It sends "begin" after the warm-up.
+    """
     while True:
         rate, seconds = pipe.recv()
         load = Load(address, connections, rate, methods, seed)
-        load.run(WARM_UP_PART * seconds)
+        load.run(WARM_UP_FRACTION * seconds)
         load.latencies.clear()
         before = dict(load.outcomes)
         pipe.send("begin")
--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -1,4 +1,4 @@
-"""A node of a benchmark: its configuration, its addresses and its process."""
+"""Configure and start a node process for a benchmark or a test."""
 
 import copy
 import json
@@ -57,21 +57,25 @@
     "worthBy": "work",
 }
 PROCESS_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-PORTS = (10_000, 32_000)
-MOST_CONNECT_ATTEMPTS = 2000  # a node on a core that others keep busy starts late
+PORT_RANGE = (10_000, 32_000)
+MAX_CONNECT_ATTEMPTS = 2000  # a node on a core that other processes keep busy starts late
 CONNECT_TIMEOUT_S = 1
 
 
 def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> Address:
-    """Return a loopback address whose port nobody is given by chance: such could connect to itself."""
+    """Return a free loopback address with a port outside the ephemeral range.
+
+    A client that retries a connection to an ephemeral port may be given that port as its own, and then
+    connects to itself.
+    """
     while True:
         with socket.socket(socket.AF_INET, kind) as sock, suppress(OSError):
-            sock.bind(("127.0.0.1", random.SystemRandom().randrange(*PORTS)))
+            sock.bind(("127.0.0.1", random.SystemRandom().randrange(*PORT_RANGE)))
             return sock.getsockname()
 
 
 def settings_with(contract: Mapping[str, object], family: Mapping[str, object]) -> dict:
-    """Return the settings with other values in two of their blocks."""
+    """Return a copy of `SETTINGS` with the blocks `contract` and `familyInfo` updated by these values."""
     settings = copy.deepcopy(SETTINGS)
     settings["contract"].update(contract)
     settings["familyInfo"].update(family)
@@ -86,7 +90,7 @@
     addresses: Mapping[str, Address],
     settings: dict = SETTINGS,
 ) -> None:
-    """Write a node's configuration; `addresses` by the configuration's keys."""
+    """Write a node's configuration file; `addresses` maps configuration keys to addresses."""
     configuration = {
         "name": name,
         "seed": seed,
@@ -99,7 +103,7 @@
 
 
 def start_node(configuration: Path, tree: Path | None = None) -> subprocess.Popen:
-    """Start a node; `tree` is the checkout to run in place of this one."""
+    """Start a node process; `tree` is the source checkout to run instead of this one."""
     env = {**os.environ, "ROUTER_CONFIG": str(configuration), "MALLOC_ARENA_MAX": "2"}
     if tree is not None:
         env["PYTHONPATH"] = str(tree)
@@ -108,12 +112,12 @@
 
 
 def wait_until_listening(address: Address, interval: float) -> None:
-    """Connect every `interval` seconds until that succeeds; TimeoutError after a bounded number of times."""
-    for _ in range(MOST_CONNECT_ATTEMPTS):
+    """Try to connect every `interval` seconds; raise TimeoutError after `MAX_CONNECT_ATTEMPTS` failures."""
+    for _ in range(MAX_CONNECT_ATTEMPTS):
         try:
             socket.create_connection(address, timeout=CONNECT_TIMEOUT_S).close()
         except OSError:
             time.sleep(interval)
         else:
             return
-    raise TimeoutError(f"{address}: nobody listens after {MOST_CONNECT_ATTEMPTS} attempts")
+    raise TimeoutError(f"no process listens at {address} after {MAX_CONNECT_ATTEMPTS} attempts")
