--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,13 +1,15 @@
-"""What all nodes together send to a store that comes back cold, held against what the settings allow it then.
+"""Compare the calls that all nodes send to a store after an outage with the cold ramp of the settings.
 
     .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 20
     .venv/bin/python -m benchmarks.cold_ramp --nodes 30 --seeds 20 --json docs/results/cold-ramp-30.json
-    .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 3 --whole   # planted: a whole budget each
-
-Real nodes on loopback that can't talk; the store counts what reached it. N is the nodes' shares together,
-times the slowest ramp that the settings allow since its return, over the time that the settings name
-(`callsOver`), in calls of the store's own time each; beyond N only 2 x root of N + 2 are put down to
-chance. Owns the measurement; a run is held against the bound by tests/test_cold_ramp.py.
+    .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 3 --whole   # planted defect
+
+The nodes are real processes on loopback that can't communicate with each other, and the store records when
+each call reaches it. For every window of `callsOver`, N is the number of calls that the settings allow: the
+sum of the nodes' shares (`callsOut`) divided by the duration of a call, integrated over the window with the
+slowest ramp that the settings allow since the store's return. Up to 2 * sqrt(N) + 2 calls more than N are
+attributed to chance. With `--whole`, each node uses the budget of the whole fleet.
+tests/test_cold_ramp.py checks this bound.
 """
 
 import argparse
@@ -36,25 +38,25 @@
 from finchcart.simulated_peers.server import start_thread
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-SHARE = 2.0  # calls in hand that each node is told as its part (`callsOut`)
-WINDOW_S = 1.0  # the time that the settings name (`callsOver`)
-CALL_S = 0.1  # time of a call
-COLD_S = 4.0  # the store is cold for so long,
-START_CAPACITY = 0.2  # from this part of its speed
+CALLS_OUT_PER_NODE = 2.0  # share of the calls in hand that each node is given (`callsOut`)
+WINDOW_S = 1.0  # the time over which the settings limit calls (`callsOver`)
+CALL_S = 0.1
+COLD_S = 4.0  # time in which the store warms up
+START_CAPACITY = 0.2  # fraction of its full capacity at its return
 US_PER_S = 1e6
 RUN_S = 0.004
 CORES = 512
 STOP_MS = 1000
 LISTEN_INTERVAL_S = 0.05
-STEADY_S = 2  # of load before the store first goes down
-DOWN_S = (0.5, 1.5)
+STEADY_S = 2  # load before the first outage of the store
+DOWN_RANGE_S = (0.5, 1.5)
 DEFAULT_RATE = 7.5
-RAMP_STEPS = 50  # of the integral
+RAMP_STEPS = 50  # steps of the numerical integral
 BODY = b"x" * 20
 
 
 class ColdStore:
-    """Answers each call after `CALL_S` seconds; can be down, and keeps when calls reached it."""
+    """A store that answers each call after `CALL_S` seconds, can be down, and records arrival times."""
 
     def __init__(self) -> None:
         self.address = free_address()
@@ -64,22 +66,22 @@
         self.go_up()
 
     def go_up(self) -> None:
-        """Listen; the store is cold from now on."""
+        """Start listening; the store is cold from this moment."""
         self.returned = time.monotonic()
         self.listener = socket.create_server(self.address, backlog=512)
         start_thread(self._accept_connections, self.listener)
 
     def go_down(self) -> None:
-        """Stop listening, and break all connections."""
+        """Stop listening, and shut down all connections."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         with self.lock:
             for connection in self.connections:
-                with suppress(OSError):  # the node has closed it
+                with suppress(OSError):  # the node has already closed the connection
                     connection.shutdown(socket.SHUT_RDWR)
 
     def calls_so_far(self) -> list[float]:
-        """Return when calls reached the store."""
+        """Return the arrival times of all calls so far."""
         with self.lock:
             return list(self.calls)
 
@@ -94,7 +96,7 @@
             start_thread(self._serve, connection)
 
     def _serve(self, connection: socket.socket) -> None:
-        with suppress(OSError, ValueError):  # abandoned by the node
+        with suppress(OSError, ValueError):  # the node has closed the connection
             lines = connection.makefile("rb")
             for line in lines:
                 _, call_id, _, length = line.split()
@@ -109,7 +111,7 @@
 
 
 class Window(NamedTuple):
-    """Calls of one window: beyond N, N itself, and what is put down to chance."""
+    """Calls in one window: those beyond N (`excess`), N itself (`allowed`), and the `chance` allowance."""
 
     excess: float
     allowed: float
@@ -117,9 +119,9 @@
 
 
 class Fleet:
-    """Nodes, each with a worker pool and a caller of its own; `share` is what each is told as its part."""
+    """Nodes, each with its own worker pool and caller; `share` is the value of `callsOut` of each node."""
 
-    def __init__(self, nodes: int, folder: str, share: float = SHARE) -> None:
+    def __init__(self, nodes: int, folder: str, share: float = CALLS_OUT_PER_NODE) -> None:
         self.nodes = nodes
         self.store = ColdStore()
         self.ended = False
@@ -143,12 +145,12 @@
             self.processes.append(start_node(path))
 
     def wait_until_listening(self) -> None:
-        """Wait for all nodes."""
+        """Wait until all nodes accept connections."""
         for address in self.addresses:
             wait_until_listening(address, LISTEN_INTERVAL_S)
 
     def start_load(self, rate: float, seed: int) -> None:
-        """Let each node's caller send RPCs from now on, on an open loop."""
+        """Start an open-loop load of RPCs from each node's caller."""
         for number, address in enumerate(self.addresses):
             start_thread(self._call, address, rate, random.Random(seed * 1000 + number))
 
@@ -165,9 +167,9 @@
                 client = None
 
     def play_round(self, chance: random.Random) -> tuple[Window | None, int]:
-        """Let the store go down and come back; return the worst window since, and the number of calls."""
+        """Take the store down and up again; return the worst window since then and the number of calls."""
         self.store.go_down()
-        time.sleep(chance.uniform(*DOWN_S))
+        time.sleep(chance.uniform(*DOWN_RANGE_S))
         self.store.calls.clear()
         self.store.go_up()
         returned = self.store.returned
@@ -178,14 +180,14 @@
         return worst, len(calls)
 
     def _window(self, calls: Sequence[float], first: int, returned: float) -> Window:
-        """Return the window that begins with a call."""
+        """Return the window that begins with the call at index `first`."""
         begin = calls[first]
         count = bisect_left(calls, begin + WINDOW_S) - first
-        allowed = self.nodes * SHARE / CALL_S * ramp_integral(begin - returned, WINDOW_S)
+        allowed = self.nodes * CALLS_OUT_PER_NODE / CALL_S * ramp_integral(begin - returned, WINDOW_S)
         return Window(count - allowed, allowed, 2 * allowed**0.5 + 2)
 
     def end(self) -> None:
-        """End all nodes."""
+        """Stop the load and kill all nodes."""
         self.ended = True
         for process in self.processes:
             process.kill()
@@ -194,22 +196,25 @@
 
 
 def ramp(age: float) -> float:
-    """Return the part of its speed that a store is allowed, `age` seconds after its return."""
+    """Return the fraction of its full capacity that a store may be sent `age` seconds after its return."""
     return min(1.0, START_CAPACITY + (1 - START_CAPACITY) * max(0.0, age) / COLD_S)
 
 
 def ramp_integral(age: float, span: float) -> float:
-    """Return the integral of the slowest ramp that is allowed, over the span from that age on."""
-    middles = (age + span * (step + 0.5) / RAMP_STEPS for step in range(RAMP_STEPS))
-    return sum(ramp(middle) for middle in middles) * span / RAMP_STEPS
+    """Return the integral of the slowest allowed ramp over `span` seconds from `age` on."""
+    midpoints = (age + span * (step + 0.5) / RAMP_STEPS for step in range(RAMP_STEPS))
+    return sum(ramp(midpoint) for midpoint in midpoints) * span / RAMP_STEPS
 
 
 def play_seeds(
     nodes: int, seeds: Sequence[int], rate: float = DEFAULT_RATE, whole: bool = False
 ) -> list[dict]:
-    """Play a round for each seed; return a row each. With `whole` each node takes the whole budget."""
+    """Play a round for each seed; return one row per round.
+
+    With `whole`, each node uses the budget of the whole fleet: a planted defect.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(nodes, folder, SHARE * (nodes if whole else 1))
+        fleet = Fleet(nodes, folder, CALLS_OUT_PER_NODE * (nodes if whole else 1))
         try:
             fleet.wait_until_listening()
             fleet.start_load(rate, seeds[0])
@@ -220,10 +225,10 @@
 
 
 def play_seed(fleet: Fleet, seed: int) -> dict:
-    """Play one round; return its row."""
+    """Play one round with this seed; return its row."""
     worst, calls = fleet.play_round(random.Random(seed))
     if worst is None:
-        raise RuntimeError(f"seed {seed}: no call reached the store after its return")
+        raise RuntimeError(f"seed {seed}: no call reached the store after its outage")
     return {
         "nodes": fleet.nodes,
         "seed": seed,
@@ -236,29 +241,31 @@
 
 
 def summary(nodes: int, rows: Iterable[dict]) -> str:
-    """Return one line of all rows."""
+    """Return a summary of all rows in one line."""
     rows = list(rows)
     worst = max(rows, key=lambda row: row["excess"] - row["chance"])
     over = sum(not row["held"] for row in rows)
     return (
-        f"{nodes} nodes, {len(rows)} seeds: {over} over; worst excess over N {worst['excess']} at "
-        f"N {worst['N']}, where {worst['chance']} are put down to chance"
+        f"{nodes} nodes, {len(rows)} seeds: {over} over the bound; worst excess {worst['excess']} calls at "
+        f"N = {worst['N']}, with {worst['chance']} attributed to chance"
     )
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--nodes", type=int, default=20)
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--rate", type=float, default=DEFAULT_RATE, help="RPCs a second to each node")
-    parser.add_argument("--whole", action="store_true", help="planted defect: each takes the whole budget")
-    parser.add_argument("--json", help="the rows are written here")
+    parser.add_argument("--rate", type=float, default=DEFAULT_RATE, help="RPCs per second to each node")
+    parser.add_argument(
+        "--whole", action="store_true", help="planted defect: each node uses the whole budget"
+    )
+    parser.add_argument("--json", help="file to which the rows are written")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Measure what the command line asks for."""
+    """Run the measurements that the command line selects."""
     arguments = parse_arguments()
     rows = play_seeds(arguments.nodes, range(1, arguments.seeds + 1), arguments.rate, arguments.whole)
     for row in rows:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,11 +1,13 @@
-"""How long restarted nodes take until they serve, under load, and what takes the time.
+"""Measure how long restarted nodes under load take until they serve RPCs, and their import times.
 
-    .venv/bin/python -m benchmarks.restarts                       # 60 restarts and more, a table
+    .venv/bin/python -m benchmarks.restarts                       # 50 restarts in turn, 20 at once
     .venv/bin/python -m benchmarks.restarts --json docs/results/restarts.json
 
-Kinds: killed, told to leave, worker pool late by a second, store down, registry down, 20 at once. Counted
-from the start of the process: it listens (a health check is answered), it is ready (an RPC is served); of a
-late worker pool from when that was up. Owns the measurement; it must never judge by time.
+The kinds of restart are: killed, terminated (told to leave), worker pool started one second late, store
+down, registry down, and all nodes at once. A node listens when it answers a health check, and is ready when
+it has served an RPC. Both times count from the start of the process; with a late worker pool, the time until
+the node is ready also counts from when the worker pool was up. The benchmark must never fail because a time
+is too long.
 """
 
 import argparse
@@ -34,23 +36,23 @@
 from finchcart.simulated_peers.store import SimulatedStore
 from finchcart.simulated_peers.worker_pool import SimulatedWorkerPool
 
-METHODS = {"read": True, "write": False}  # and whether its runs call the store
+METHODS = {"read": True, "write": False}  # name -> whether its runs call the store
 RUN_S = 0.01
 CALL_S = 0.002
 CORES = 512
 STOP_MS = 1500
 POOL_LATE_S = 1
-LONGEST_START_S = 60
+START_TIMEOUT_S = 60
 PROBE_INTERVAL_S = 0.005
 RECONNECT_INTERVAL_S = 0.02
 BODY = b"y" * 50
-LARGEST_IMPORTS = 8
+SLOWEST_IMPORTS = 8
 US_PER_MS = 1000
 ALL = "all"
 
 
 class Kind(StrEnum):
-    """Kinds of restarts, one after the other."""
+    """Kinds of restart of a single node."""
 
     KILLED = "killed"
     TERMINATED = "told to leave"
@@ -59,16 +61,17 @@
     REGISTRY_DOWN = "registry down"
 
 
-DOWN_KEYS = {Kind.STORE_DOWN: "store", Kind.REGISTRY_DOWN: "roster"}  # in the node's configuration
+# Keys of the node's configuration whose address has no listener in these kinds of restart.
+DOWN_ADDRESS_KEYS = {Kind.STORE_DOWN: "store", Kind.REGISTRY_DOWN: "roster"}
 
 
 def random_key() -> str:
-    """Return an idempotency key."""
+    """Return a random idempotency key."""
     return os.urandom(16).hex()
 
 
 class RestartedNode:
-    """One node with a worker pool of its own."""
+    """A node process with its own worker pool."""
 
     def __init__(self, number: int, folder: str, store: Address, registry: Address) -> None:
         self.number = number
@@ -83,24 +86,24 @@
         self.start()
 
     def write_configuration(self, **addresses: Address) -> None:
-        """Write the configuration, with other addresses for some of its keys."""
+        """Write the configuration file; `addresses` override the node's own under the same keys."""
         name = f"n{self.number}"
         write_configuration(self.path, name, f"{self.number:x}", STOP_MS, {**self.addresses, **addresses})
 
     def start(self, **addresses: Address) -> None:
-        """Start the process, with other addresses for some of the configuration's keys."""
+        """Start the process; `addresses` override the node's own in its configuration."""
         self.write_configuration(**addresses)
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.process = start_node(self.path)
 
     def stop(self, number: signal.Signals) -> None:
-        """Send the process a signal that ends it, and wait for the end."""
+        """Send the process a signal that ends it, and wait until it has exited."""
         self.process.send_signal(number)
         self.process.wait()
 
     def seconds_since_start(self) -> float:
         """Return the seconds since the start of the process."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     def wait_until_listening(self) -> float:
         """Return the seconds from the start until a health check is answered."""
@@ -111,7 +114,7 @@
         return self._wait_until_ok(lambda client: client.submit("write", b"x", random_key()))
 
     def _wait_until_ok(self, send: Callable[[Client], int]) -> float:
-        while self.seconds_since_start() < LONGEST_START_S:
+        while self.seconds_since_start() < START_TIMEOUT_S:
             with suppress(OSError, EOFError):
                 client = Client(self.addresses["listen"])
                 with closing(client.sock):
@@ -123,7 +126,7 @@
         return math.inf
 
     def keep_loaded(self, rate: float, chance: random.Random) -> NoReturn:
-        """Send RPCs for as long as this program runs."""
+        """Send RPCs at a random rate with the mean `rate` for as long as this program runs."""
         while True:
             with suppress(OSError):
                 client = Client(self.addresses["listen"])
@@ -135,13 +138,13 @@
 
 
 def restart(node: RestartedNode, kind: str, rows: list[dict]) -> None:
-    """Restart a node and add a row."""
+    """Restart a node, measure the restart, and append its row."""
     node.stop(signal.SIGTERM if kind == Kind.TERMINATED else signal.SIGKILL)
     row = {"kind": str(kind)}
     if kind == Kind.POOL_LATE:
         listens, pool_up = start_before_pool(node)
     else:
-        down = {DOWN_KEYS[kind]: free_address()} if kind in DOWN_KEYS else {}
+        down = {DOWN_ADDRESS_KEYS[kind]: free_address()} if kind in DOWN_ADDRESS_KEYS else {}
         node.start(**down)
         listens = node.wait_until_listening()
         pool_up = None
@@ -153,9 +156,10 @@
 
 
 def start_before_pool(node: RestartedNode) -> tuple[float, float]:
-    """Start a node, and its worker pool a second later at an address that the node is told then.
+    """Start a node, and its worker pool `POOL_LATE_S` seconds after it.
 
-    Return the seconds from the start until the node listened, and until the worker pool was up.
+    The worker pool listens at a new address, which the node reads from its configuration on SIGHUP. Return
+    the seconds from the start until the node listened, and until the worker pool was up.
     """
     node.start(pool=free_address())
     node.addresses["pool"] = free_address()
@@ -203,48 +207,48 @@
 # ---- report
 
 
-def quantile(values: Sequence[float], part: float) -> float:
-    """Return that quantile of the values."""
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return the quantile of the values at a fraction between 0 and 1."""
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def print_table(rows: Sequence[dict]) -> None:
-    """Print a line for each kind, and one for all."""
+    """Print a table with one line for each kind of restart and one for all restarts."""
     print("| kind | restarts | listens, median | ready, median | nine in ten | worst |")
     print("| --- | --- | --- | --- | --- | --- |")
     for kind in [*dict.fromkeys(row["kind"] for row in rows), ALL]:
-        mine = [row for row in rows if kind in (ALL, row["kind"])]
-        listens = [row["listens"] for row in mine]
-        ready = [row.get("after_pool", row["ready"]) for row in mine]
+        kind_rows = [row for row in rows if kind in (ALL, row["kind"])]
+        listens = [row["listens"] for row in kind_rows]
+        ready = [row.get("after_pool", row["ready"]) for row in kind_rows]
         print(
-            f"| {kind} | {len(mine)} | {quantile(listens, 0.5):.2f} s | "
+            f"| {kind} | {len(kind_rows)} | {quantile(listens, 0.5):.2f} s | "
             f"{quantile(ready, 0.5):.2f} s | {quantile(ready, 0.9):.2f} s | {max(ready):.2f} s |"
         )
 
 
 def import_times() -> dict[str, float]:
-    """Return the milliseconds of the largest imports on the way to ready."""
+    """Return the milliseconds that the slowest imports of a node take, by module name."""
     command = [sys.executable, "-X", "importtime", "-c", "import finchcart.__main__"]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     times: dict[str, float] = {}
     for line in done.stderr.splitlines()[1:]:
         _, total_us, name = line.removeprefix("import time:").split("|")
         times[name.strip()] = int(total_us) / US_PER_MS
-    largest = sorted(times, key=times.get, reverse=True)[:LARGEST_IMPORTS]
-    return {name: round(times[name], 1) for name in largest}
+    slowest = sorted(times, key=times.get, reverse=True)[:SLOWEST_IMPORTS]
+    return {name: round(times[name], 1) for name in slowest}
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--nodes", type=int, default=20)
-    parser.add_argument("--each", type=int, default=10, help="restarts of each kind, one after the other")
-    parser.add_argument("--json", help="the rows are written here")
+    parser.add_argument("--each", type=int, default=10, help="number of restarts of each kind, in sequence")
+    parser.add_argument("--json", help="file to which the rows are written")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Measure what the command line asks for."""
+    """Run the measurements that the command line selects."""
     arguments = parse_arguments()
     rows = play(arguments.nodes, arguments.each)
     print_table(rows)
--- a/benchmarks/rpc.py
+++ b/benchmarks/rpc.py
@@ -1,11 +1,11 @@
-"""What an RPC costs a node: CPU (user and system), latency and memory against the rate, one core given.
+"""Measure CPU time, latency and memory of a node per RPC rate, with the node pinned to one core.
 
-    .venv/bin/python -m benchmarks.rpc                          # this tree, the table on standard output
-    .venv/bin/python -m benchmarks.rpc --tree . --tree ../old   # two texts in one run, turn by turn
-    .venv/bin/python -m benchmarks.rpc --short                  # a second each, as CI does
+    .venv/bin/python -m benchmarks.rpc                          # this checkout; prints a table
+    .venv/bin/python -m benchmarks.rpc --tree . --tree ../old   # two checkouts, alternating at each rate
+    .venv/bin/python -m benchmarks.rpc --short                  # one second at one low rate, as in CI
 
-Owns the measurement; the node's peers are benchmarks/lean_peers.py's. It must never judge by time: it
-reports.
+benchmarks/lean_peers.py implements the peers of the node. The benchmark prints its measurements and must
+never fail because a time is too long.
 """
 
 import argparse
@@ -23,16 +23,16 @@
 from benchmarks import lean_peers
 from benchmarks.node_process import free_address, start_node, wait_until_listening, write_configuration
 
-METHODS = [("read", False), ("write", True)]  # and whether its RPCs have idempotency keys
-CLOCK_TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
-CORES = 4  # the node's, and three of its peers
+METHODS = [("read", False), ("write", True)]  # name, and whether its RPCs have idempotency keys
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+CORES = 4  # one for the node and three for its peers
 DEFAULT_RATES = [100, 200, 400, 800, 1200]
 SHORT_RATE = 50
 SHORT_S = 1.0
 STOP_MS = 3000
 STOP_TIMEOUT_S = 5
 LISTEN_INTERVAL_S = 0.02
-POOL_CONNECTED_S = 0.3  # after the node listens; the worker pool's connection is up by then
+POOL_CONNECT_WAIT_S = 0.3  # from when the node listens; it connects to the worker pool in this time
 
 COLUMNS = {
     "text": "text",
@@ -50,7 +50,7 @@
     "unanswered": "unanswered",
     "mb": "MB",
 }
-DIGITS = {"median_ms": 1, "p99_ms": 1, "mb": 0}  # behind the point; 2 in all other columns
+DIGITS = {"median_ms": 1, "p99_ms": 1, "mb": 0}  # decimal places; all other columns have 2
 HEAD = "| " + " | ".join(COLUMNS.values()) + " |\n" + "| --- " * len(COLUMNS) + "|"
 
 
@@ -62,9 +62,9 @@
 
 
 class MeasuredNode:
-    """One node of the text in `tree`, on the first of the cores, with peers of its own on the others.
+    """A node from the checkout `tree`, pinned to the first of the cores, with its own peers on the others.
 
-    `work` is the time of a run in seconds.
+    `work` is the duration of a run in the worker pool, in seconds.
     """
 
     def __init__(self, tree: str, connections: int, work: float, cores: list[int], folder: str) -> None:
@@ -83,17 +83,17 @@
         self.process = start_node(path, self.tree)
         os.sched_setaffinity(0, cores)
         wait_until_listening(addresses["listen"], LISTEN_INTERVAL_S)
-        time.sleep(POOL_CONNECTED_S)
+        time.sleep(POOL_CONNECT_WAIT_S)
 
     def _start_peers(
         self, addresses: dict[str, tuple[str, int]], connections: int, work: float, core: int
     ) -> None:
         spawn = multiprocessing.get_context("spawn")
-        self.pipe, theirs = spawn.Pipe()
+        self.pipe, load_pipe = spawn.Pipe()
         calling = {name for name, _ in METHODS}
         processes = {
             lean_peers.serve_peers: (addresses, calling, work),
-            lean_peers.serve_load: (theirs, addresses["listen"], connections, METHODS, 1),
+            lean_peers.serve_load: (load_pipe, addresses["listen"], connections, METHODS, 1),
             lean_peers.keep_core_busy: (core,),
         }
         self.peers = [
@@ -103,26 +103,29 @@
             peer.start()
 
     def cpu(self, thread: str = "") -> CpuTime:
-        """Return the CPU time of the process, or of one thread by its path under /proc/PID."""
+        """Return the CPU time of the process, or of the thread with the path `thread` under /proc/PID."""
         text = Path(f"/proc/{self.process.pid}/{thread}stat").read_text()
         user, system = text.rpartition(")")[2].split()[11:13]
-        return CpuTime(int(user) / CLOCK_TICKS_A_SECOND, int(system) / CLOCK_TICKS_A_SECOND)
+        return CpuTime(int(user) / CLOCK_TICKS_PER_SECOND, int(system) / CLOCK_TICKS_PER_SECOND)
 
     def reducer_cpu(self) -> float:
-        """Return the CPU seconds of the one thread that reduces; the rest is the connections' threads."""
+        """Return the CPU seconds of the main thread, which runs the state machines.
+
+        The connections' threads use the rest of the process's CPU time.
+        """
         return sum(self.cpu(f"task/{self.process.pid}/"))
 
     def peak_mb(self) -> float:
-        """Return the peak resident memory."""
+        """Return the peak resident memory of the node in MiB."""
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) / 1024 for line in lines if line.startswith("VmHWM"))
 
     def play(self, rate: float, seconds: float) -> dict:
-        """Play one rate; return a row of figures."""
+        """Run the load at one rate; return a row of measurements."""
         self.pipe.send((rate, seconds))
-        began = self.pipe.recv()
-        if began != "begin":
-            raise RuntimeError(f"the callers sent {began!r} instead of 'begin'")
+        reply = self.pipe.recv()
+        if reply != "begin":
+            raise RuntimeError(f"the callers' process sent {reply!r} instead of 'begin'")
         cpu_before = self.cpu()
         reducer_before = self.reducer_cpu()
         began_at = time.monotonic()
@@ -150,7 +153,7 @@
         }
 
     def end(self) -> None:
-        """End the node and its peers."""
+        """Terminate the node and its peers."""
         self.process.terminate()
         try:
             self.process.wait(STOP_TIMEOUT_S)
@@ -161,13 +164,13 @@
 
 
 def commit_of(tree: str) -> str:
-    """Return the commit of a checkout; "?" where it is none."""
+    """Return the commit of a checkout, or "?" if the folder is not a Git checkout."""
     command = ["git", "-C", tree, "describe", "--always", "--dirty"]
     return subprocess.run(command, capture_output=True, text=True, check=False).stdout.strip() or "?"
 
 
 def table_row(row: dict) -> str:
-    """Return the line of the table for a row of figures."""
+    """Return the line of the Markdown table for a row of measurements."""
     cells = [
         f"{row[name]:.{DIGITS.get(name, 2)}f}" if isinstance(row[name], float) else str(row[name])
         for name in COLUMNS
@@ -176,7 +179,7 @@
 
 
 def play_all(arguments: argparse.Namespace) -> list[dict]:
-    """Play each rate with each text in turn; print the table's rows as they come."""
+    """Measure each checkout at each rate; print each row of the table when it is complete."""
     rates = [SHORT_RATE] if arguments.short else arguments.rate or DEFAULT_RATES
     seconds = SHORT_S if arguments.short else arguments.seconds
     cores = sorted(os.sched_getaffinity(0))[:CORES]
@@ -195,27 +198,27 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Return the parsed command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--tree", action="append", help="a checkout to measure; may be given again")
-    parser.add_argument("--rate", type=int, action="append", help="RPCs a second; may be given again")
-    parser.add_argument("--seconds", type=float, default=6.0, help="of each rate")
-    parser.add_argument("--links", type=int, default=24, help="the callers' connections")
-    parser.add_argument("--work-ms", type=float, default=20.0, help="of a run")
-    parser.add_argument("--short", action="store_true", help="a second of one small rate")
-    parser.add_argument("--json", help="keeps the rows in this file")
+    parser.add_argument("--tree", action="append", help="a checkout to measure; may be repeated")
+    parser.add_argument("--rate", type=int, action="append", help="RPCs per second; may be repeated")
+    parser.add_argument("--seconds", type=float, default=6.0, help="measured time at each rate")
+    parser.add_argument("--links", type=int, default=24, help="number of the callers' connections")
+    parser.add_argument("--work-ms", type=float, default=20.0, help="duration of a run in the worker pool")
+    parser.add_argument("--short", action="store_true", help="measure one second at one low rate")
+    parser.add_argument("--json", help="file to which the rows are written")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Measure what the command line asks for; fail only where no RPC was answered."""
+    """Run the measurements that the command line selects; fail only if a rate had no successful RPC."""
     arguments = parse_arguments()
     print(HEAD)
     rows = play_all(arguments)
     if arguments.json:
         Path(arguments.json).write_text(json.dumps(rows, indent=1))
     if any(not row["ok"] for row in rows):
-        sys.exit("no RPC was answered ok")  # it does not run; how fast it is does not matter here
+        sys.exit("no RPC was answered ok at one of the rates")
 
 
 if __name__ == "__main__":
--- a/tests/test_benchmark.py
+++ b/tests/test_benchmark.py
@@ -1,4 +1,4 @@
-"""The benchmark's short form runs to its end against a real node; how fast is not looked at."""
+"""The short form of the RPC benchmark completes against a real node; the test checks no speed."""
 
 import json
 import subprocess
