--- a/benchmarks/membership_rules.py
+++ b/benchmarks/membership_rules.py
@@ -1,6 +1,7 @@
-"""Other rules for who is held to be in the fleet, on the same rows: changes of verdict by rule.
+"""Compare rules by which a member decides, from the same table rows, which members are connected.
 
-Owns the rules that members are made to follow instead of their own, for `benchmarks.members --rules`.
+`benchmarks.members --rules` replaces the rule that members follow by each of these in turn, and counts the
+changes of verdict.
 """
 
 import json
@@ -12,8 +13,8 @@
 from finchcart.fault_injection.scripted_runs.virtual_run import play_on_virtual_clock
 from finchcart.membership import failure_detection, view
 
-LOSSY_S = 120  # of the script `loss`
-WAYS_ROUND = 3
+LOSS_SCRIPT_S = 120
+INDIRECT_PROBES = 3
 
 Graph = Mapping[int, Collection[int]]
 
@@ -26,20 +27,25 @@
 }
 
 
-def own_links(me: int, down: Graph, graph: Graph, out: frozenset = frozenset()) -> set[int]:
-    """Hold each by the own links alone: all-to-all heartbeats."""
+def connected_by_own_links(me: int, down: Graph, graph: Graph, out: frozenset = frozenset()) -> set[int]:
+    """Return the members that the observer's own links reach, as with all-to-all heartbeats."""
     return set(graph) - set(down[me])
 
 
-def no_way_round(me: int, down: Graph, graph: Graph, out: frozenset = frozenset()) -> set[int]:
-    """Hold out where any one in reach finds no way, not over three others either: probes as SWIM's."""
+def connected_by_indirect_probes(
+    me: int, down: Graph, graph: Graph, out: frozenset = frozenset()
+) -> set[int]:
+    """Return the members that every reachable observer reaches, directly or through another member.
+
+    As with indirect probes in SWIM, each observer tries `INDIRECT_PROBES` other members as intermediaries.
+    """
 
     def is_cut(a: int, b: int) -> bool:
         return b in down.get(a, ()) or a in down.get(b, ())
 
-    def finds_no_way(observer: int, subject: int, number: int) -> bool:
+    def cannot_reach(observer: int, subject: int, number: int) -> bool:
         first = ids.index(observer) + number
-        others = [ids[(first + offset) % len(ids)] for offset in range(1, WAYS_ROUND + 1)]
+        others = [ids[(first + offset) % len(ids)] for offset in range(1, INDIRECT_PROBES + 1)]
         return is_cut(observer, subject) and all(
             other in (observer, subject) or is_cut(observer, other) or is_cut(other, subject)
             for other in others
@@ -48,21 +54,21 @@
     ids = sorted(graph)
     connected = {me}
     for number, subject in enumerate(ids):
-        reach = [other for other in ids if other not in (subject, me) and not is_cut(me, other)] + [me]
-        if not any(finds_no_way(observer, subject, number) for observer in reach if observer != subject):
+        observers = [other for other in ids if other not in (subject, me) and not is_cut(me, other)] + [me]
+        if not any(cannot_reach(observer, subject, number) for observer in observers if observer != subject):
             connected.add(subject)
     return connected
 
 
 def rule_rows(nodes: int) -> list[dict]:
-    """Return a row for each rule, over the scripts `cuts` and `loss`.
+    """Return a row for each rule, from plays of the scripts `cuts` and `loss`.
 
-    Counted are changes of verdict on those that are to stay, and after the verdict on those that are out, and
-    failed verdicts at 30 % loss.
+    A row counts the changes of verdict on members that should stay, the changes after the verdict on members
+    that are cut off, and the failed verdicts at 30 % message loss.
     """
     rules = {
-        "own links": own_links,
-        "any observer without a way round": no_way_round,
+        "own links": connected_by_own_links,
+        "any observer without a way round": connected_by_indirect_probes,
         "half of the links": view.connected_members,
     }
     rows = []
@@ -75,13 +81,13 @@
 
 
 def rule_row(name: str, nodes: int) -> dict:
-    """Return the row of the rule that members follow now."""
+    """Return the row for the rule that members currently follow."""
     plan = make_plan(read_script("cuts"), 1, nodes)
     record = play_on_virtual_clock(plan)
     results = check_plan(plan, record.events, record.start)
-    lossy = read_script("loss")
-    lossy.seconds = LOSSY_S
-    events = play_on_virtual_clock(make_plan(lossy, 1, nodes)).events
+    loss_script = read_script("loss")
+    loss_script.seconds = LOSS_SCRIPT_S
+    events = play_on_virtual_clock(make_plan(loss_script, 1, nodes)).events
     return {
         "rule": name,
         "wrong": sum(result.changes for result in results if result.what == "never"),
