--- a/benchmarks/by_round.py
+++ b/benchmarks/by_round.py
@@ -17,9 +17,9 @@
 
 
 def read_side_by_side(
-    folders: Iterable[str], part: str, mode_of: Callable[[str], str]
+    folders: Iterable[str], key: str, mode_of: Callable[[str], str]
 ) -> tuple[RowsByMode, list[str]]:
-    """Merge the list `part` of each folder's results.json.
+    """Merge the lists of rows under `key` in the results.json of all folders.
 
     Return mode -> round -> rows, and the names of the rounds in the order of their first occurrence.
     `mode_of` returns the mode for the name of a folder.
@@ -27,7 +27,7 @@
     rows_by_mode: RowsByMode = {}
     rounds: list[str] = []
     for folder in map(Path, folders):
-        for row in json.loads((folder / "results.json").read_text())[part]:
+        for row in json.loads((folder / "results.json").read_text())[key]:
             if row["round"] not in rounds:
                 rounds.append(row["round"])
             rows_by_mode.setdefault(mode_of(folder.name), {}).setdefault(row["round"], []).append(row)
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 20
     .venv/bin/python -m benchmarks.cold_ramp --nodes 30 --seeds 20 --json docs/results/cold-ramp-30.json
-    .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 3 --whole   # planted defect
+    .venv/bin/python -m benchmarks.cold_ramp --nodes 20 --seeds 3 --whole   # with a planted defect
 
 The nodes are real processes on loopback that can't communicate with each other, and the store records when
 each call reaches it. For every window of `callsOver`, N is the number of calls that the settings allow: the
@@ -211,7 +211,7 @@
 ) -> list[dict]:
     """Play a round for each seed; return one row per round.
 
-    With `whole`, each node uses the budget of the whole fleet: a planted defect.
+    With `whole`, each node uses the budget of the whole fleet, which is a planted defect.
     """
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(nodes, folder, CALLS_OUT_PER_NODE * (nodes if whole else 1))
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -182,7 +182,7 @@
 
 
 def play(nodes: int = 20, each: int = 10, rate: float = 20.0) -> list[dict]:
-    """Restart loaded nodes, `each` times of each kind and then all at once; return a row for each restart."""
+    """Restart loaded nodes, first `each` times per kind, then all at once; return a row for each restart."""
     rows: list[dict] = []
     with tempfile.TemporaryDirectory() as folder:
         store = SimulatedStore(free_address(), work=CALL_S)
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -28,7 +28,7 @@
 MAX_PRINTED_BREACHES = 10
 JOIN_US = 8 * SECOND
 MEASURED_S = 6
-MAX_DETECTION_US = 60 * SECOND  # limit of the wait until all nodes hold the store to be down
+MAX_DETECTION_US = 60 * SECOND  # limit of the wait until all nodes consider the store down
 TIME_COLUMNS = 6
 SIZE_COLUMNS = 7
 MORE_CRITICAL = "book"
@@ -62,9 +62,9 @@
     print("| --- " * TIME_COLUMNS + "|")
     for (kind, event), timings in sorted(groups.items()):
         took = sorted(timing.took / SECOND for timing in timings)
-        part = max(timing.took / timing.bound for timing in timings)
+        bound_ratio = max(timing.took / timing.bound for timing in timings)
         median = took[len(took) // 2]
-        print(f"| {kind} | {event} | {len(took)} | {median:.2f} | {took[-1]:.2f} | {part:.2f} |")
+        print(f"| {kind} | {event} | {len(took)} | {median:.2f} | {took[-1]:.2f} | {bound_ratio:.2f} |")
 
 
 def total_count(fleet: ConsensusSimulation, column: str) -> int:
@@ -96,7 +96,7 @@
     """Return the table row for a fleet of `count` nodes.
 
     The row has the messages and bytes per node and second in a calm fleet, with consensus and without, and
-    the time from when the store goes down for all nodes until all nodes hold it to be down.
+    the time from when the store goes down for all nodes until all nodes consider it down.
     """
     fleet = joined_fleet(count, on=True)
     messages, size = send_rates(fleet, count)
