--- a/finchcart/decisions/admission_checks.py
+++ b/finchcart/decisions/admission_checks.py
@@ -25,8 +25,8 @@
 class AdmissionChecks:
     """Admission checks, in the order in which they are made.
 
-    Invariant: random numbers are drawn in the order of the checks, one for the shed rank of an RPC that
-    carries none, and one for the decision to explore.
+    Invariant: random numbers are drawn in the order of the checks. One is drawn for the shed rank of an RPC
+    that carries no shed rank, and one for the decision to explore.
     """
 
     def __init__(self, settings: NodeSettings, state: NodeState, seed: int) -> None:
--- a/finchcart/decisions/arrival.py
+++ b/finchcart/decisions/arrival.py
@@ -14,7 +14,7 @@
 
     available: int  # RPCs that may be admitted now
     capacity: int  # upper bound of `available`
-    retry_after: int  # microseconds until more may be available
+    retry_after: int  # microseconds until more RPCs may be admitted
 
 
 class RpcArrival(NamedTuple):
--- a/finchcart/decisions/dependency_calls.py
+++ b/finchcart/decisions/dependency_calls.py
@@ -120,7 +120,11 @@
         self.call_time.add(max(1, duration))
 
     def end(self, now: int, rpc: RpcHandle, outcome: Outcome) -> None:
-        """Count the end of a call; the dependency is assumed to work on an abandoned call for a while."""
+        """Record the end of a call, and take the call's duration from the token bucket.
+
+        After a timeout or a lost connection, the dependency is assumed to work on the call for a while. The
+        call then still counts as abandoned, and the token bucket is charged for this time as well.
+        """
         rpc.state = AWAITING_CALL
         self.in_flight -= 1
         self.bucket.take(now - rpc.called_at)
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -64,7 +64,7 @@
         self.shortest_objective = min(objectives, default=OBJECTIVE_WITHOUT_METHODS)
 
     def _rank_by_criticality(self) -> int:
-        """Set each method's rank and its more and less critical methods; return the number of ranks."""
+        """Set each method's rank and lists of more and less critical methods; return the number of ranks."""
         criticalities = sorted({method.criticality for method in self.all})
         for method in self.all:
             method.criticality_rank = criticalities.index(method.criticality)
--- a/finchcart/decisions/node_settings.py
+++ b/finchcart/decisions/node_settings.py
@@ -12,7 +12,8 @@
 UNLIMITED_CALLS = 1e9
 UNLIMITED_MEMORY_KB = 1e12
 
-# Defaults of fields that are None where not configured, as some of their users need another default.
+# Defaults of settings that are None if not configured. They can be None because some modules need other
+# defaults than these.
 DEFAULT_CRITICALITY = 1
 DEFAULT_DEADLINE_US = 5 * SECOND
 DEFAULT_CALLS_LINGER_US = 200 * MS
@@ -53,7 +54,7 @@
     latency_objective_us: int | None = None  # None: the objective is the deadline
     key_window_us: int = 0  # duplicates may arrive for this long after the first RPC with their key
     late_value: float = 0  # value of a response after the objective; 0: a late run may be stopped
-    makes_call: bool = False  # a run calls the dependency
+    makes_call: bool = False  # whether a run calls the dependency
     degraded_value: float = 0  # value of a response without the optional call; 0: the call is required
 
 
@@ -69,12 +70,12 @@
     key_entry_kb: float = 0  # memory of one stored idempotency key
     tick_us: int = MS  # resolution of timers
     gauges: tuple[str, ...] = ()  # names of the worker pool's gauges that are read
-    can_stop: bool = False  # runs can be stopped
+    can_stop: bool = False  # whether runs can be stopped
     can_pause: bool = False  # needs `can_stop`; a run stopped before its response keeps its work and memory
 
     # Overload and cold start
     overload_factor: float = 4  # concurrent runs per core that the node survives
-    fresh_start: bool = False  # the node starts cold
+    fresh_start: bool = False  # whether the node starts cold
     cold_start_speed: float = 1  # fraction of the full speed at which a cold start begins
     warm_up_us: int = 1  # time from a cold start to the full speed
     drain_grace_us: int = 0  # grace period: RPCs are served for this long after the drain notice
@@ -90,7 +91,7 @@
     feedback_lifetime_us: int = SECOND  # callers apply a published value for this long
     idle_timeout_max_us: int = 8 * SECOND  # upper bound of the idle timeout of callers' connections
     retry_after_max_us: int = 0  # upper bound of the retry advice in a rejection; 0: no advice is given
-    marks_retries: bool = True  # callers mark their retries
+    marks_retries: bool = True  # whether callers mark their retries
 
     def warm_up_progress(self, elapsed_us: int) -> float:
         """Return the fraction of full speed reached after `elapsed_us`, on the slowest ramp allowed."""
--- a/finchcart/decisions/warm_up.py
+++ b/finchcart/decisions/warm_up.py
@@ -17,11 +17,11 @@
         self.began_at = 0
 
     def begin(self, now: int) -> None:
-        """Begin the warm-up at `now`, cold or warm as before."""
+        """Begin the warm-up at `now`, without changing whether it is cold."""
         self.began_at = now
 
     def restart(self, now: int, cold: bool) -> None:
-        """Begin a new warm-up at `now`; `cold` tells whether it is as slow as after a fresh start."""
+        """Begin a new warm-up at `now`; `cold` tells whether the node is as slow as after a fresh start."""
         self.is_cold = cold
         self.began_at = now
 
--- a/finchcart/node/controller_host.py
+++ b/finchcart/node/controller_host.py
@@ -60,7 +60,7 @@
 
     def worker_pool_ready(self, cold: bool) -> None:
         """Start the decision module; RPCs are accepted from now on."""
-        # The slow start after a cold start begins here, at the later start of worker pool and node.
+        # The warm-up after a cold start begins once both the worker pool and the node have started.
         controller = self._make_controller(cold)
         self.controller = controller
         self._admission.start(controller)
