--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -22,7 +22,7 @@
         self.votes = decision.votes
         self.voters = decision.voters
         self.started_at = now
-        self.recurrences = recurrences  # how often it ended and came back within the recurrence window
+        self.recurrences = recurrences  # how often the decision recurred within the recurrence window
         self.hold_ends_at = now + config.hold_time(recurrences)  # the earliest time at which it can end
 
 
--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -52,5 +52,5 @@
 ) -> LogLine:
     kind, name, value_name = describe(subject, value, node_names)
     votes = f"{decision.votes} of {decision.voters}" if decision else ""
-    text = f"fleet decision changed: {kind} {name} is now {value_name}".replace("  ", " ")
+    text = f"decision changed: {kind} {name} is now {value_name}".replace("  ", " ")
     return LogLine(text, {"kind": kind, "subject": name, "value": value_name, "votes": votes})
--- a/finchcart/consensus/decision.py
+++ b/finchcart/consensus/decision.py
@@ -92,7 +92,7 @@
 def decide_sources(
     reports: Reports, zones: Zones, config: ConsensusConfig, member_count: int
 ) -> dict[int, Decision]:
-    """Decide which sources are restricted; a source that more nodes report takes precedence."""
+    """Decide which sources are restricted; sources that more nodes report are considered first."""
     by_source: dict[int, dict[int, ObservationReport]] = {}
     for member_id, member_reports in reports.items():
         for report in member_reports:
@@ -104,8 +104,8 @@
     for source, by_member in sorted(by_source.items(), key=lambda item: (-len(item[1]), item[0])):
         if len(by_member) < required or not _are_enough(by_member, zones, config):
             continue
-        # Bounds the fraction of all RPCs that decisions reject: a source's share of the RPCs is the median
-        # of the percentages that its reporters give.
+        # The loop bounds the fraction of all RPCs that decisions reject. A source's fraction is taken
+        # to be the median of the percentages that its reporters give.
         percent = median(weight // PERCENT_FACTOR for _, _, weight in by_member.values())
         blocking = sum(value == Restriction.BLOCKED for _, value, _ in by_member.values())
         if blocking >= required and percent <= percent_left:
@@ -141,9 +141,9 @@
         return {}
     all_failed = sorted(percent_failed for _, percent_failed, _ in node_reports)
     all_times = sorted(time for _, _, time in node_reports)
-    outliers: list[
-        tuple[float, int]
-    ] = []  # (negative distance from the median, subject): sorts farthest first
+    # Each outlier is (the negated percentage of failed runs or multiple of the median run time, subject), so
+    # that the worst outliers sort first.
+    outliers: list[tuple[float, int]] = []
     for node, percent_failed, time in node_reports:
         median_failed = median_without(all_failed, percent_failed)
         median_time = median_without(all_times, time)
--- a/finchcart/consensus/messages.py
+++ b/finchcart/consensus/messages.py
@@ -12,8 +12,8 @@
 from finchcart.fleet.codec import MessageCodec, Unsigned53, Unsigned64
 
 CHANNEL = b"V"
-MAX_REPORTS = 32  # in one gossip entry
-MAX_OVERRIDES = 8  # in one gossip entry
+MAX_REPORTS = 32  # most reports in one gossip entry
+MAX_OVERRIDES = 8  # most overrides in one gossip entry
 MAX_REASON_LENGTH = 60
 MAX_OVERRIDE_US = 7 * 86_400 * 1_000_000
 
@@ -37,7 +37,7 @@
     number: Unsigned53
     incarnation: Unsigned53
     issuer: Unsigned64
-    remaining_us: Unsigned53  # counted from the time at which the gossip entry was written
+    remaining_us: Unsigned53  # time until the override ends, counted from the writing of the entry
     reason: Reason
 
     @property
--- a/finchcart/consensus/observations.py
+++ b/finchcart/consensus/observations.py
@@ -86,7 +86,7 @@
         self.own_subject = own_subject
         self.config = config
         self.zone = zone
-        self._usual_call_time: float | None = None  # moving average, of calls while the store was working
+        self._usual_call_time: float | None = None  # moving average while the store was working
         self._clear()
 
     def _clear(self) -> None:
--- a/finchcart/key_leases/config.py
+++ b/finchcart/key_leases/config.py
@@ -38,10 +38,10 @@
     quorum_timeout: int = 200 * MS  # an attempt without a quorum of votes fails after this time
     retransmit_interval: int = 50 * MS  # an unanswered message is retransmitted after this time
     outcome_timeout: int = 2 * SECOND  # a duplicate waits this long for the outcome of a run elsewhere
-    poll_interval: int = 100 * MS  # while it waits, it polls the replicas at this interval
+    poll_interval: int = 100 * MS  # a duplicate that waits polls the replicas at this interval
     drift: float = 0.001  # upper bound on the relative difference in rate between two clocks of the fleet
     max_result_bytes: int = 256  # longest result that replicas keep; a longer one is reported as `FAILED`
-    max_leases: int = 200_000  # of one replica; when full, it refuses new leases but still answers duplicates
+    max_leases: int = 200_000  # most leases on a replica; a full one refuses others but answers duplicates
     max_batch: int = 16  # most leases in one message
 
     @classmethod
--- a/finchcart/key_leases/replica.py
+++ b/finchcart/key_leases/replica.py
@@ -175,7 +175,8 @@
                 del self.leases[outcome.key]
         elif outcome.status in RUN_ENDED:
             if lease is None:
-                # This replica did not vote: the proposal was lost, or the replica has started since.
+                # This replica has no lease of the key, for example because the proposal was lost or
+                # the replica was restarted.
                 self.count("outcome without a lease")
                 lease = self._add_lease_for_outcome(session, outcome)
                 is_holder = True
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -21,7 +21,9 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
-MAX_LEASES_PER_LIMIT = 8  # at one holder, which gets no more until it reports which lease it has
+# A holder that may have this many leases of a limit gets no more until it reports which one it has, or
+# until leases expire.
+MAX_LEASES_PER_LIMIT = 8
 
 
 class Allocator:
--- a/finchcart/quota/held_lease.py
+++ b/finchcart/quota/held_lease.py
@@ -44,10 +44,10 @@
         self.amount = 0
         self.expires_at = 0
         self.requested_at = 0
-        self.in_use = 0  # beyond the floor
-        self.demand = 0  # beyond the floor
+        self.in_use = 0  # amount in use beyond the floor
+        self.demand = 0  # amount demanded beyond the floor
         self.priority_demand = 0
-        self.fleet_amount = limit.amount  # as the planner last stated it
+        self.fleet_amount = limit.amount  # the whole limit, as stated in the newest lease
         self.last_emitted: Allowance | None = None
         self.is_at_floor = True
 
--- a/finchcart/quota/holder_records.py
+++ b/finchcart/quota/holder_records.py
@@ -20,7 +20,7 @@
 
     def __init__(self, number: int, sequence: int, amount: int, expires_at: int) -> None:
         self.number = number
-        self.sequence = sequence  # of the request that the lease answered
+        self.sequence = sequence  # sequence of the request that the planner answered with this lease
         self.amount = amount
         self.expires_at = expires_at
 
--- a/finchcart/quota/inputs.py
+++ b/finchcart/quota/inputs.py
@@ -21,6 +21,6 @@
 
 
 class QuotaConfigChanged(NamedTuple):
-    """The settings file was read again."""
+    """The settings file was read again; `config` replaces the present configuration."""
 
     config: QuotaConfig
--- a/finchcart/quota/lease_holder.py
+++ b/finchcart/quota/lease_holder.py
@@ -34,7 +34,7 @@
     Redirect,
 )
 
-MAX_PENDING_REQUESTS = 8  # the answers to older requests are rejected
+MAX_PENDING_REQUESTS = 8  # answers are accepted only to this many of the newest requests
 MIN_REQUEST_INTERVAL_US = 100 * MS
 MAX_UNANSWERED_INTERVALS = 2  # request intervals without an answer before the next planner gets the requests
 
@@ -66,11 +66,10 @@
         self.random = random
         self.session = random.getrandbits(64)
         self.planners = [parse_address(address) for address in quota.planners]
-        self.planner_index = random.randrange(
-            max(1, len(self.planners))
-        )  # of the planner that gets the requests
+        # Index in `planners` of the planner to which this holder sends its requests.
+        self.planner_index = random.randrange(max(1, len(self.planners)))
         self.sequence = 0
-        self.pending: dict[int, PendingRequest] = {}  # by sequence
+        self.pending: dict[int, PendingRequest] = {}  # by the sequence of the request
         self.next_request_at = now
         self.last_request_at = now
         self.answered_at = now
@@ -111,7 +110,10 @@
                 raise MessageRejectedError("not for a holder")
 
     def on_usage(self, usage: UsageReported) -> None:
-        """Record the usage and demand of a limit beyond its floor."""
+        """Record the usage and demand of a limit beyond its floor.
+
+        The next request is sent early if the demand rises above the lease or usage beyond the lease ends.
+        """
         held = self.held.get(usage.limit)
         if held is None:
             return
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -50,14 +50,14 @@
 
     name: str
     amount: int
-    floor: int = 0  # what each node may use without a lease; if loose, until the node knows the others
+    floor: int = 0  # what a node may use without a lease, or of a loose limit before it knows the other nodes
     counts: Counted = "calls"  # calls to the store, or admitted RPCs
     per: Unit = "in_hand"
     burst: int = 0
-    mode: Mode = "strict"  # never exceeded, whatever fails; "loose": available on each side of a partition
+    mode: Mode = "strict"  # "strict": holds in any failure; "loose": available on each side of a partition
     method: str = ""  # if set, only RPCs of this method count
     dispatcher: str = ""  # if set, only RPCs of this dispatcher count
-    weight: float = 1.0  # of this node in the division of the limit
+    weight: float = 1.0  # weight of this node in the division of the limit
 
     @property
     def is_strict(self) -> bool:
@@ -79,11 +79,11 @@
     """How the limits are shared; see docs/operate/quota.md for how to choose the values."""
 
     limits: tuple[Limit, ...] = ()
-    planners: tuple[str, ...] = ()  # addresses; a planner finds itself by its own address
+    planners: tuple[str, ...] = ()  # addresses of the planners; a planner finds its own among them
     max_processes: int = 64  # greatest number of processes of nodes at once, suspended ones included
-    lease_duration: int = 3 * SECOND  # of a holder's lease of a limit
-    request_interval: int = 500 * MS  # between two lease requests of a holder
-    leader_lease_duration: int = 1_500 * MS  # less than `lease_duration`: the next leader renews them
+    lease_duration: int = 3 * SECOND  # duration of a holder's lease of a limit
+    request_interval: int = 500 * MS  # interval between two lease requests of a holder
+    leader_lease_duration: int = 1_500 * MS  # below `lease_duration`, so that a new leader can renew leases
     drift: float = 0.001  # greatest relative difference in rate between any two clocks of the fleet
     max_step: float = 0.25  # fraction of the shareable amount by which one request may raise an allocation
     reserve: float = 0.05  # fraction of the shareable amount that is kept free for new holders
@@ -119,12 +119,15 @@
 
     @property
     def startup_quiet_period(self) -> int:
-        """The microseconds after its start in which a planner doesn't vote, as it may have voted before."""
+        """The microseconds for which a planner doesn't vote after its start.
+
+        An earlier process at its address may have voted for a lease that this process doesn't know.
+        """
         return self.widened(self.leader_lease_duration)
 
     @property
     def takeover_wait(self) -> int:
-        """The microseconds in which a new leader only renews leases, while older leases may last."""
+        """The microseconds for which a new leader only renews leases: earlier leases may last so long."""
         return self.widened(self.lease_duration)
 
     @property
--- a/finchcart/quota/local_limits.py
+++ b/finchcart/quota/local_limits.py
@@ -1,19 +1,20 @@
 """Loose limits: each node computes its own allocation from its view of the members.
 
 A loose limit stays available on each side of a partition. The module owns this process's usage and demand of
-the loose limits, which the heartbeats of the members carry as gossip, and its allocation of each limit. It
-must not count calls or send messages itself. It must not use an amount that a member out of contact may still
+the loose limits, which the heartbeats of the members carry as gossip, and its allocation of each limit. The
+module must not count calls or send messages itself, nor use an amount that a member out of contact may still
 use. `now` is the boot clock in whole microseconds.
 
 How the overshoot is bounded:
 
 - Where all members are in contact, the allocation of a node is the max-min share of the demands of all
-  members. A node counts its own demand only when the others have received it, and theirs as soon as it
-  receives it, so no node takes what another may still use. What the others have in use is left to them.
-- A member without recent two-way contact may not know of the others' demand. The node assumes that it demands
-  everything, so the node leaves an even share to that member.
+  members. A node counts its own demand only after all other members in contact have received that demand,
+  but counts another member's demand as soon as that demand arrives, so no node takes what another may still
+  use. Calls that other members have in progress beyond their shares are subtracted before the division.
+- A member without recent two-way contact may not know of the others' demand. The node assumes that this
+  member demands the whole limit, and so leaves an even share to it.
 - A side of a partition that sees only a fraction of the known members uses that fraction of the limit, times
-  (1 + `over`): see `QuotaConfig.partition_allowance`.
+  (1 + `partition_overshoot`): see `QuotaConfig.partition_allowance`.
 """
 
 from collections import deque
@@ -34,7 +35,8 @@
 
 ALLOWANCE_DURATION_US = 2 * SECOND  # after this, a node whose fleet thread has ended uses only its floor
 RENEWAL_INTERVAL_US = SECOND // 2  # after this, an unchanged allowance is emitted again
-IN_USE_PUBLICATIONS = 2  # the others receive the demand, then this node receives what they had in use by then
+# The other members first have to receive a demand; then this node has to receive their usage after that.
+IN_USE_PUBLICATIONS = 2
 
 
 def freshness_bound(membership: MembershipConfig, member_count: int, loss: float) -> int:
@@ -90,7 +92,7 @@
             self.published.popleft()
 
     def settled_demand(self) -> int:
-        """Return the least demand published lately, which all other members in contact have received."""
+        """Return the least demand published lately; each member in contact has received at least this."""
         return min(published.demand for published in self.published)
 
 
@@ -217,7 +219,8 @@
             in_use[member_id] = used
         shares = max_min_shares(allowance, demands)
         share = shares[member.own_id]
-        # A member whose share has become smaller keeps its calls in progress; what remains is divided anew.
+        # A member whose share was reduced keeps its calls in progress. The calls beyond its share are
+        # subtracted from the allowance, and the rest is divided again.
         excess = 0
         if limit.per == "in_hand":
             excess = sum(max(0, used - shares[member_id]) for member_id, used in in_use.items())
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -79,8 +79,8 @@
 
     limit: NodeName
     term: Unsigned53  # term of the lease that the holder has
-    number: Unsigned53  # number of that lease; 0 if there is none
-    in_use: Amount  # amount of that lease, or more if calls of an earlier lease are still in progress
+    number: Unsigned53  # number of that lease within its term; 0 if the holder has no lease
+    in_use: Amount  # amount of the held lease, or more while calls in progress exceed that amount
     demand: Amount
     floor: Amount
     priority_demand: Amount = 0  # the part of `demand` that is more important than the rest
@@ -91,9 +91,9 @@
     """A holder's request for leases of all its limits."""
 
     node: NodeName
-    session: Unsigned64  # random; differs between two processes of the same node name
+    session: Unsigned64  # random number that differs between two processes with the same node name
     sequence: Unsigned53
-    oldest_sequence: Unsigned53  # of the oldest request whose answer the holder still accepts
+    oldest_sequence: Unsigned53  # sequence of the oldest request whose answer the holder still accepts
     is_leaving: bool
     limits: Annotated[list[LimitDemand], Meta(max_length=MAX_LIMITS)]
 
@@ -102,7 +102,7 @@
     """A lease of an amount of one limit."""
 
     limit: NodeName
-    number: Unsigned53  # within the term; the lease with the greater number is the newer
+    number: Unsigned53  # number within the term; of two leases, the greater number is the newer
     amount: Amount  # beyond the holder's floor
     duration_us: Unsigned53  # the holder counts it from before its request
     fleet_amount: Amount  # the whole limit in the planner's configuration
