--- a/finchcart/consensus/collector.py
+++ b/finchcart/consensus/collector.py
@@ -16,7 +16,8 @@
 from finchcart.membership.messages import GossipTopic
 from finchcart.membership.records import IN_FLEET
 
-RATE_WINDOW_US = 10_000_000  # window of the change rate; a member above the allowed rate is ignored as long
+# Window of the change rate; also the time for which a member above the allowed rate is ignored.
+RATE_WINDOW_US = 10_000_000
 
 # Each tick looks these up for every member: a plain integer costs a quarter of an enum member's lookup.
 OBSERVATIONS = GossipTopic.OBSERVATIONS.value
--- a/finchcart/consensus/config.py
+++ b/finchcart/consensus/config.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class ConsensusConfig:
-    """Spans, thresholds and bounds; see docs/operate/verdicts.md for how to choose them."""
+    """Durations, thresholds and bounds of consensus; see docs/operate/verdicts.md for how to choose them."""
 
     zone: str = ""  # the zone of this node, empty where the fleet has no zones
     min_zones: int = 1  # a decision needs reports from nodes in at least this many zones
@@ -65,7 +65,7 @@
     max_hold_time: int = 16 * SECOND  # upper bound of the hold time after recurrences
     min_calls: int = 4  # the fewest calls in `observation_span` for a report on the store
     failed_fraction: float = 0.5  # at this fraction of failures, the store is down or a node is an outlier
-    slow_factor: float = 4.0  # slow: this many times the usual call time, or the median of other nodes' runs
+    slow_factor: float = 4.0  # slow at this multiple of the usual call time or of the others' median run time
     probe_calls: int = 4  # concurrent calls of the whole fleet to a store that is down
     probe_timeout: int = 1 * SECOND  # timeout of a probe call
     recovery_step: int = 500 * MS  # when the store is back, the allowed calls double at each step
--- a/finchcart/consensus/publisher.py
+++ b/finchcart/consensus/publisher.py
@@ -77,7 +77,7 @@
 def _urgent_part(reports: list[ObservationReport]) -> list[tuple[int, ...]]:
     """Return the part of the reports whose change is urgent.
 
-    Changes of the level, of a node's runs and of the weight of a source are not.
+    Changes of the level, of a node's runs and of the weight of a source are not urgent.
     """
     return [
         report[:2] if is_source(report.subject) else report
--- a/finchcart/consensus/store.py
+++ b/finchcart/consensus/store.py
@@ -56,7 +56,7 @@
     Arguments:
         name: the name of this node.
         fleet: the name of the fleet.
-        config: spans, thresholds and bounds.
+        config: durations, thresholds and bounds.
         now: boot clock at start, microseconds.
     """
 
--- a/finchcart/key_leases/client.py
+++ b/finchcart/key_leases/client.py
@@ -142,7 +142,8 @@
     def on_no_quorum(self, attempt: Attempt) -> None:
         """Release an attempt that got no quorum and begin another, or conclude it if its time is over.
 
-        Another holder has the lease, the votes are split between several holders, or votes are missing.
+        An attempt gets no quorum if another holder has the lease, if the votes are split between several
+        holders, or if votes are missing.
         """
         is_held = LeaseStatus.HELD in attempt.votes.values()
         timeout = self.config.outcome_timeout if is_held else self.config.quorum_timeout
--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -150,7 +150,7 @@
         ]
         for lease in record.granted:
             if lease.number == held_number:
-                # The holder reports the amount of that lease, or more if it still uses more of an older one.
+                # The holder reports the amount of this lease, or more while older calls exceed it.
                 lease.amount = min(report.in_use, committed)
 
     def _record_demand(
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -1,7 +1,7 @@
 """The election of the leading planner: leader leases by majority vote, without storage on disk.
 
-The module owns this planner's candidacy; the planner's vote belongs to acceptor.py. It must not send messages
-itself: it collects them in `outbox`. `now` is the boot clock in whole microseconds.
+The module owns this planner's candidacy; the planner's vote belongs to acceptor.py. The module must
+not send messages itself, but collects them in `outbox`. `now` is the boot clock in whole microseconds.
 
 The protocol is PaxosLease (M. Trencseni, A. Gazso and H. Reinhardt, "PaxosLease: Diskless Paxos for Leases",
 2012). A proposer prepares a ballot at the acceptors. If a majority of them promises the ballot and knows of
--- a/finchcart/quota/limits.py
+++ b/finchcart/quota/limits.py
@@ -44,8 +44,8 @@
 class Limit:
     """A limit on the whole fleet.
 
-    It allows at most `amount` in progress at any moment; or, if `per` is "rate", `amount` a second and
-    `burst` at once.
+    The limit allows at most `amount` calls or RPCs in progress at any moment; or, if `per` is "rate",
+    `amount` a second and `burst` at once.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class QuotaConfig:
-    """How the limits are shared; see docs/operate/quota.md for how to choose the values."""
+    """How nodes share the limits; see docs/operate/quota.md for how to choose the values."""
 
     limits: tuple[Limit, ...] = ()
     planners: tuple[str, ...] = ()  # addresses of the planners; a planner finds its own among them
--- a/finchcart/quota/messages.py
+++ b/finchcart/quota/messages.py
@@ -103,7 +103,7 @@
 
     limit: NodeName
     number: Unsigned53  # number within the term; of two leases, the greater number is the newer
-    amount: Amount  # beyond the holder's floor
+    amount: Amount  # leased amount, beyond the holder's floor
     duration_us: Unsigned53  # the holder counts it from before its request
     fleet_amount: Amount  # the whole limit in the planner's configuration
 
