--- a/finchcart/consensus/active_decisions.py
+++ b/finchcart/consensus/active_decisions.py
@@ -49,7 +49,7 @@
         self.config = config
         self.by_subject: dict[int, ActiveDecision] = {}
         self._ended: dict[int, EndedDecision] = {}
-        self._ejected_since: int | None = None  # when the reports began to call for this node's ejection
+        self._ejected_since: int | None = None  # since when the reports have led to this node's ejection
 
     def clear(self) -> None:
         """Drop all decisions, as they date from before a suspension of this process."""
@@ -68,7 +68,7 @@
 
         Arguments:
             now: boot clock, microseconds.
-            decisions: what the reports call for now, by subject, without the load-shedding level.
+            decisions: decisions derived from present reports, by subject, without the load-shedding level.
             reaction_time_bound: microseconds until all nodes have received the reports of all others.
         """
         if self.own_subject not in decisions:
--- a/finchcart/quota/effects.py
+++ b/finchcart/quota/effects.py
@@ -7,7 +7,7 @@
 
 
 class LimitAllowance(NamedTuple):
-    """What this process may use of a limit from now on: the floor, and `amount` beyond it until a time."""
+    """What this process may use of a limit: its floor, and until the time `until` also `amount` beyond it."""
 
     limit: str
     floor: int | None  # None: the limit was removed from the configuration
--- a/finchcart/quota/leader_election.py
+++ b/finchcart/quota/leader_election.py
@@ -91,7 +91,7 @@
         self.outbox: list[Outgoing] = []
 
     def set_config(self, quota: QuotaConfig) -> None:
-        """Replace the configuration; the planners stay those of the start."""
+        """Replace the configuration; the addresses of the planners stay as given at the start."""
         self.quota = quota
         self.acceptor.quota = quota
         self.timing_digest = name_hash(quota.timing_text())
