--- a/finchcart/quota/allocator.py
+++ b/finchcart/quota/allocator.py
@@ -21,7 +21,9 @@
 from finchcart.quota.limits import Limit, QuotaConfig
 from finchcart.quota.messages import WEIGHT_SCALE, LeaseRequest, LimitDemand, LimitLease
 
-MAX_LEASES_PER_LIMIT = 8  # at one holder, which gets no more until it reports which lease it has
+# A holder that may have this many leases of a limit gets no more until it reports which one it has, or
+# until leases expire.
+MAX_LEASES_PER_LIMIT = 8
 
 
 class Allocator:
@@ -148,7 +150,7 @@
         ]
         for lease in record.granted:
             if lease.number == held_number:
-                # The holder reports the amount of that lease, or more if it still uses more of an older one.
+                # The holder reports the amount of this lease, or more while older calls exceed it.
                 lease.amount = min(report.in_use, committed)
 
     def _record_demand(
