--- a/finchcart/consensus/change_log.py
+++ b/finchcart/consensus/change_log.py
@@ -28,10 +28,10 @@
         decisions: Mapping[int, ActiveDecision],
         node_names: Mapping[int, str],
     ) -> Iterator[LogLine]:
-        """Yield a log line for each value that changed since the last call.
+        """Yield a log line for each value that changed since the last call, except the values of other nodes.
 
         Arguments:
-            values: the values in force, decisions and overrides, by subject.
+            values: the values in force by subject, each set by a decision or an override.
             decisions: the decisions in force, by subject.
             node_names: the names of nodes, by subject.
         """
--- a/finchcart/decisions/method.py
+++ b/finchcart/decisions/method.py
@@ -54,7 +54,7 @@
     """All methods of a node. Invariant: the criticality ranks of `all` are 0 to `rank_count` - 1."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Create the methods of these settings, in their order."""
+        """Create the methods in the order in which the settings list them."""
         cold_speed = settings.cold_start_speed if settings.fresh_start else 1
         cold_factor = 1 / max(cold_speed, MIN_COLD_SPEED)
         self.all = [Method(method, settings.can_stop, cold_factor) for method in settings.methods]
--- a/finchcart/decisions/runs.py
+++ b/finchcart/decisions/runs.py
@@ -47,7 +47,7 @@
         self._count_on_cores(rpc, -1)
 
     def resume(self, now: int, rpc: RpcHandle) -> None:
-        """Record that a run continues on a core, after its call or without it."""
+        """Record that a run occupies a core again because its call succeeded or the RPC was degraded."""
         rpc.state = RUNNING
         rpc.time_at_calls += now - rpc.awaiting_since
         self._count_on_cores(rpc, 1)
--- a/finchcart/decisions/service_time.py
+++ b/finchcart/decisions/service_time.py
@@ -51,7 +51,7 @@
         return small_service_time * (hint / small_hint) ** max(0.0, min(1.0, power))
 
     def learn(self, hint: int, service_time: int, run_duration: int) -> None:
-        """Add a successful run; `run_duration` includes the time of its calls."""
+        """Add a successful run to the histograms; `run_duration` includes the time of the run's calls."""
         self.service_time.add(service_time)
         self.run_duration.add(run_duration)
         if not hint:
--- a/finchcart/fault_injection/consensus/fault_run.py
+++ b/finchcart/fault_injection/consensus/fault_run.py
@@ -90,7 +90,7 @@
 def play_seed(
     seed: int, count: int = 8, rounds: int = 3, kinds: Sequence[str] | None = None
 ) -> ConsensusSeedResult:
-    """Run one seed and return its result."""
+    """Play the fault run that `seed` determines, and return its result."""
     run = ConsensusFaultRun(seed, count, kinds, rounds)
     breach = None
     try:
--- a/finchcart/fault_injection/consensus/view.py
+++ b/finchcart/fault_injection/consensus/view.py
@@ -25,30 +25,30 @@
 
 
 def is_down(view: NodeView) -> bool:
-    """Whether the node considers the store down."""
+    """Return whether the node considers the store down."""
     return view.consensus.store == StoreHealth.DOWN
 
 
 def is_working(view: NodeView) -> bool:
-    """Whether the node considers the store to be working."""
+    """Return whether the node considers the store to be working."""
     return view.consensus.store == StoreHealth.WORKING
 
 
 def is_blocked(subject: int, view: NodeView) -> bool:
-    """Whether the node considers the source blocked."""
+    """Return whether the node considers the source blocked."""
     return view.consensus.sources.get(subject) == Restriction.BLOCKED
 
 
 def is_restricted(subject: int, view: NodeView) -> bool:
-    """Whether the node has any restriction on the source."""
+    """Return whether the node has any restriction on the source."""
     return subject in view.consensus.sources
 
 
 def considers_itself_ejected(view: NodeView) -> bool:
-    """Whether the node considers itself ejected."""
+    """Return whether the node considers itself ejected."""
     return view.consensus.is_ejected
 
 
 def has_no_decisions(view: NodeView) -> bool:
-    """Whether the node considers everything healthy."""
+    """Return whether the node considers everything healthy."""
     return view.consensus == NO_DECISIONS
--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -153,7 +153,7 @@
         self.feed(name, AcquireKeyLeases([KeyToLease(key, PAYLOAD_DIGEST, self.config.lease_duration)]))
 
     def on_answer(self, name: str, key: Key, answer: int, result: bytes, run_before: int) -> None:
-        """Record a client's answer for a key, and command the run of a granted key after a delay."""
+        """Record the answer that a client received for a key; if the key is granted, start its run later."""
         super().on_answer(name, key, answer, result, run_before)
         if answer == LeaseStatus.GRANTED:
             session = self.machines[name].session
--- a/finchcart/fault_injection/quota/simulation.py
+++ b/finchcart/fault_injection/quota/simulation.py
@@ -43,7 +43,7 @@
 
     `per` selects what is limited: calls in progress ("in_hand") or calls per second ("rate"). `drift` is the
     largest relative error of a clock's rate; None stands for the configured drift. `after_step` raises an
-    `InvariantError` if the calls at the store exceed the bound.
+    `InvariantError` if the calls at the store exceed the limit by more than its sharing mode allows.
     """
 
     def __init__(
--- a/finchcart/fault_injection/scripted_runs/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -92,7 +92,9 @@
     name: str
     what: str  # an `ExpectationKind`, or the check that found a breach
     times: list[float]  # seconds from `after` until it held, one for each pair or member
-    changes: int  # changes of the value after `after` + `within`; for `never`, events with a forbidden state
+    # Number of times that the value ceased to be as expected later than `after` + `within`. For `never`, the
+    # number of events with a forbidden state.
+    changes: int
     breach: str | None  # the text of the first breach
 
 
@@ -139,7 +141,7 @@
 
 
 class ExpectationCheck:
-    """The check of one expectation against a history."""
+    """Checks whether the events of a history meet one expectation."""
 
     def __init__(self, history: History, expectation: PlannedExpectation, start: int) -> None:
         self.history = history
--- a/finchcart/fault_injection/scripted_runs/plan.py
+++ b/finchcart/fault_injection/scripted_runs/plan.py
@@ -90,7 +90,7 @@
         self.spans: list[RoundSpan] = []
 
     def build(self) -> Plan:
-        """Return the plan with all rounds."""
+        """Return the plan of all rounds of the script, with its actions in the order of their times."""
         for scripted_round in self.script.rounds:
             for number in range(scripted_round.count):
                 at = self.script.settle + scripted_round.at + number * scripted_round.every
@@ -198,7 +198,7 @@
         return pairs
 
     def _add_action_for_each(self, step: Step, at: float, names: list[str]) -> None:
-        """Add an action for each name, spread over the step's time, and update which nodes run."""
+        """Add an action for each name, spread over the step's time, and update the running processes."""
         for number, name in enumerate(names):
             self.actions.append(PlannedAction(at + number * step.over / len(names), step.do, [name]))
             if step.do in (StepKind.KILL, StepKind.TERMINATE) and name in self.running:
--- a/finchcart/fault_injection/scripted_runs/process_run.py
+++ b/finchcart/fault_injection/scripted_runs/process_run.py
@@ -184,7 +184,7 @@
     def _perform_on_each(self, action: PlannedAction) -> None:
         for planned_name in action.names:
             name = self._leader(action) if planned_name == LEADER else planned_name
-            if name in self.fleet.names:  # a script that is run without its planners has no leader
+            if name in self.fleet.names:  # `name` is None if the script is run without its planners
                 self.member_handlers[action.kind](name)
 
     def _leader(self, action: PlannedAction) -> str | None:
--- a/finchcart/fault_injection/scripted_runs/timeline_chart.py
+++ b/finchcart/fault_injection/scripted_runs/timeline_chart.py
@@ -45,7 +45,7 @@
 
 def state_spans(events: Iterable[Event], start: int, end: float) -> dict[str, list[StateSpan]]:
     """Return for each member the states that the largest number of other members held it to be in."""
-    held: dict[str, dict[str, str]] = {}  # member -> observer -> state
+    held: dict[str, dict[str, str]] = {}  # state by member and observer
     spans: dict[str, list[StateSpan]] = {}
     open_spans: dict[str, tuple[float, str]] = {}  # member -> (since, state)
     for event in events:
--- a/finchcart/fault_injection/virtual_time/driver.py
+++ b/finchcart/fault_injection/virtual_time/driver.py
@@ -125,7 +125,7 @@
     # ---- process control
 
     def reset_process(self, name: str) -> ProcessT:
-        """Discard the state of the previous process of this name.
+        """Discard the state of the previous process of this name, and return the process.
 
         The caller sets the state machine of the new process.
         """
--- a/finchcart/limits.py
+++ b/finchcart/limits.py
@@ -10,8 +10,8 @@
 MS = 1_000
 SECOND = 1_000_000
 
-# The platform may kill a node once this time has passed since the drain notice: the longest deadline of all
-# methods, of which at most MAX_COUNTED_DEADLINE_US count, plus KILL_DELAY_US.
+# The platform waits for a time after the drain notice before it may kill a node. This time is the longest
+# deadline of all methods, or MAX_COUNTED_DEADLINE_US if that is shorter, plus KILL_DELAY_US.
 MAX_COUNTED_DEADLINE_US = 3 * SECOND
 KILL_DELAY_US = 700 * MS
 
--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -133,7 +133,7 @@
             self._connections[number].request_batch()
 
     def send(self, number: int, data: bytes) -> None:
-        """Queue data until the turn ends, so that all data for one connection is one write.
+        """Queue data until the event loop's turn ends; all data for a connection is then one write.
 
         A call to the store is written immediately, as its connection carries one call at a time.
         """
--- a/finchcart/net/reader.py
+++ b/finchcart/net/reader.py
@@ -85,7 +85,7 @@
         """Split the received data into complete frames.
 
         Returns:
-            The frames, and the error in the bytes that follow them, or None.
+            The frames, and the protocol error in the bytes after the frames, or None instead of an error.
         """
         frames: list[bytes] = []
         fault: ProtocolError | None = None
--- a/finchcart/node/rpc.py
+++ b/finchcart/node/rpc.py
@@ -13,7 +13,7 @@
 
 
 class FinalOutcome(Enum):
-    """The three kinds of final answer."""
+    """The kinds of final answer to an RPC."""
 
     OK = "ok"  # the run succeeded; the answer carries the result, unchanged
     REJECTED = "rejected"  # the RPC never ran on this node
--- a/finchcart/node/rpc_lifecycle.py
+++ b/finchcart/node/rpc_lifecycle.py
@@ -188,7 +188,7 @@
         _handle_of(rpc).awaiting_call(self.effect_buffer.now)
 
     def call_ended(self, rpc: NodeRpc, outcome: Outcome, body: bytes, spent_us: int) -> None:
-        """Handle the end of a call; if the call succeeded, send the reply to its run."""
+        """Handle the end of a call; if the call succeeded, send the reply to the run that awaits it."""
         if outcome is Outcome.OK and rpc.awaited_call:
             cursor = rpc.awaited_call.cursor
             rpc.awaited_call = None
--- a/finchcart/protocol/framing.py
+++ b/finchcart/protocol/framing.py
@@ -17,7 +17,7 @@
     reader thread and examines only the bytes that it needs.
 
     `decode(frame)` returns the message of a frame. The function is called by the one thread that feeds the
-    core, for many frames in one turn.
+    core, for many frames in each turn of the event loop.
     """
 
     find_frame_end: Callable[[bytes, int, int], int | None]
--- a/finchcart/simulator/instance.py
+++ b/finchcart/simulator/instance.py
@@ -48,7 +48,7 @@
     # ---- The port
 
     def run(self, index: int) -> None:
-        """Start or resume an RPC."""
+        """Command the simulator to start or resume the run of an RPC."""
         self.write(codec.run(self.number, self.identifiers[index]))
 
     def stop(self, index: int) -> None:
--- a/finchcart/thrift/frontend.py
+++ b/finchcart/thrift/frontend.py
@@ -82,7 +82,7 @@
             self.closer.check_idle(connection)
 
     def batch_completed(self, number: int) -> None:
-        """Request the next batches."""
+        """Request the next batches of messages from the connection's reader thread."""
         connection = self.table.find_usable(number)
         if connection:
             self.table.request_more_reads(connection)
--- a/tests/test_decision_docs.py
+++ b/tests/test_decision_docs.py
@@ -50,7 +50,7 @@
 
 
 def stated_owners():
-    """Return, by field of an RPC, the modules that the comment behind the field in rpc.py names."""
+    """Map each field of an RPC to the modules that are named in the comment behind the field in rpc.py."""
     lines = (PACKAGE / "rpc.py").read_text(encoding="utf-8").split("\n")
     owners = {}
     for line in lines:
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -120,7 +120,7 @@
         self.effect_buffer = EffectBuffer(1)
         self.ended = []
         self.store = StoreClient(self.effect_buffer, LIMITS, ("store", 1), self.call_ended)
-        self.in_flight = {}  # RPC by number of the call
+        self.in_flight = {}  # the RPC that made each call, by the call's number
         self.calls_made = 0
         self.names_used = {}  # by connection
 
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -126,9 +126,9 @@
 
 
 def run_programs(runs):
-    """Return the output and exit status of each run of the program, by name.
+    """Run the node program once for each entry of `runs`, and return the output and exit status of each run.
 
-    `runs` maps a name to (arguments, environment).
+    `runs` maps the name of a run to its arguments and environment; the result has the same keys.
     """
     command = [sys.executable, "-m", "tests.pins.run_many"]
     request = json.dumps(list(runs.values()))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -99,7 +99,7 @@
         now, unix = 100 * SECOND, 1_700_000_000 * SECOND
         clock.record(now, unix)
         ahead = rng.choice((-3600, -20, 20, 3600)) * SECOND
-        shortest_wait = SECOND  # from arrival to read
+        shortest_wait = SECOND  # shortest time so far between an RPC's arrival and the reading of the RPC
         for number in range(50):
             now += rng.randint(1, 100) * MS
             arrived = now - rng.randint(0, 300) * MS
