--- a/finchcart/fault_injection/key_leases/fault_run.py
+++ b/finchcart/fault_injection/key_leases/fault_run.py
@@ -252,7 +252,7 @@
 
 
 def play_seed(seed: int, seconds: int = 30, factories: KeyLeaseFactories | None = None) -> KeyLeaseSeedResult:
-    """Run one seed and return its result."""
+    """Play the fault run that `seed` determines, and return its result."""
     run = KeyLeaseFaultRun(seed, factories=factories)
     breach = None
     try:
--- a/finchcart/fault_injection/key_leases/simulation.py
+++ b/finchcart/fault_injection/key_leases/simulation.py
@@ -129,7 +129,7 @@
                 self.on_answer(name, *effect)
 
     def on_answer(self, name: str, key: Key, answer: int, result: bytes, run_before: int) -> None:
-        """Record a client's answer for a key; `run_before` is the latest start of a granted run."""
+        """Record the answer a client received for a key. A granted run must start before `run_before`."""
         self.answers.setdefault((name, key), []).append(answer)
         if answer == LeaseStatus.GRANTED:
             self.granted[name, key] = run_before
--- a/finchcart/fault_injection/scripted_runs/checker.py
+++ b/finchcart/fault_injection/scripted_runs/checker.py
@@ -91,7 +91,7 @@
 
     name: str
     what: str  # an `ExpectationKind`, or the check that found a breach
-    times: list[float]  # seconds from `after` until it held, one for each pair or member
+    times: list[float]  # seconds from `after` until the value was as expected, one for each pair or member
     # Number of times that the value ceased to be as expected later than `after` + `within`. For `never`, the
     # number of events with a forbidden state.
     changes: int
--- a/finchcart/fault_injection/scripted_runs/timeline_chart.py
+++ b/finchcart/fault_injection/scripted_runs/timeline_chart.py
@@ -44,10 +44,10 @@
 
 
 def state_spans(events: Iterable[Event], start: int, end: float) -> dict[str, list[StateSpan]]:
-    """Return for each member the states that the largest number of other members held it to be in."""
+    """Return the spans of each member's state over time, as most of the members that observe it report it."""
     held: dict[str, dict[str, str]] = {}  # state by member and observer
     spans: dict[str, list[StateSpan]] = {}
-    open_spans: dict[str, tuple[float, str]] = {}  # member -> (since, state)
+    open_spans: dict[str, tuple[float, str]] = {}  # start and state of each member's current span
     for event in events:
         if event.kind == EventKind.STARTED:
             for observers in held.values():
--- a/finchcart/net/connection_table.py
+++ b/finchcart/net/connection_table.py
@@ -152,7 +152,7 @@
             self._connections[number].send(data, deadline)
 
     def flush(self) -> None:
-        """Write the data that was sent during the turn; called when the turn ends."""
+        """Write the data that was sent during the event loop's turn; called when the turn ends."""
         outgoing = self._outgoing
         self._outgoing = {}
         for number, parts in outgoing.items():
